--- a/puffinknot-core/src/jobs/backlog.rs
+++ b/puffinknot-core/src/jobs/backlog.rs
@@ -15,7 +15,7 @@
 members of its gang, for advice or for an executor with enough room, smaller
 tasks pass it.
 
-[`Room`] says what works at the backlog: what is free, and what runs now from
+[`ServiceCapacity`] says what works at the backlog: what is free, and what runs now from
 the time on at which it should end. All of it is taken to work without a gap,
 and at nothing but what goes before. No cell is faster, so that the answer errs
 to the early side.
@@ -63,7 +63,7 @@
     }
 }
 
-/// The time that one grain of the forecast of a [`Room`] covers, in
+/// The time that one grain of the forecast of a [`ServiceCapacity`] covers, in
 /// milliseconds: a small part of the shortest objective.
 const GRAIN: Millis = 100;
 /// How many grains are foreseen. What runs for longer counts as free from
@@ -72,19 +72,19 @@
 
 /// Room that works at a backlog, and what of it comes free when.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct ServiceCapacity {
     whole: [u64; 3],
     /// What comes free in each grain; in the first what is free now.
     freed: Vec<[u64; 3]>,
 }
 
-impl Default for Room {
-    fn default() -> Room {
-        Room { whole: [0; 3], freed: vec![[0; 3]; GRAINS + 1] }
+impl Default for ServiceCapacity {
+    fn default() -> ServiceCapacity {
+        ServiceCapacity { whole: [0; 3], freed: vec![[0; 3]; GRAINS + 1] }
     }
 }
 
-impl Room {
+impl ServiceCapacity {
     /// Adds an executor that has `capacity`, of which this much is free.
     pub fn add(&mut self, capacity: &Resources, free: &Resources) {
         let all = self.whole.iter_mut().zip(parts(capacity));
@@ -222,20 +222,20 @@
 /// order in which it is started, the least first.
 #[derive(Clone, Debug)]
 pub struct Backlog<P> {
-    room: Room,
+    room: ServiceCapacity,
     all: Lane<P>,
     accounts: BTreeMap<AccountIndex, Lane<P>>,
 }
 
 impl<P: Ord + Copy> Backlog<P> {
     /// Nothing waits for this room.
-    pub fn new(room: Room) -> Backlog<P> {
+    pub fn new(room: ServiceCapacity) -> Backlog<P> {
         let (all, accounts) = (Lane::default(), BTreeMap::new());
         Backlog { room, all, accounts }
     }
 
     /// The room that works at it.
-    pub fn room(&self) -> &Room {
+    pub fn capacity(&self) -> &ServiceCapacity {
         &self.room
     }
 
--- a/puffinknot-core/src/jobs/health.rs
+++ b/puffinknot-core/src/jobs/circuit_breaker.rs
@@ -20,17 +20,17 @@
 
 /// A circuit breaker for starts on one executor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Health {
+pub struct CircuitBreaker {
     /// Runs that have failed since the last one that was done.
     in_a_row: u32,
     /// When the next run may try it, once it is tripped.
     next_trial: Millis,
 }
 
-impl Health {
+impl CircuitBreaker {
     /// A run was done.
     pub fn done(&mut self) {
-        *self = Health::default();
+        *self = CircuitBreaker::default();
     }
 
     /// A run has failed. Returns whether that trips the breaker.
--- a/puffinknot-core/src/jobs/losses.rs
+++ b/puffinknot-core/src/jobs/crash_evidence.rs
@@ -73,7 +73,7 @@
 
 /// How a run was lost with an executor that has crashed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Loss {
+pub struct RunLoss {
     /// The run.
     pub run: u64,
     /// Nothing else there may have crashed the executor.
@@ -96,7 +96,7 @@
     pub address: String,
 }
 
-impl Loss {
+impl RunLoss {
     /// Whether the run was there for too long to have crashed the executor.
     pub fn clears(&self) -> bool {
         self.survived > LONGEST_WINDOW / 2
@@ -150,7 +150,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Evidence {
     at: Millis,
-    loss: Loss,
+    loss: RunLoss,
     /// The age at which the run before was seen to be lost.
     former: Option<Millis>,
     /// What a predecessor has counted of the same run.
@@ -172,7 +172,7 @@
 
 /// The crashes of executors that a task may have brought about.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Losses {
+pub struct CrashEvidence {
     /// The runs that were lost so.
     pub runs: u32,
     /// Those of them in which nothing else may have done it.
@@ -203,12 +203,12 @@
     put_off_since: Option<Millis>,
 }
 
-impl Losses {
+impl CrashEvidence {
     /// Takes in another one. Returns whether the task may have done it; if it
     /// has been there for too long, it is cleared of the former as well.
-    pub fn add(&mut self, loss: &Loss, now: Millis) -> bool {
+    pub fn add(&mut self, loss: &RunLoss, now: Millis) -> bool {
         if loss.clears() {
-            *self = Losses::default();
+            *self = CrashEvidence::default();
             return false;
         }
         if loss.confirmed {
@@ -227,7 +227,7 @@
         true
     }
 
-    fn count(&mut self, loss: &Loss, now: Millis) {
+    fn count(&mut self, loss: &RunLoss, now: Millis) {
         if self.last.run != loss.run {
             self.runs += 1;
             let (run, gang) = (loss.run, loss.executors > 1);
--- a/puffinknot-core/src/jobs/executor.rs
+++ b/puffinknot-core/src/jobs/executor.rs
@@ -8,11 +8,11 @@
 
 use crate::config::Resources;
 use crate::ids::Millis;
-use crate::jobs::age::LeastClock;
-use crate::jobs::health::Health;
-use crate::jobs::message::{AccountIndex, LifeOver};
+use crate::jobs::circuit_breaker::CircuitBreaker;
+use crate::jobs::message::{AccountIndex, IncarnationEnd};
 use crate::jobs::model::{StepKey, TaskKey};
 use crate::jobs::record;
+use crate::jobs::report_age::ClockLowerBound;
 use crate::jobs::speed::Speed;
 
 /// An executor's clock may lose one part in this many.
@@ -69,7 +69,7 @@
 
 /// A run that takes up room on an executor.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RunOn {
+pub struct PlacedRun {
     /// The run.
     pub run: u64,
     /// What it needs.
@@ -81,24 +81,24 @@
     /// Where it is in its life.
     pub phase: Phase,
     /// When it was ordered, or first seen.
-    pub since: Millis,
+    pub placed_at: Millis,
     /// When an answer to a stop is overdue.
     pub stop_again: Millis,
     /// When its start, or its stop, was confirmed.
     pub confirmed: Millis,
     /// Since when it is not known whether its start has arrived.
-    pub unsure: Option<Millis>,
+    pub start_unsure_since: Option<Millis>,
     /// Its start was confirmed, by whatever life.
-    pub begun: bool,
+    pub start_confirmed: bool,
     /// What its executor's clock showed when it began, if that is known.
-    pub began: Option<Millis>,
+    pub start_clock: Option<Millis>,
     /// An account has listed it, so that it was there in this life. A start
     /// alone may have been carried out by a life that follows.
     pub listed: bool,
     /// When it should end.
-    pub ends: Millis,
+    pub expected_end: Millis,
     /// How long it takes tells of its executor: it began there from the start.
-    pub tells: bool,
+    pub measures_speed: bool,
     /// It may crash its executor until that was heard so long after the
     /// order, in milliseconds.
     pub window: Millis,
@@ -115,12 +115,12 @@
     /// until when the executor is kept for it.
     pub until: Millis,
     /// The task has been alone with a crash before.
-    pub weighty: bool,
+    pub crashed_alone: bool,
 }
 
 /// Whether an executor can be talked to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Contact {
+pub enum Liveness {
     /// It has not answered in this tenure.
     Unseen,
     /// It answers.
@@ -131,10 +131,10 @@
 
 /// By what it is known what an executor has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Described {
+pub enum DescriptionSource {
     /// No readable entry says it of this life: its room may be another than
     /// that of a former one, and nothing is started there.
-    Not,
+    Unknown,
     /// A predecessor knew it. Its room may be smaller by now.
     ByPredecessor,
     /// Its entry, as it was read in this tenure.
@@ -150,23 +150,23 @@
     /// has not yet.
     pub machine: String,
     /// By what, and when, its life was found to be over, if it was.
-    pub over: Option<(LifeOver, Millis)>,
+    pub incarnation_end: Option<(IncarnationEnd, Millis)>,
     /// The shard in which the store keeps it.
     pub shard: u8,
     /// Whether the store lists it.
     pub listed: bool,
     /// By what it is known what it has.
-    pub described: Described,
+    pub description: DescriptionSource,
     /// What its entry said of another life of it than this one.
     pub other: Option<ExecutorInfo>,
     /// Whether the store knows that this cell orders it.
     pub enrolled: bool,
     /// Whether it can be talked to.
-    pub contact: Contact,
+    pub liveness: Liveness,
     /// Its capacity less all runs and reservations.
     pub free: Resources,
     /// What has been promised: all runs in any phase.
-    pub runs: BTreeMap<TaskKey, RunOn>,
+    pub runs: BTreeMap<TaskKey, PlacedRun>,
     /// What is kept for steps that wait for a ticket.
     pub reserved: BTreeMap<StepKey, Resources>,
     /// Since when it is known to this leader.
@@ -177,70 +177,70 @@
     pub first_heard: Option<Millis>,
     /// Since when another life of it may answer what is sent there. Ends of
     /// that one have the same numbers, so that none may be called noted.
-    pub life_doubted: Option<Millis>,
+    pub incarnation_unsure_since: Option<Millis>,
     /// It was not told which of its ends are noted though some are.
     pub withheld: bool,
     /// What was ordered there, and may have been carried out by the life that
     /// follows it instead.
-    pub carried_over: BTreeMap<TaskKey, RunOn>,
+    pub carried_over: BTreeMap<TaskKey, PlacedRun>,
     /// A reading of its clock, and when it was received.
     pub clock: Option<(Millis, Millis)>,
     /// When the account with that reading was asked for.
     pub clock_asked: Millis,
     /// The least that its clock shows.
-    pub least_clock: LeastClock,
+    pub clock_bound: ClockLowerBound,
     /// How old its last account was when it was taken in, at the least, in
     /// milliseconds.
-    pub age: Millis,
+    pub report_age: Millis,
     /// When its last account was given, at the latest.
-    pub given: Option<Millis>,
+    pub reported_at: Option<Millis>,
     /// When everything there has certainly lapsed, if nothing more is sent.
     pub expiry: Millis,
     /// When the last hold was sent that was found unanswered, if that was the
     /// last of all.
-    pub missed_hold: Option<Millis>,
+    pub missed_renewal: Option<Millis>,
     /// Whether a hold is under way.
-    pub holding: bool,
+    pub renewing: bool,
     /// When the hold that is under way was sent.
-    pub held_at: Millis,
+    pub renewal_sent_at: Millis,
     /// An account is wanted at once, beside the hold that waits.
     pub probe: bool,
     /// Before this time no account is asked for beside a hold that waits.
     pub next_probe: Millis,
     /// When to send the next hold.
-    pub next_hold: Millis,
+    pub next_renewal: Millis,
     /// The last hold failed this many times in a row.
     pub failures: u32,
     /// When an order or a hold first went unanswered since it answered last:
     /// by then it may have crashed.
-    pub missed_at: Option<Millis>,
+    pub unanswered_since: Option<Millis>,
     /// What waited there was broken off then, so that it crashed then if it
     /// has.
     pub broke_off: bool,
     /// How long the last hold was to wait there, in milliseconds.
-    pub wait: Millis,
+    pub renewal_wait: Millis,
     /// The number of the last end that was taken in.
-    pub taken: u64,
+    pub received_end: u64,
     /// The number of the last end that is written.
-    pub noted: u64,
+    pub acknowledged_end: u64,
     /// When its entry went while it was not known to be silent.
     pub unlisted_at: Option<Millis>,
     /// Nothing but this is started there.
     pub trial: Option<Trial>,
     /// Nothing new is placed there, since its machine goes down soon.
-    pub clearing: bool,
+    pub maintenance_due: bool,
     /// Its machine was called for, so that what runs there may be gone.
-    pub going: bool,
+    pub maintenance_ordered: bool,
     /// When tasks there were slowed or let on last.
-    pub paced_at: Millis,
+    pub throttled_at: Millis,
     /// It has left an order unanswered, and nothing was heard of it since.
-    pub doubted: bool,
+    pub unresponsive: bool,
     /// Its whole data centre may be out of reach.
     pub dc_suspected: bool,
     /// Its data centre takes no new work.
     pub cordoned: bool,
     /// Whether runs there end well.
-    pub health: Health,
+    pub breaker: CircuitBreaker,
     /// How long runs there take.
     pub speed: Speed,
     /// What the store keeps of that, see [`Speed::kept`].
@@ -255,47 +255,47 @@
             shard: record::shard_of(&info.id),
             info,
             machine: String::new(),
-            over: None,
+            incarnation_end: None,
             listed: true,
-            described: Described::ByEntry,
+            description: DescriptionSource::ByEntry,
             other: None,
             first_heard: None,
-            life_doubted: None,
+            incarnation_unsure_since: None,
             withheld: false,
             carried_over: BTreeMap::new(),
             enrolled: false,
-            contact: Contact::Unseen,
+            liveness: Liveness::Unseen,
             known_since: now,
             silent_since: now,
             runs: BTreeMap::new(),
             reserved: BTreeMap::new(),
             clock: None,
             clock_asked: 0,
-            least_clock: LeastClock::default(),
-            age: 0,
-            given: None,
+            clock_bound: ClockLowerBound::default(),
+            report_age: 0,
+            reported_at: None,
             expiry: 0,
-            missed_hold: None,
-            holding: false,
-            held_at: 0,
+            missed_renewal: None,
+            renewing: false,
+            renewal_sent_at: 0,
             probe: false,
             next_probe: now,
-            next_hold: now,
+            next_renewal: now,
             failures: 0,
-            missed_at: None,
+            unanswered_since: None,
             broke_off: false,
-            wait: 0,
-            taken: 0,
-            noted: 0,
+            renewal_wait: 0,
+            received_end: 0,
+            acknowledged_end: 0,
             unlisted_at: None,
             trial: None,
-            clearing: false,
-            going: false,
-            paced_at: 0,
-            doubted: false,
+            maintenance_due: false,
+            maintenance_ordered: false,
+            throttled_at: 0,
+            unresponsive: false,
             dc_suspected: false,
             cordoned: false,
-            health: Health::default(),
+            breaker: CircuitBreaker::default(),
             speed: Speed::default(),
             kept_speed: 0,
         }
@@ -321,7 +321,11 @@
         let least = last + least - least / DRIFT;
         // The last reading may have been old when it was taken in.
         let waited = at.saturating_sub(self.clock_asked);
-        let old = if waited > self.wait + GRAIN { waited } else { self.age };
+        let old = if waited > self.renewal_wait + GRAIN {
+            waited
+        } else {
+            self.report_age
+        };
         let last = last + old;
         let most = now.saturating_sub(at);
         let most = last + most + most / DRIFT;
@@ -340,7 +344,7 @@
     /// When it was alive by its last account, if it has given one in this
     /// tenure.
     pub fn heard_at(&self) -> Option<Millis> {
-        self.given
+        self.reported_at
     }
 
     /// How long ago it gave its last account, in milliseconds, if it has in
@@ -357,26 +361,26 @@
 
     /// How long a run may have been there when the executor fell silent, in
     /// milliseconds.
-    pub fn ran(&self, run: &RunOn) -> Millis {
-        let until = self.missed_at.unwrap_or(Millis::MAX);
-        until.saturating_sub(run.since)
+    pub fn max_runtime(&self, run: &PlacedRun) -> Millis {
+        let until = self.unanswered_since.unwrap_or(Millis::MAX);
+        until.saturating_sub(run.placed_at)
     }
 
     /// How long a run had been there when the executor was heard last, in
     /// milliseconds.
-    pub fn survived(&self, run: &RunOn) -> Millis {
-        self.heard_at().unwrap_or(0).saturating_sub(run.since)
+    pub fn survived(&self, run: &PlacedRun) -> Millis {
+        self.heard_at().unwrap_or(0).saturating_sub(run.placed_at)
     }
 
     /// Whether it is about to leave: it says so, or it went on to answer when
     /// its entry had gone.
-    pub fn leaves(&self) -> bool {
+    pub fn is_departing(&self) -> bool {
         let heard = self.heard_at().unwrap_or(0);
         self.info.draining || self.unlisted_at.is_some_and(|at| heard > at)
     }
 
     /// Whether a run is known not to have crashed it when it may have.
-    pub fn is_harmless(&self, run: &RunOn) -> bool {
+    pub fn is_harmless(&self, run: &PlacedRun) -> bool {
         self.survived(run) >= run.window
     }
 
@@ -388,7 +392,7 @@
     /// From when an answer shows that all of its runs are harmless.
     pub fn harmless_from(&self) -> Millis {
         let runs = self.runs.values();
-        runs.map(|run| run.since + run.window).max().unwrap_or(0)
+        runs.map(|run| run.placed_at + run.window).max().unwrap_or(0)
     }
 
     /// Whether it is kept for the trial of a task that is to begin.
@@ -414,16 +418,16 @@
     pub fn at_risk(&self, now: Millis) -> u64 {
         let runs = self.runs.values().map(|run| {
             let cores = u64::from(run.need.cpu_millis);
-            cores * now.saturating_sub(run.since) / 1_000
+            cores * now.saturating_sub(run.placed_at) / 1_000
         });
         runs.sum()
     }
 
     /// It has stopped to answer. Returns whether it answered before.
     pub fn falls_silent(&mut self, now: Millis) -> bool {
-        let answered = self.contact == Contact::Ready;
+        let answered = self.liveness == Liveness::Ready;
         if answered {
-            self.contact = Contact::Silent;
+            self.liveness = Liveness::Silent;
             self.silent_since = now;
         }
         answered
@@ -431,14 +435,14 @@
 
     /// Whether new tasks may go there.
     pub fn usable(&self) -> bool {
-        self.contact == Contact::Ready
+        self.liveness == Liveness::Ready
             && self.enrolled
-            && self.described != Described::Not
-            && self.over.is_none()
+            && self.description != DescriptionSource::Unknown
+            && self.incarnation_end.is_none()
             && !self.info.draining
-            && !self.clearing
-            && !self.going
-            && !self.doubted
+            && !self.maintenance_due
+            && !self.maintenance_ordered
+            && !self.unresponsive
             && !self.dc_suspected
             && !self.cordoned
             && self.clock.is_some()
@@ -446,9 +450,13 @@
 
     /// Takes room for a run. Returns an earlier run of the same task there,
     /// in whose place it is.
-    pub fn put(&mut self, task: TaskKey, run: RunOn) -> Option<RunOn> {
+    pub fn place_run(
+        &mut self,
+        task: TaskKey,
+        run: PlacedRun,
+    ) -> Option<PlacedRun> {
         let before = self.runs.insert(task, run);
-        self.recount();
+        self.recompute_free();
         before
     }
 
@@ -469,20 +477,20 @@
     /// Keeps room for a step until it is given back by [`Self::unreserve`].
     pub fn reserve(&mut self, step: StepKey, need: Resources) {
         self.reserved.insert(step, need);
-        self.recount();
+        self.recompute_free();
     }
 
     /// Gives the room back that was kept for a step.
     pub fn unreserve(&mut self, step: &StepKey) {
         if self.reserved.remove(step).is_some() {
-            self.recount();
+            self.recompute_free();
         }
     }
 
     /// Gives the room of a run back.
-    pub fn remove(&mut self, task: &TaskKey) -> Option<RunOn> {
+    pub fn remove_run(&mut self, task: &TaskKey) -> Option<PlacedRun> {
         let run = self.runs.remove(task)?;
-        self.recount();
+        self.recompute_free();
         let tried = self.trial.as_ref().and_then(|trial| trial.run);
         if tried.is_some_and(|run| self.runs.values().all(|r| r.run != run)) {
             self.trial = None;
@@ -491,7 +499,7 @@
     }
 
     /// Computes the free room anew from what is promised.
-    pub fn recount(&mut self) {
+    pub fn recompute_free(&mut self) {
         let mut used = Resources::default();
         for run in self.runs.values() {
             used = used.plus(&run.need);
--- a/puffinknot-core/src/jobs/mechanism.rs
+++ b/puffinknot-core/src/jobs/mechanism.rs
@@ -17,11 +17,11 @@
     /// Tasks go where least is left over; else where there is room.
     BestFit,
     /// Gangs that wait get room kept for them.
-    RoomForGangs,
+    GangReservations,
     /// Tasks that save their progress give way to gangs that would be late.
-    Displacing,
+    GangPreemption,
     /// What comes beyond an account's due goes behind all else, in a cell
-    /// without [`RoomShares`].
+    /// without [`CapacityShares`].
     AccountShares,
     /// Gangs that wait get their part of their account's limit in turn.
     LimitForGangs,
@@ -36,7 +36,7 @@
     /// Overdue calls for advice are made by other nodes.
     OverdueAdvice,
     /// An executor with an unanswered order gets no starts.
-    DoubtedExecutors,
+    UnresponsiveExecutors,
     /// A data centre that falls silent gets no starts.
     SuspectedDcs,
     /// Executors are asked at once when connections seem to be silent.
@@ -69,13 +69,13 @@
     /// Larger machines are preferred to lead.
     LargerLeader,
     /// In a full cell, room goes by the accounts' shares of what runs.
-    RoomShares,
+    CapacityShares,
     /// Steps are ordered by the latest start that meets their objective.
     LatestStart,
     /// Room is kept free for urgent work that should come.
-    UrgentRoom,
+    UrgentHeadroom,
     /// Tasks that save their progress give way to urgent ones.
-    GivingWay,
+    UrgentPreemption,
     /// What can't be done while it is of use is refused at once.
     Admission,
     /// Refused clients come back when there should be room.
@@ -94,8 +94,8 @@
 const NAMES: [(Mechanism, &str); 36] = [
     (OrderByObjective, "order-by-objective"),
     (BestFit, "best-fit"),
-    (RoomForGangs, "room-for-gangs"),
-    (Displacing, "displacing"),
+    (GangReservations, "room-for-gangs"),
+    (GangPreemption, "displacing"),
     (AccountShares, "account-shares"),
     (LimitForGangs, "limit-for-gangs"),
     (TicketsAhead, "tickets-ahead"),
@@ -103,7 +103,7 @@
     (ParallelAdvice, "parallel-advice"),
     (ShortLane, "short-lane"),
     (OverdueAdvice, "overdue-advice"),
-    (DoubtedExecutors, "doubted-executors"),
+    (UnresponsiveExecutors, "doubted-executors"),
     (SuspectedDcs, "suspected-dcs"),
     (SilenceAlarm, "silence-alarm"),
     (Breaker, "breaker"),
@@ -119,10 +119,10 @@
     (ReplacedLeader, "replaced-leader"),
     (OfferedLead, "offered-lead"),
     (LargerLeader, "larger-leader"),
-    (RoomShares, "room-shares"),
+    (CapacityShares, "room-shares"),
     (LatestStart, "latest-start"),
-    (UrgentRoom, "urgent-room"),
-    (GivingWay, "giving-way"),
+    (UrgentHeadroom, "urgent-room"),
+    (UrgentPreemption, "giving-way"),
     (Admission, "admission"),
     (ReturnTimes, "return-times"),
     (Speeds, "speeds"),
@@ -158,22 +158,25 @@
 
 /// Which mechanisms are switched off.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Without(BTreeSet<Mechanism>);
+pub struct Mechanisms(BTreeSet<Mechanism>);
 
-impl Without {
+impl Mechanisms {
     /// Without these.
-    pub fn new(off: impl IntoIterator<Item = Mechanism>) -> Without {
-        Without(off.into_iter().collect())
+    pub fn all_except(off: impl IntoIterator<Item = Mechanism>) -> Mechanisms {
+        Mechanisms(off.into_iter().collect())
     }
 
     /// Without these as well.
-    pub fn and(mut self, off: impl IntoIterator<Item = Mechanism>) -> Without {
+    pub fn except(
+        mut self,
+        off: impl IntoIterator<Item = Mechanism>,
+    ) -> Mechanisms {
         self.0.extend(off);
         self
     }
 
     /// Whether a mechanism is on.
-    pub fn has(&self, mechanism: Mechanism) -> bool {
+    pub fn enabled(&self, mechanism: Mechanism) -> bool {
         !self.0.contains(&mechanism)
     }
 }
--- a/puffinknot-core/src/jobs/message.rs
+++ b/puffinknot-core/src/jobs/message.rs
@@ -6,8 +6,8 @@
 
 use crate::ids::{Millis, Revision};
 use crate::jobs::accounts::Caller;
+use crate::jobs::crash_evidence::RunLoss;
 use crate::jobs::executor::ExecutorInfo;
-use crate::jobs::losses::Loss;
 use crate::jobs::model::{Job, JobId, JobState, StepKey, TaskKey};
 
 /// A request of a client, numbered by whoever runs the scheduler.
@@ -106,7 +106,7 @@
 
 /// What an executor says is running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunRow {
+pub struct RunReport {
     /// The task.
     pub task: TaskKey,
     /// Which run of it.
@@ -139,7 +139,7 @@
 
 /// What an executor says has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndRow {
+pub struct EndReport {
     /// The number of this end on the executor.
     pub number: u64,
     /// The task.
@@ -154,15 +154,15 @@
 
 /// An executor's account of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HoldAnswer {
+pub struct ExecutorReport {
     /// Which life of it has answered, see [`ExecutorInfo::born`].
     pub born: Option<u64>,
     /// Its clock.
     pub clock: Millis,
     /// What runs.
-    pub running: Vec<RunRow>,
+    pub running: Vec<RunReport>,
     /// What has ended and was not acknowledged.
-    pub ended: Vec<EndRow>,
+    pub ended: Vec<EndReport>,
     /// There may be more ends than are listed.
     pub more_ended: bool,
 }
@@ -194,7 +194,7 @@
 
 /// An executor that may run a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AdviceRow {
+pub struct AdvisedExecutor {
     /// The executor.
     pub executor: String,
     /// The ticket to show.
@@ -231,7 +231,7 @@
     /// It changes its pool.
     Moving,
     /// It is down for its upkeep.
-    Upkeep,
+    Maintenance,
     /// It is down.
     Down,
     /// In a state that is not known here.
@@ -240,7 +240,7 @@
 
 /// A wave of upkeep.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WaveInfo {
+pub struct MaintenanceWave {
     /// Its number.
     pub wave: u64,
     /// The machines.
@@ -253,7 +253,7 @@
 
 /// Why a call for upkeep was not carried out, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UpkeepFailure {
+pub enum MaintenanceFailure {
     /// Somebody else orders this machine.
     Fenced,
     /// Not now.
@@ -268,20 +268,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The operators want a wave of upkeep.
-    Wave(WaveInfo),
+    Wave(MaintenanceWave),
     /// The machines, or nothing if there was no answer.
     Machines(Option<Vec<MachineInfo>>),
     /// A call for upkeep was answered.
-    UpkeepAnswered {
+    MaintenanceAnswered {
         /// The wave.
         wave: u64,
         /// The machine.
         machine: String,
         /// Whether it was carried out.
-        answer: Result<(), UpkeepFailure>,
+        answer: Result<(), MaintenanceFailure>,
     },
     /// An executor answered an order on pace.
-    Paced {
+    ThrottleAnswered {
         /// The executor.
         executor: ExecutorIndex,
         /// Whether it was carried out.
@@ -305,16 +305,16 @@
     /// All entries of executors have been told.
     EntriesRead,
     /// An executor answered a hold.
-    Held {
+    RenewalAnswered {
         /// The executor.
         executor: ExecutorIndex,
         /// When the hold was sent.
         sent_at: Millis,
         /// Its account, or why there is none.
-        answer: Result<HoldAnswer, OrderFailure>,
+        answer: Result<ExecutorReport, OrderFailure>,
     },
     /// An executor answered a start.
-    Started {
+    StartAnswered {
         /// The executor.
         executor: ExecutorIndex,
         /// The task.
@@ -326,7 +326,7 @@
         answer: Result<Option<Millis>, OrderFailure>,
     },
     /// An executor answered a stop.
-    Stopped {
+    StopAnswered {
         /// The executor.
         executor: ExecutorIndex,
         /// The task.
@@ -341,7 +341,7 @@
         /// The call.
         call: CallId,
         /// The executors that may run the step.
-        answer: Result<Vec<AdviceRow>, AdviceFailure>,
+        answer: Result<Vec<AdvisedExecutor>, AdviceFailure>,
     },
     /// The nodes that can ask for advice.
     Advisors(Vec<String>),
@@ -393,7 +393,7 @@
     /// Write these changes, all or none.
     Commit(Vec<Change>),
     /// Extend the lease of an executor and ask for its account.
-    Hold {
+    RenewLease {
         /// The executor.
         executor: ExecutorIndex,
         /// When this was decided; to be given back with the answer.
@@ -434,7 +434,7 @@
         run: u64,
     },
     /// Let a run work at this share of the time.
-    Pace {
+    Throttle {
         /// The executor.
         executor: ExecutorIndex,
         /// The task.
@@ -447,7 +447,7 @@
     /// List the machines.
     ListMachines,
     /// Take a machine down for its upkeep.
-    Upkeep {
+    StartMaintenance {
         /// The wave.
         wave: u64,
         /// The machine.
@@ -472,7 +472,7 @@
         executors: Vec<String>,
     },
     /// An executor has seen a higher token: this node no longer leads.
-    Deposed,
+    Superseded,
     /// The end of a job is written; for the logs.
     JobEnded {
         /// The job.
@@ -509,7 +509,7 @@
         over_share: bool,
     },
     /// Tasks give way to a gang or to urgent tasks; for the logs.
-    Displaced {
+    Preempted {
         /// The gang, or the urgent step.
         step: StepKey,
         /// How many.
@@ -544,7 +544,7 @@
     },
     /// Runs are stopped on an executor that is about to leave, before they die
     /// with it; for the logs.
-    Cleared {
+    RunsEvicted {
         /// The executor.
         executor: String,
         /// How much longer it surely stays, in milliseconds.
@@ -553,7 +553,7 @@
         runs: u32,
     },
     /// Everything that a predecessor ordered is known; for the logs.
-    Settled {
+    TakeoverComplete {
         /// Executors that did not answer in time.
         unseen: u32,
     },
@@ -576,7 +576,7 @@
         /// Which life of it.
         born: Option<u64>,
         /// By what.
-        why: LifeOver,
+        why: IncarnationEnd,
         /// The runs that are given up with it.
         runs: u32,
         /// Whether the store lists it.
@@ -598,7 +598,7 @@
         /// The run.
         run: u64,
         /// By what.
-        why: LifeOver,
+        why: IncarnationEnd,
         /// How long after its order the executor first missed one, in
         /// milliseconds: it can't have run for longer when that crashed.
         ran: Millis,
@@ -613,10 +613,10 @@
         /// The executor.
         executor: String,
         /// How its run there was lost.
-        loss: Loss,
+        loss: RunLoss,
         /// Its runs that were lost so by now.
         runs: u32,
-        /// What that weighs, see [`crate::jobs::losses`].
+        /// What that weighs, see [`crate::jobs::crash_evidence`].
         weight: u32,
         /// How often executors were taken to crash by something else, in
         /// crashes a second and executor.
@@ -651,7 +651,7 @@
 /// By what a leader takes a life of an executor, or what runs there, for
 /// over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeOver {
+pub enum IncarnationEnd {
     /// Another life has answered at its address.
     AnotherAnswers,
     /// The machine on which it was shown is not up any more, or another life
@@ -666,7 +666,7 @@
 
 /// What was written by a revision of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct StoredValue {
     /// The name.
     pub name: String,
     /// The value.
--- a/puffinknot-core/src/jobs/mod.rs
+++ b/puffinknot-core/src/jobs/mod.rs
@@ -20,33 +20,34 @@
 */
 
 pub mod accounts;
-pub mod age;
 pub mod backlog;
+pub mod circuit_breaker;
 pub mod cordon;
+pub mod crash_evidence;
 pub mod crash_rate;
 pub mod executor;
 mod executors;
-pub mod fair;
+pub mod fair_share;
 pub mod headroom;
-pub mod health;
-pub mod losses;
 pub mod mechanism;
 pub mod message;
 pub mod model;
 pub mod policy;
 pub mod record;
+pub mod report_age;
 pub mod scheduler;
 pub mod speed;
 
 pub use self::accounts::{Account, Caller, KeyDigest, KeyRing};
 pub use self::cordon::{Cordon, CordonSource, Cordons};
+pub use self::crash_evidence::RunLoss;
 pub use self::executor::ExecutorInfo;
-pub use self::losses::Loss;
-pub use self::mechanism::{Mechanism, Without};
+pub use self::mechanism::{Mechanism, Mechanisms};
 pub use self::message::{
-    Action, AdviceFailure, AdviceRow, Change, EndKind, EndRow, Event,
-    HoldAnswer, LifeOver, MachineInfo, MachineState, OrderFailure, Outcome,
-    Request, RequestId, RunRow, UpkeepFailure, WaveInfo,
+    Action, AdviceFailure, AdvisedExecutor, Change, EndKind, EndReport, Event,
+    ExecutorReport, IncarnationEnd, MachineInfo, MachineState,
+    MaintenanceFailure, MaintenanceWave, OrderFailure, Outcome, Request,
+    RequestId, RunReport,
 };
 pub use self::model::{Job, JobId, JobState, Repeats, Step, TaskKey};
 pub use self::policy::{AdviceCost, Policy, Queue, Service};
--- a/puffinknot-core/src/jobs/model.rs
+++ b/puffinknot-core/src/jobs/model.rs
@@ -179,7 +179,7 @@
 impl Step {
     /// The task that stands for another in what is counted and kept of tasks:
     /// a gang counts as its first.
-    pub fn counted(&self, index: u32) -> u32 {
+    pub fn representative(&self, index: u32) -> u32 {
         if self.gang {
             0
         } else {
@@ -188,7 +188,7 @@
     }
 
     /// What one of its tasks takes of an executor's room.
-    pub fn room(&self) -> Resources {
+    pub fn footprint(&self) -> Resources {
         if self.fills {
             Resources { cpu_millis: 0, ..self.need }
         } else {
@@ -242,7 +242,7 @@
     }
 
     /// The longest chain of estimates, in milliseconds.
-    pub fn chain(&self) -> Millis {
+    pub fn critical_path(&self) -> Millis {
         let mut ends: Vec<Millis> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let before = step.after.iter();
@@ -255,7 +255,7 @@
 
     /// The longest chain that begins with a step, in milliseconds, if each
     /// step takes as long as `time_of` says.
-    pub fn chain_from(
+    pub fn critical_path_from(
         &self,
         number: u32,
         time_of: impl Fn(u32) -> Millis,
--- a/puffinknot-core/src/jobs/record.rs
+++ b/puffinknot-core/src/jobs/record.rs
@@ -18,8 +18,8 @@
 use siphasher::sip::SipHasher13;
 
 use crate::config::Resources;
+use crate::jobs::crash_evidence::CrashEvidence;
 use crate::jobs::executor::ExecutorInfo;
-use crate::jobs::losses::Losses;
 use crate::jobs::model::{Job, JobId, JobState};
 use crate::jobs::policy::Queue;
 
@@ -41,7 +41,7 @@
 pub const MACHINES: &str = "machines";
 
 /// The machines on which executors were shown, by the executors' names.
-pub type Shown = BTreeMap<String, String>;
+pub type MachinesByExecutor = BTreeMap<String, String>;
 
 /// The name of the list of machines that have had their upkeep.
 pub const WAVES: &str = "waves";
@@ -54,7 +54,7 @@
 pub type Stopping = BTreeMap<String, Resources>;
 
 /// The machines that have had their upkeep, by wave.
-pub type FinishedUpkeep = BTreeMap<u64, BTreeSet<String>>;
+pub type FinishedMaintenance = BTreeMap<u64, BTreeSet<String>>;
 
 /// The number of a record: the tenure that wrote it, and which of its
 /// records it is. Later records have greater numbers.
@@ -85,7 +85,7 @@
     pub failed: BTreeMap<u32, Vec<u64>>,
     /// For each task that may have crashed executors, how; a gang counts as
     /// its first task.
-    pub losses: BTreeMap<u32, Losses>,
+    pub losses: BTreeMap<u32, CrashEvidence>,
 }
 
 /// The progress of one job.
@@ -163,7 +163,7 @@
 
 /// The executors that the cell has ordered, as earlier versions wrote them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Enrolled {
+pub struct LegacyEnrolled {
     /// Each of them.
     pub executors: Vec<ExecutorInfo>,
 }
--- a/puffinknot-core/src/jobs/age.rs
+++ b/puffinknot-core/src/jobs/report_age.rs
@@ -14,12 +14,12 @@
 
 /// The least that an executor's clock shows, by the readings so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LeastClock {
+pub struct ClockLowerBound {
     /// A reading, and when the clock showed no less than that.
     known: Option<(Millis, Millis)>,
 }
 
-impl LeastClock {
+impl ClockLowerBound {
     /// The least that it shows by now, if any reading is known.
     pub fn at(&self, now: Millis) -> Option<Millis> {
         let (reading, at) = self.known?;
--- a/puffinknot-core/src/jobs/scheduler/admission.rs
+++ b/puffinknot-core/src/jobs/scheduler/admission.rs
@@ -17,7 +17,7 @@
 
 use crate::config::Resources;
 use crate::ids::Millis;
-use crate::jobs::backlog::{Backlog, Room, Wait, Work};
+use crate::jobs::backlog::{Backlog, ServiceCapacity, Wait, Work};
 use crate::jobs::executor::Executor;
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{AccountIndex, Action};
@@ -122,7 +122,7 @@
     fn refusal(&self, id: JobId, live: &Live, now: Millis) -> Option<Refusal> {
         let backlog = self.admission.backlogs.get(&live.queue.service)?;
         let rank = self.rank(StepKey { job: id, time: 0, step: 0 }, now)?;
-        let room = backlog.room();
+        let room = backlog.capacity();
         let own = live.account.and_then(|account| {
             Some((account, self.part_of_room(account, room)?))
         });
@@ -140,7 +140,11 @@
 
     /// The part of the room that an account can have: its share among those
     /// that compete, or what the others don't hold if that is more.
-    fn part_of_room(&self, account: AccountIndex, room: &Room) -> Option<f64> {
+    fn part_of_room(
+        &self,
+        account: AccountIndex,
+        room: &ServiceCapacity,
+    ) -> Option<f64> {
         let share = self.share_of_room(account)?;
         let held = self.admission.held.iter();
         let others = held.filter(|(other, _)| **other != account);
@@ -200,10 +204,11 @@
     /// The room of each service: that of all executors that take work, or
     /// will again when they are heard.
     fn rooms(&self, now: Millis) -> BTreeMap<String, Backlog<Place>> {
-        let mut rooms: BTreeMap<&str, Room> = BTreeMap::new();
+        let mut rooms: BTreeMap<&str, ServiceCapacity> = BTreeMap::new();
         // What saves its progress may leave its room at any time.
-        let gives_way = self.has(Mechanism::GivingWay);
-        let stays = |e: &&Executor| e.over.is_none() && !e.info.draining;
+        let gives_way = self.has(Mechanism::UrgentPreemption);
+        let stays =
+            |e: &&Executor| e.incarnation_end.is_none() && !e.info.draining;
         for executor in self.executors.values().filter(stays) {
             let room = rooms.entry(&executor.info.service).or_default();
             room.add(&executor.info.capacity, &executor.free);
@@ -239,7 +244,7 @@
             let Some(rank) = self.rank(key, now) else { continue };
             let tasks = run.waiting.len() as u32;
             let each = self.usual_run_time(key);
-            let work = Work::of(&step.room(), tasks, each);
+            let work = Work::of(&step.footprint(), tasks, each);
             let urgent = rank.urgent().then(|| place(&rank));
             backlog.add(live.account, &live.job.queue, &work, urgent);
         }
@@ -272,7 +277,7 @@
         steps.fold(Work::default(), |sum, (number, step)| {
             let key = StepKey { job, time: 0, step: number };
             let each = self.usual_run_time(key);
-            sum.plus(&Work::of(&step.room(), step.count, each))
+            sum.plus(&Work::of(&step.footprint(), step.count, each))
         })
     }
 
@@ -334,7 +339,7 @@
         else {
             return now;
         };
-        let chain = job.chain();
+        let chain = job.critical_path();
         let met = now + chain <= first + queue.objective(chain);
         if met || for_room {
             first
--- a/puffinknot-core/src/jobs/scheduler/advise.rs
+++ b/puffinknot-core/src/jobs/scheduler/advise.rs
@@ -16,7 +16,7 @@
 use crate::jobs::executor::Executor;
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{
-    Action, AdviceFailure, AdviceRow, CallId, ExecutorIndex,
+    Action, AdviceFailure, AdvisedExecutor, CallId, ExecutorIndex,
 };
 use crate::jobs::model::{JobId, Step, StepKey};
 use crate::jobs::policy::AdviceCost;
@@ -165,7 +165,7 @@
                 executor.info.service == live.queue.service
                     && !executor.info.draining
                     && !executor.cordoned
-                    && executor.info.capacity.fits(&step.room())
+                    && executor.info.capacity.fits(&step.footprint())
                     && label.is_none_or(|label| executor.has_label(label))
                     && !known.contains(index)
             });
@@ -394,7 +394,10 @@
     /// The fewest executors that a call asks about.
     fn least_asked(&self, call: &Call) -> usize {
         let AdviceCost { call_ms, each_ms, .. } = call.cost;
-        if !call.urgent || !self.has(Mechanism::GivingWay) || each_ms <= 0.0 {
+        if !call.urgent
+            || !self.has(Mechanism::UrgentPreemption)
+            || each_ms <= 0.0
+        {
             return 0;
         }
         (call_ms * URGENT_PART / each_ms) as usize
@@ -409,7 +412,7 @@
     ) -> usize {
         let share = self.shares.get(queue).copied();
         let share = share.unwrap_or(FIRST_SHARE).max(LEAST_SHARE);
-        let whole = capacities.map(|whole| times(&whole, &step.room()));
+        let whole = capacities.map(|whole| times(&whole, &step.footprint()));
         let mut each = whole.max().unwrap_or(1).max(1);
         if step.max_per_executor > 0 {
             each = each.min(step.max_per_executor);
@@ -435,7 +438,7 @@
             .iter()
             .filter_map(|index| {
                 let executor = self.executors.get(index)?;
-                Some((times(&executor.free, &step.room()), *index))
+                Some((times(&executor.free, &step.footprint()), *index))
             })
             .collect();
         fits.sort_unstable_by_key(|&(room, index)| (u32::MAX - room, index));
@@ -449,7 +452,7 @@
     pub(super) fn advised(
         &mut self,
         id: CallId,
-        answer: Result<Vec<AdviceRow>, AdviceFailure>,
+        answer: Result<Vec<AdvisedExecutor>, AdviceFailure>,
         now: Millis,
     ) {
         let Some(mut call) = self.calls.remove(&id) else { return };
@@ -516,7 +519,7 @@
     if !executor.usable() {
         return 0;
     }
-    let count = times(&executor.free, &step.room());
+    let count = times(&executor.free, &step.footprint());
     if step.gang {
         count
     } else {
--- a/puffinknot-core/src/jobs/scheduler/behind.rs
+++ b/puffinknot-core/src/jobs/scheduler/behind.rs
@@ -7,14 +7,14 @@
 they were given, and nobody counts as silent for what may only be waiting.
 
 What the loop knows of its queue it tells by [`Scheduler::handle_received`].
-For the rest, see [`crate::jobs::age`]. A leader that has stood still learns of
+For the rest, see [`crate::jobs::report_age`]. A leader that has stood still learns of
 nothing that happened meanwhile until it has asked again.
 
 All of this only makes conclusions later.
 */
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Executor, RunOn};
+use crate::jobs::executor::{Executor, PlacedRun};
 use crate::jobs::message::{Action, Event, ExecutorIndex};
 use crate::jobs::scheduler::holds::FAILURES;
 use crate::jobs::scheduler::Scheduler;
@@ -47,13 +47,13 @@
     /// An account that was received then, before anything else of it is taken
     /// in.
     pub fn new(executor: &Executor, clock: Millis, received: Millis) -> Given {
-        let least = executor.least_clock.at(received).unwrap_or(0);
+        let least = executor.clock_bound.at(received).unwrap_or(0);
         let at = received.saturating_sub(least.saturating_sub(clock));
-        let unwatched = match (executor.given, executor.clock) {
+        let unwatched = match (executor.reported_at, executor.clock) {
             (Some(last), Some((reading, _))) => {
-                let unsent = executor.held_at.saturating_sub(last);
+                let unsent = executor.renewal_sent_at.saturating_sub(last);
                 let between = clock.saturating_sub(reading);
-                unsent.max(between.saturating_sub(executor.wait))
+                unsent.max(between.saturating_sub(executor.renewal_wait))
             }
             _ => Millis::MAX,
         };
@@ -66,18 +66,18 @@
     }
 
     /// How long a run had been there, in milliseconds.
-    pub fn ran(&self, on: &RunOn) -> Millis {
-        match on.began {
+    pub fn ran(&self, on: &PlacedRun) -> Millis {
+        match on.start_clock {
             Some(began) => self.clock.saturating_sub(began),
-            None => self.at.saturating_sub(on.since),
+            None => self.at.saturating_sub(on.placed_at),
         }
     }
 
     /// How long a run took that it tells the end of, in milliseconds, if that
     /// is known. It is by how long the run should take, so that short runs are
     /// not left out where long ones count.
-    pub fn took(&self, on: &RunOn) -> Option<Millis> {
-        let should = on.ends.saturating_sub(on.since);
+    pub fn took(&self, on: &PlacedRun) -> Option<Millis> {
+        let should = on.expected_end.saturating_sub(on.placed_at);
         let known = should >= self.unwatched.saturating_mul(WATCHED);
         known.then(|| self.ran(on))
     }
@@ -155,7 +155,7 @@
         sent_at: Millis,
         now: Millis,
     ) {
-        let known = self.executors.get(&index).map_or(0, |e| e.age);
+        let known = self.executors.get(&index).map_or(0, |e| e.report_age);
         let late = match first {
             true => now.saturating_sub(sent_at),
             false => known,
@@ -171,14 +171,14 @@
 
     /// The same of one executor.
     pub(super) fn news_until(&self, at: &Executor, now: Millis) -> Millis {
-        let own = now.saturating_sub(at.age.min(self.config.lease));
+        let own = now.saturating_sub(at.report_age.min(self.config.lease));
         own.min(self.known_until(now))
     }
 
     /// Whether an executor has left unanswered what was asked of it last, and
     /// since the leader stood still.
     pub(super) fn found_silent(&self, at: &Executor) -> bool {
-        let asked = at.missed_hold.filter(|_| at.failures >= FAILURES);
-        at.over.is_some() || asked >= Some(self.behind.resumed)
+        let asked = at.missed_renewal.filter(|_| at.failures >= FAILURES);
+        at.incarnation_end.is_some() || asked >= Some(self.behind.resumed)
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/buckets.rs
+++ b/puffinknot-core/src/jobs/scheduler/buckets.rs
@@ -56,7 +56,7 @@
     /// Whether a job that is handed in is beyond its account's due.
     pub(super) fn is_beyond_due(&mut self, job: &Job, now: Millis) -> bool {
         if !self.has(Mechanism::AccountShares)
-            || self.has(Mechanism::RoomShares)
+            || self.has(Mechanism::CapacityShares)
         {
             return false;
         }
--- a/puffinknot-core/src/jobs/scheduler/commit.rs
+++ b/puffinknot-core/src/jobs/scheduler/commit.rs
@@ -191,7 +191,7 @@
         self.commit_stopping(&mut changes, &batch, now);
         for index in std::mem::take(&mut self.commits.unnoted) {
             if let Some(executor) = self.executors.get(&index) {
-                batch.noted.insert(index, executor.taken);
+                batch.noted.insert(index, executor.received_end);
             }
         }
         let room = MAX_CHANGES.saturating_sub(changes.len());
@@ -394,9 +394,9 @@
         }
         for (index, noted) in batch.noted {
             if let Some(executor) = self.executors.get_mut(&index) {
-                if noted > executor.noted {
-                    executor.noted = noted;
-                    executor.next_hold = now;
+                if noted > executor.acknowledged_end {
+                    executor.acknowledged_end = noted;
+                    executor.next_renewal = now;
                     self.due_holds.touch(index);
                 }
             }
--- a/puffinknot-core/src/jobs/scheduler/displace.rs
+++ b/puffinknot-core/src/jobs/scheduler/displace.rs
@@ -16,7 +16,7 @@
 
 use crate::config::Resources;
 use crate::ids::Millis;
-use crate::jobs::executor::{Executor, Phase, RunOn};
+use crate::jobs::executor::{Executor, Phase, PlacedRun};
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{Action, ExecutorIndex};
 use crate::jobs::model::{Step, StepKey, TaskKey};
@@ -100,7 +100,7 @@
 
 /// How many members of a step fit into this room of one executor.
 fn fits(room: &Resources, step: &Step) -> u32 {
-    let fits = times(room, &step.room());
+    let fits = times(room, &step.footprint());
     match step.max_per_executor {
         0 => fits,
         most => fits.min(most),
@@ -171,7 +171,9 @@
         let key = waiting.key;
         let live = self.jobs.get(&key.job);
         let account = live.and_then(|live| live.account);
-        if !self.has(Mechanism::GivingWay) || self.over_urgent_share(account) {
+        if !self.has(Mechanism::UrgentPreemption)
+            || self.over_urgent_share(account)
+        {
             return false;
         }
         if self.is_displacing(key, now) && self.keeps_usable(key) {
@@ -230,7 +232,7 @@
         } else {
             "displacements"
         });
-        self.actions.push(Action::Displaced {
+        self.actions.push(Action::Preempted {
             step: key,
             tasks: victims.len() as u32,
         });
@@ -254,7 +256,7 @@
             return false;
         }
         let whole = live.deadline.saturating_sub(live.since);
-        let slack = whole.saturating_sub(live.job.chain());
+        let slack = whole.saturating_sub(live.job.critical_path());
         let latest = live.deadline.saturating_sub(self.chain_left(key));
         let unused = slack as f64 * (1.0 - SLACK_USED);
         now <= latest && now + unused as Millis >= latest
@@ -298,7 +300,7 @@
 
     /// What is free on an executor once those that stop have gone.
     fn room_to_come(&self, executor: &Executor) -> Resources {
-        if !self.has(Mechanism::GivingWay) {
+        if !self.has(Mechanism::UrgentPreemption) {
             return executor.free;
         }
         let runs = executor.runs.values();
@@ -312,7 +314,7 @@
     fn victim(
         &self,
         task: TaskKey,
-        on: &RunOn,
+        on: &PlacedRun,
         priority: u32,
         now: Millis,
     ) -> Option<Victim> {
@@ -327,7 +329,7 @@
             && !step.gang
             && !step.lasting
             && on.phase == Phase::Running
-            && on.ends > now + ENDS_SOON
+            && on.expected_end > now + ENDS_SOON
             && here == Some(run)
             && !state.gave_way.contains(&task.index);
         let rest = self.chain_left(task.step);
--- a/puffinknot-core/src/jobs/scheduler/domains.rs
+++ b/puffinknot-core/src/jobs/scheduler/domains.rs
@@ -58,9 +58,9 @@
     /// An executor has answered an order.
     pub(super) fn heard(&mut self, index: ExecutorIndex) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        executor.missed_at = None;
+        executor.unanswered_since = None;
         executor.broke_off = false;
-        if std::mem::take(&mut executor.doubted) {
+        if std::mem::take(&mut executor.unresponsive) {
             self.stale = true;
         }
         if self.domains.heard(&executor.info.dc) {
@@ -74,10 +74,10 @@
     /// there until it answers.
     pub(super) fn doubted(&mut self, index: ExecutorIndex, now: Millis) {
         let by_dc = self.has(Mechanism::SuspectedDcs);
-        let by_executor = self.has(Mechanism::DoubtedExecutors);
+        let by_executor = self.has(Mechanism::UnresponsiveExecutors);
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        executor.doubted = by_executor;
-        executor.missed_at.get_or_insert(now);
+        executor.unresponsive = by_executor;
+        executor.unanswered_since.get_or_insert(now);
         if by_dc && self.domains.doubted(&executor.info.dc, index) {
             let dc = executor.info.dc.clone();
             self.suspect_dc(&dc, true);
--- a/puffinknot-core/src/jobs/scheduler/estimate.rs
+++ b/puffinknot-core/src/jobs/scheduler/estimate.rs
@@ -4,7 +4,7 @@
 */
 
 use crate::ids::Millis;
-use crate::jobs::executor::RunOn;
+use crate::jobs::executor::PlacedRun;
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::ExecutorIndex;
 use crate::jobs::model::StepKey;
@@ -15,11 +15,11 @@
 pub(super) const OVERSTAY: Millis = 500;
 
 /// When a run should end. One that has overstayed may do so for a while.
-pub(super) fn expected_end(run: &RunOn, now: Millis) -> Millis {
-    if run.ends <= now {
+pub(super) fn expected_end(run: &PlacedRun, now: Millis) -> Millis {
+    if run.expected_end <= now {
         now + OVERSTAY
     } else {
-        run.ends
+        run.expected_end
     }
 }
 
@@ -81,7 +81,7 @@
         let live = self.jobs.get(&key.job);
         live.map_or(0, |live| {
             let time_of = |step| self.usual_run_time(StepKey { step, ..key });
-            live.job.chain_from(key.step, time_of)
+            live.job.critical_path_from(key.step, time_of)
         })
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/fit.rs
+++ b/puffinknot-core/src/jobs/scheduler/fit.rs
@@ -48,7 +48,7 @@
             return 0;
         }
         let Some(executor) = self.executors.get(&at) else { return u64::MAX };
-        let left = executor.free.minus(&step.room());
+        let left = executor.free.minus(&step.footprint());
         let far = match &step.near {
             Some(rack) if !executor.has_label(rack) => 2_000,
             _ => 0,
--- a/puffinknot-core/src/jobs/scheduler/followers.rs
+++ b/puffinknot-core/src/jobs/scheduler/followers.rs
@@ -21,8 +21,8 @@
 use std::collections::BTreeSet;
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Described, ExecutorInfo, RunOn};
-use crate::jobs::message::{ExecutorIndex, HoldAnswer, LifeOver};
+use crate::jobs::executor::{DescriptionSource, ExecutorInfo, PlacedRun};
+use crate::jobs::message::{ExecutorIndex, ExecutorReport, IncarnationEnd};
 use crate::jobs::model::TaskKey;
 use crate::jobs::scheduler::holds::RETRY;
 use crate::jobs::scheduler::Scheduler;
@@ -43,7 +43,7 @@
     pub(super) fn life_that_answers(
         &mut self,
         asked: ExecutorIndex,
-        answer: &HoldAnswer,
+        answer: &ExecutorReport,
     ) -> Answerer {
         let Some(executor) = self.executors.get(&asked) else {
             return Answerer::Known(asked);
@@ -80,17 +80,17 @@
         asked: ExecutorIndex,
         born: Option<u64>,
         sent_at: Millis,
-        answer: HoldAnswer,
+        answer: ExecutorReport,
         now: Millis,
     ) {
         let newest = self.newest_life(asked);
         let Some(known) = self.executors.get_mut(&newest) else { return };
-        known.life_doubted = Some(now);
+        known.incarnation_unsure_since = Some(now);
         let next = match known.first_heard {
             None => self.rename(newest, born),
             // A hold that may name ends of the former life is still open: it
             // has to be over before anything can end on the next one.
-            Some(_) if known.holding => return self.ask_again(newest, now),
+            Some(_) if known.renewing => return self.ask_again(newest, now),
             Some(heard) if heard < sent_at => self.follow(newest, born, now),
             Some(_) => return self.ask_again(newest, now),
         };
@@ -117,12 +117,12 @@
             return index;
         };
         executor.info.born = born;
-        executor.described = Described::Not;
+        executor.description = DescriptionSource::Unknown;
         executor.enrolled = false;
         executor.speed = Speed::default();
         self.commits.enrol(&executor.info.id);
         if let Some(info) = executor.take_entry_of(born) {
-            executor.described = Described::ByEntry;
+            executor.description = DescriptionSource::ByEntry;
             self.describe(index, info);
         }
         self.count("executors_reborn");
@@ -138,26 +138,26 @@
         now: Millis,
     ) -> ExecutorIndex {
         self.count("executors_reborn");
-        self.executor_over(former, LifeOver::AnotherAnswers, now);
+        self.executor_over(former, IncarnationEnd::AnotherAnswers, now);
         let Some(before) = self.executors.get_mut(&former) else {
             return former;
         };
         // The list of machines may have told it before; but unlike that, this
         // is certain.
-        let at = before.over.map_or(now, |(_, at)| at);
-        before.over = Some((LifeOver::AnotherAnswers, at));
+        let at = before.incarnation_end.map_or(now, |(_, at)| at);
+        before.incarnation_end = Some((IncarnationEnd::AnotherAnswers, at));
         let (info, described) = match before.take_entry_of(born) {
-            Some(info) => (info, Described::ByEntry),
+            Some(info) => (info, DescriptionSource::ByEntry),
             None => {
                 let info = ExecutorInfo { born, ..before.info.clone() };
-                (info, Described::Not)
+                (info, DescriptionSource::Unknown)
             }
         };
         let (machine, listed) = (before.machine.clone(), before.listed);
         self.commits.enrol(&info.id);
         let next = self.enrol(info, now);
         if let Some(executor) = self.executors.get_mut(&next) {
-            executor.described = described;
+            executor.description = described;
             executor.machine = machine;
             executor.listed = listed;
         }
@@ -175,7 +175,7 @@
     ) {
         let Some(before) = self.executors.get(&former) else { return };
         let open = before.runs.iter().filter(|(_, on)| !on.listed);
-        let open: Vec<(TaskKey, RunOn)> =
+        let open: Vec<(TaskKey, PlacedRun)> =
             open.map(|(task, on)| (*task, on.clone())).collect();
         for (task, on) in open {
             self.remove_run(former, &task);
--- a/puffinknot-core/src/jobs/scheduler/gangs.rs
+++ b/puffinknot-core/src/jobs/scheduler/gangs.rs
@@ -115,7 +115,7 @@
         self.note_full(key);
         self.unreserve(key);
         let waiting = Waiting { key, step: &step, count: step.count };
-        let displaces = keep && self.has(Mechanism::Displacing);
+        let displaces = keep && self.has(Mechanism::GangPreemption);
         if displaces && self.displace(&waiting, &open, now)
             || urgent && self.make_way(&waiting, &open, now)
         {
@@ -150,7 +150,7 @@
         if special || live.queue.advice.is_none() {
             return false;
         }
-        let room = step.room();
+        let room = step.footprint();
         let mut left = u64::from(step.count);
         let good = state.advice.good.keys();
         for executor in good.filter_map(|at| self.executors.get(at)) {
@@ -195,7 +195,7 @@
     ) -> Vec<Room> {
         let rooms = executors.iter().filter_map(|&at| {
             let free = self.executors.get(&at)?.free_for(&key);
-            let mut count = times(&free, &step.room());
+            let mut count = times(&free, &step.footprint());
             if step.max_per_executor > 0 {
                 count = count.min(step.max_per_executor);
             }
@@ -248,7 +248,7 @@
             return None;
         }
         let fits = rooms.iter().filter_map(|&Room { at, free, count }| {
-            let used = step.room().times(count.min(step.count));
+            let used = step.footprint().times(count.min(step.count));
             let executor = self.executors.get(&at)?;
             let left = rest(&free.minus(&used), &executor.info.capacity);
             Some(((again(at), !holds(at), left), at, count))
@@ -296,7 +296,7 @@
         self.unreserve(key);
         for (at, count) in plan {
             if let Some(executor) = self.executors.get_mut(at) {
-                executor.reserve(key, step.room().times(*count));
+                executor.reserve(key, step.footprint().times(*count));
             }
         }
         let at = plan.iter().map(|(at, _)| *at);
@@ -323,8 +323,8 @@
         }
         let Some(executor) = self.executors.get_mut(&at) else { return };
         let Some(kept) = executor.reserved.get(&key).copied() else { return };
-        let left = kept.minus(&step.room());
-        if left.fits(&step.room()) {
+        let left = kept.minus(&step.footprint());
+        if left.fits(&step.footprint()) {
             executor.reserve(key, left);
         } else {
             executor.unreserve(&key);
@@ -348,7 +348,7 @@
     ) -> bool {
         let known = executors.iter().filter_map(|at| self.executors.get(at));
         let room = known.map(|executor| {
-            let count = times(&executor.info.capacity, &step.room());
+            let count = times(&executor.info.capacity, &step.footprint());
             match step.max_per_executor {
                 0 => u64::from(count),
                 most => u64::from(count.min(most)),
@@ -385,7 +385,7 @@
         ends.sort_unstable_by_key(|(end, at, _)| (*end, *at));
         let mut total: u64 = free
             .values()
-            .map(|room| u64::from(times(room, &step.room())))
+            .map(|room| u64::from(times(room, &step.footprint())))
             .sum();
         let mut when = now;
         for (end, at, need) in ends {
@@ -393,9 +393,9 @@
                 break;
             }
             let Some(room) = free.get_mut(&at) else { continue };
-            total -= u64::from(times(room, &step.room()));
+            total -= u64::from(times(room, &step.footprint()));
             *room = room.plus(&need);
-            total += u64::from(times(room, &step.room()));
+            total += u64::from(times(room, &step.footprint()));
             when = end;
         }
         if total < u64::from(count) {
@@ -403,7 +403,7 @@
         }
         let mut most: Vec<(u32, ExecutorIndex)> = free
             .iter()
-            .map(|(at, room)| (times(room, &step.room()), *at))
+            .map(|(at, room)| (times(room, &step.footprint()), *at))
             .filter(|(count, _)| *count > 0)
             .collect();
         most.sort_unstable_by_key(|&(count, at)| (u32::MAX - count, at));
--- a/puffinknot-core/src/jobs/scheduler/holds.rs
+++ b/puffinknot-core/src/jobs/scheduler/holds.rs
@@ -4,11 +4,11 @@
 
 use crate::ids::Millis;
 use crate::jobs::executor::{
-    Charge, Contact, Executor, Phase, RunOn, DRIFT, GRAIN,
+    Charge, Executor, Liveness, Phase, PlacedRun, DRIFT, GRAIN,
 };
 use crate::jobs::message::{
-    AccountIndex, Action, EndRow, ExecutorIndex, HoldAnswer, LifeOver,
-    OrderFailure, RunRow,
+    AccountIndex, Action, EndReport, ExecutorIndex, ExecutorReport,
+    IncarnationEnd, OrderFailure, RunReport,
 };
 use crate::jobs::model::{JobId, TaskKey};
 use crate::jobs::scheduler::behind::Given;
@@ -54,21 +54,21 @@
         let lease = self.config.lease;
         let close = self.watched_closely(index);
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        if executor.over.is_some() {
+        if executor.incarnation_end.is_some() {
             return;
         }
-        if executor.holding {
+        if executor.renewing {
             // An answer is told from that to the main hold by its time.
-            let probes = executor.next_probe.max(executor.held_at + 1);
+            let probes = executor.next_probe.max(executor.renewal_sent_at + 1);
             if executor.probe && probes <= now {
                 executor.probe = false;
-                self.actions.push(Action::Hold {
+                self.actions.push(Action::RenewLease {
                     executor: index,
                     sent_at: now,
                     due: None,
                     // Nothing tells which life answers beside the hold.
                     last_seen: 0,
-                    known: executor.taken,
+                    known: executor.received_end,
                     wait: 0,
                 });
             } else if executor.probe {
@@ -76,19 +76,21 @@
             }
             return;
         }
-        if executor.next_hold > now {
-            return self.due_holds.at(executor.next_hold, index);
+        if executor.next_renewal > now {
+            return self.due_holds.at(executor.next_renewal, index);
         }
         // What is reported already would be reported again at once.
-        let fresh = executor.noted == executor.taken;
-        let settled = executor.contact == Contact::Ready;
+        let fresh = executor.acknowledged_end == executor.received_end;
+        let settled = executor.liveness == Liveness::Ready;
         let asked = executor.probe && executor.next_probe <= now;
-        let sure = executor.life_doubted.is_none();
+        let sure = executor.incarnation_unsure_since.is_none();
         let patient = fresh && settled && sure && !asked;
         let longest = if close { CLOSE } else { WAIT };
         let wait = if patient { longest } else { 0 };
-        if !fresh && !idle && now < executor.held_at + UNWRITTEN {
-            return self.due_holds.at(executor.held_at + UNWRITTEN, index);
+        if !fresh && !idle && now < executor.renewal_sent_at + UNWRITTEN {
+            return self
+                .due_holds
+                .at(executor.renewal_sent_at + UNWRITTEN, index);
         }
         // An executor that did not answer gets no more time, or what runs
         // there could never be given up.
@@ -98,21 +100,23 @@
         if due.is_some() {
             executor.expiry = expiry(now, lease);
         }
-        executor.holding = true;
+        executor.renewing = true;
         executor.probe &= !asked;
         if executor.probe {
             self.due_holds.at(executor.next_probe, index);
         }
-        executor.held_at = now;
-        executor.wait = wait;
-        executor.withheld = executor.noted > 0 && !may_note(executor, now);
-        let last_seen = if executor.withheld { 0 } else { executor.noted };
-        self.actions.push(Action::Hold {
+        executor.renewal_sent_at = now;
+        executor.renewal_wait = wait;
+        executor.withheld =
+            executor.acknowledged_end > 0 && !may_note(executor, now);
+        let last_seen =
+            if executor.withheld { 0 } else { executor.acknowledged_end };
+        self.actions.push(Action::RenewLease {
             executor: index,
             sent_at: now,
             due,
             last_seen,
-            known: executor.taken,
+            known: executor.received_end,
             wait,
         });
     }
@@ -128,14 +132,14 @@
         &mut self,
         index: ExecutorIndex,
         sent_at: Millis,
-        answer: Result<HoldAnswer, OrderFailure>,
+        answer: Result<ExecutorReport, OrderFailure>,
         now: Millis,
     ) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         self.due_holds.touch(index);
-        let main = executor.held_at == sent_at;
+        let main = executor.renewal_sent_at == sent_at;
         if main {
-            executor.holding = false;
+            executor.renewing = false;
         }
         match answer {
             Ok(answer) => match self.life_that_answers(index, &answer) {
@@ -159,24 +163,26 @@
     /// An executor has not answered a hold.
     fn unanswered(&mut self, index: ExecutorIndex, main: bool, now: Millis) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        executor.life_doubted = Some(now);
+        executor.incarnation_unsure_since = Some(now);
         if !main {
-            executor.missed_at.get_or_insert(now);
+            executor.unanswered_since.get_or_insert(now);
             executor.probe = true;
             executor.next_probe = now + RETRY;
             return;
         }
         self.order_unanswered(now);
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        executor.missed_hold = Some(executor.held_at);
+        executor.missed_renewal = Some(executor.renewal_sent_at);
         // An executor that is silent is missed when the wait is over.
-        if executor.failures == 0 && now < executor.held_at + executor.wait {
+        if executor.failures == 0
+            && now < executor.renewal_sent_at + executor.renewal_wait
+        {
             executor.broke_off = true;
-            executor.missed_at = Some(now);
+            executor.unanswered_since = Some(now);
         }
         let doublings = executor.failures.min(RETRY_DOUBLINGS);
         executor.failures += 1;
-        executor.next_hold = now + (RETRY << doublings);
+        executor.next_renewal = now + (RETRY << doublings);
         let silent = executor.failures >= FAILURES;
         if silent && executor.falls_silent(now) {
             self.count("executors_silent");
@@ -189,7 +195,7 @@
         &mut self,
         index: ExecutorIndex,
         sent_at: Millis,
-        answer: HoldAnswer,
+        answer: ExecutorReport,
         now: Millis,
     ) {
         let pause = self.idle_pause();
@@ -197,8 +203,11 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         let first = executor.first_heard.is_none();
         executor.first_heard.get_or_insert(now);
-        if executor.life_doubted.is_some_and(|since| since < sent_at) {
-            executor.life_doubted = None;
+        if executor
+            .incarnation_unsure_since
+            .is_some_and(|since| since < sent_at)
+        {
+            executor.incarnation_unsure_since = None;
         }
         if first {
             // Its answer shows no end of the lease that a predecessor gave
@@ -215,9 +224,9 @@
         let received = self.behind.received();
         let Some(executor) = self.executors.get_mut(&index) else { return };
         let given = Given::new(executor, answer.clock, received);
-        executor.age = now.saturating_sub(given.at());
-        executor.least_clock.take(answer.clock, received);
-        executor.missed_hold = None;
+        executor.report_age = now.saturating_sub(given.at());
+        executor.clock_bound.take(answer.clock, received);
+        executor.missed_renewal = None;
         // An answer that was held up may be older than one that came before
         // it. It still tells of ends, which are numbered, but not of what
         // runs: a task may have been started again since.
@@ -226,34 +235,37 @@
         if !outdated {
             executor.clock = Some((answer.clock, received));
             executor.clock_asked = sent_at;
-            executor.given = executor.given.max(Some(given.at()));
+            executor.reported_at = executor.reported_at.max(Some(given.at()));
         }
         self.note_late(index, first, sent_at, now);
         let Some(executor) = self.executors.get_mut(&index) else { return };
         if executor.failures > 0 {
             // Ends there are heard of late.
             for run in executor.runs.values_mut() {
-                run.tells = false;
+                run.measures_speed = false;
             }
         }
         executor.failures = 0;
-        if matches!(executor.over, Some((LifeOver::LeftMachine, _))) {
-            executor.over = None;
+        if matches!(
+            executor.incarnation_end,
+            Some((IncarnationEnd::LeftMachine, _))
+        ) {
+            executor.incarnation_end = None;
         }
-        if executor.over.is_none() {
-            executor.contact = Contact::Ready;
+        if executor.incarnation_end.is_none() {
+            executor.liveness = Liveness::Ready;
             self.hidden.remove(&index);
         }
-        let fresh: Vec<EndRow> = answer
+        let fresh: Vec<EndReport> = answer
             .ended
             .into_iter()
-            .filter(|end| end.number > executor.taken)
+            .filter(|end| end.number > executor.received_end)
             .collect();
-        if !executor.holding {
+        if !executor.renewing {
             let idle = executor.runs.is_empty() && answer.running.is_empty();
-            let reported = executor.noted == executor.taken;
+            let reported = executor.acknowledged_end == executor.received_end;
             let rest = idle && reported && fresh.is_empty();
-            executor.next_hold = now
+            executor.next_renewal = now
                 + match (rest, executor.withheld) {
                     (true, _) => pause,
                     (_, true) => WITHHELD,
@@ -269,7 +281,7 @@
         }
         for end in fresh {
             if let Some(executor) = self.executors.get_mut(&index) {
-                executor.taken = executor.taken.max(end.number);
+                executor.received_end = executor.received_end.max(end.number);
             }
             self.run_ended(index, end, &given, now);
         }
@@ -294,7 +306,7 @@
     fn find_missing(
         &mut self,
         index: ExecutorIndex,
-        running: &[RunRow],
+        running: &[RunReport],
         sent_at: Millis,
     ) {
         let Some(executor) = self.executors.get(&index) else { return };
@@ -309,7 +321,8 @@
         let missing: Vec<(TaskKey, u64)> =
             missing.map(|(task, on)| (*task, on.run)).collect();
         let absent = executor.runs.iter().filter(|(task, on)| {
-            let since = on.unsure.filter(|_| on.phase == Phase::Starting);
+            let since =
+                on.start_unsure_since.filter(|_| on.phase == Phase::Starting);
             // It is stopped by that, whether it arrives yet or not.
             since.is_some_and(|since| since <= sent_at)
                 && !listed(task, on.run)
@@ -326,13 +339,18 @@
     }
 
     /// An executor lists a run.
-    fn run_seen(&mut self, index: ExecutorIndex, row: &RunRow, now: Millis) {
+    fn run_seen(
+        &mut self,
+        index: ExecutorIndex,
+        row: &RunReport,
+        now: Millis,
+    ) {
         self.begun(row.task);
         let Some(executor) = self.executors.get_mut(&index) else { return };
         if let Some(on) = executor.runs.get_mut(&row.task) {
             if on.run == row.run {
                 on.listed = true;
-                on.begun = true;
+                on.start_confirmed = true;
                 if on.phase == Phase::Starting {
                     on.phase = Phase::Running;
                     on.confirmed = now;
@@ -344,7 +362,7 @@
     }
 
     /// Takes over a run that this scheduler has not started, or stops it.
-    fn adopt(&mut self, index: ExecutorIndex, row: &RunRow, now: Millis) {
+    fn adopt(&mut self, index: ExecutorIndex, row: &RunReport, now: Millis) {
         let key = row.task.step;
         let mut wanted = false;
         let mut need = None;
@@ -354,7 +372,7 @@
         let mut urgent = false;
         if let Some(live) = self.jobs.get_mut(&key.job) {
             if let Some(step) = live.job.steps.get(key.step as usize) {
-                need = Some(step.room());
+                need = Some(step.footprint());
                 charge.amount = step.need;
                 charge.urgent = live.queue.priority == 0;
             }
@@ -375,21 +393,21 @@
             // What it needs is not known any more.
             charge.amount = capacity;
         }
-        let on = RunOn {
+        let on = PlacedRun {
             run: row.run,
             need: need.unwrap_or(capacity),
             charge,
             urgent,
             phase: Phase::Running,
-            since: now,
+            placed_at: now,
             stop_again: 0,
             confirmed: now,
-            unsure: None,
-            begun: true,
-            began: None,
+            start_unsure_since: None,
+            start_confirmed: true,
+            start_clock: None,
             listed: true,
-            ends: now + run_time / 2,
-            tells: false,
+            expected_end: now + run_time / 2,
+            measures_speed: false,
             // It has been there for some time.
             window: 0,
         };
@@ -415,7 +433,7 @@
     fn run_ended(
         &mut self,
         index: ExecutorIndex,
-        end: EndRow,
+        end: EndReport,
         given: &Given,
         now: Millis,
     ) {
@@ -427,7 +445,7 @@
 
     pub(super) fn deposed(&mut self) {
         self.count("deposed");
-        self.actions.push(Action::Deposed);
+        self.actions.push(Action::Superseded);
     }
 }
 
@@ -436,8 +454,10 @@
 /// if it is told the number of a former life's: so not while another life may
 /// answer, nor while a start is open that may have been carried out by it.
 fn may_note(executor: &Executor, now: Millis) -> bool {
-    let open = |on: &RunOn| on.phase == Phase::Starting && on.since < now;
-    executor.life_doubted.is_none() && !executor.runs.values().any(open)
+    let open =
+        |on: &PlacedRun| on.phase == Phase::Starting && on.placed_at < now;
+    executor.incarnation_unsure_since.is_none()
+        && !executor.runs.values().any(open)
 }
 
 /// When a lease that is given now has certainly run out.
--- a/puffinknot-core/src/jobs/scheduler/in_flight.rs
+++ b/puffinknot-core/src/jobs/scheduler/in_flight.rs
@@ -10,8 +10,8 @@
 */
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Contact, Phase, RunOn};
-use crate::jobs::message::{ExecutorIndex, LifeOver};
+use crate::jobs::executor::{Liveness, Phase, PlacedRun};
+use crate::jobs::message::{ExecutorIndex, IncarnationEnd};
 use crate::jobs::model::TaskKey;
 use crate::jobs::scheduler::Scheduler;
 
@@ -29,13 +29,13 @@
     /// Its number.
     from: ExecutorIndex,
     task: TaskKey,
-    on: RunOn,
+    on: PlacedRun,
 }
 
 impl InFlight {
     /// Whether it may still come.
     fn may_come(&self, now: Millis) -> bool {
-        now < self.on.since + LATEST
+        now < self.on.placed_at + LATEST
     }
 }
 
@@ -45,16 +45,16 @@
     pub(super) fn leave_in_flight(
         &mut self,
         index: ExecutorIndex,
-        why: LifeOver,
+        why: IncarnationEnd,
         now: Millis,
     ) {
         // A follower under another name that is heard already refuses them,
         // and nothing would end the wait but its time.
-        if why != LifeOver::LeftMachine || self.has_follower(index) {
+        if why != IncarnationEnd::LeftMachine || self.has_follower(index) {
             return;
         }
         let Some(executor) = self.executors.get(&index) else { return };
-        let open = executor.runs.iter().filter(|(_, on)| !on.begun);
+        let open = executor.runs.iter().filter(|(_, on)| !on.start_confirmed);
         let orders = open.map(|(task, on)| InFlight {
             name: executor.info.id.clone(),
             address: executor.info.address.clone(),
@@ -75,7 +75,7 @@
     fn has_follower(&self, index: ExecutorIndex) -> bool {
         let Some(former) = self.executors.get(&index) else { return false };
         self.lives_at(&former.info.address).any(|(other, executor)| {
-            other != index && executor.contact == Contact::Ready
+            other != index && executor.liveness == Liveness::Ready
         })
     }
 
@@ -120,18 +120,18 @@
         former: ExecutorIndex,
         next: ExecutorIndex,
         task: TaskKey,
-        on: RunOn,
+        on: PlacedRun,
         now: Millis,
     ) {
         let run = on.run;
         let wanted = self.move_place(task, run, former, next)
             && !matches!(on.phase, Phase::Stopping(_));
-        let on = RunOn {
+        let on = PlacedRun {
             phase: Phase::Starting,
-            unsure: Some(now),
+            start_unsure_since: Some(now),
             confirmed: 0,
-            tells: false,
-            began: None,
+            measures_speed: false,
+            start_clock: None,
             ..on
         };
         self.put_run(next, task, on);
--- a/puffinknot-core/src/jobs/scheduler/judge.rs
+++ b/puffinknot-core/src/jobs/scheduler/judge.rs
@@ -1,10 +1,10 @@
 /*!
-Judges executors by how the runs there end, see [`crate::jobs::health`].
+Judges executors by how the runs there end, see [`crate::jobs::circuit_breaker`].
 */
 
 use crate::ids::Millis;
 use crate::jobs::mechanism::Mechanism;
-use crate::jobs::message::{EndKind, EndRow, ExecutorIndex};
+use crate::jobs::message::{EndKind, EndReport, ExecutorIndex};
 use crate::jobs::model::TaskKey;
 use crate::jobs::scheduler::Scheduler;
 
@@ -17,7 +17,7 @@
     pub(super) fn judge(
         &mut self,
         index: ExecutorIndex,
-        end: &EndRow,
+        end: &EndReport,
         now: Millis,
     ) {
         if !self.has(Mechanism::Breaker) {
@@ -26,7 +26,7 @@
         match end.how {
             EndKind::Done => {
                 if let Some(executor) = self.executors.get_mut(&index) {
-                    executor.health.done();
+                    executor.breaker.done();
                 }
             }
             EndKind::Failed if !self.fails_by_itself(end.task) => {
@@ -34,7 +34,7 @@
                     return;
                 }
                 let executor = self.executors.get_mut(&index);
-                if executor.is_some_and(|e| e.health.failed(now)) {
+                if executor.is_some_and(|e| e.breaker.failed(now)) {
                     self.count("executors_tripped");
                 }
             }
@@ -49,7 +49,7 @@
         let place = (task.step.time, task.step.step);
         let Some(state) = live.steps.get(&place) else { return true };
         let step = &live.job.steps[task.step.step as usize];
-        let counted = step.counted(task.index);
+        let counted = step.representative(task.index);
         step.lasting || state.failed.contains_key(&counted)
     }
 
@@ -63,8 +63,8 @@
         let (mut all, mut tripped) = (0, 0);
         for executor in of_service {
             all += 1;
-            tripped += usize::from(executor.health.tripped());
+            tripped += usize::from(executor.breaker.tripped());
         }
-        executor.health.tripped() || (tripped + 1) * MOST_TRIPPED <= all
+        executor.breaker.tripped() || (tripped + 1) * MOST_TRIPPED <= all
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/leaving.rs
+++ b/puffinknot-core/src/jobs/scheduler/leaving.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Phase, RunOn};
+use crate::jobs::executor::{Phase, PlacedRun};
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{Action, ExecutorIndex};
 use crate::jobs::model::{Step, TaskKey};
@@ -59,7 +59,9 @@
             self.notices.0.iter().map(|(at, leaves)| (*at, *leaves)).collect();
         for (index, leaves) in notices {
             let executor = self.executors.get(&index);
-            let Some(executor) = executor.filter(|e| e.over.is_none()) else {
+            let Some(executor) =
+                executor.filter(|e| e.incarnation_end.is_none())
+            else {
                 self.notices.0.remove(&index);
                 continue;
             };
@@ -72,7 +74,7 @@
             if doomed.is_empty() {
                 continue;
             }
-            self.actions.push(Action::Cleared {
+            self.actions.push(Action::RunsEvicted {
                 executor: id,
                 left: leaves.saturating_sub(now),
                 runs: doomed.len() as u32,
@@ -87,7 +89,7 @@
     fn is_doomed(
         &self,
         task: TaskKey,
-        on: &RunOn,
+        on: &PlacedRun,
         leaves: Millis,
         now: Millis,
     ) -> bool {
--- a/puffinknot-core/src/jobs/scheduler/ledger.rs
+++ b/puffinknot-core/src/jobs/scheduler/ledger.rs
@@ -14,7 +14,7 @@
 use crate::config::Resources;
 use crate::ids::Millis;
 use crate::jobs::accounts;
-use crate::jobs::executor::{Charge, RunOn};
+use crate::jobs::executor::{Charge, PlacedRun};
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{AccountIndex, ExecutorIndex};
 use crate::jobs::model::{JobId, StepKey, TaskKey};
@@ -110,23 +110,28 @@
         self.entries.get_mut(charge.account? as usize)
     }
 
-    fn take(&mut self, at: ExecutorIndex, task: TaskKey, run: &RunOn) {
+    fn take(&mut self, at: ExecutorIndex, task: TaskKey, run: &PlacedRun) {
         if let Some(entry) = self.entry(&run.charge) {
             entry.held = entry.held.plus(&run.charge.amount);
             if run.charge.urgent {
                 entry.urgent = entry.urgent.plus(&run.charge.amount);
             }
-            entry.ends.insert((run.ends, at, task), run.charge.amount);
+            entry.ends.insert((run.expected_end, at, task), run.charge.amount);
         }
     }
 
-    fn give_back(&mut self, at: ExecutorIndex, task: TaskKey, run: &RunOn) {
+    fn give_back(
+        &mut self,
+        at: ExecutorIndex,
+        task: TaskKey,
+        run: &PlacedRun,
+    ) {
         if let Some(entry) = self.entry(&run.charge) {
             entry.held = entry.held.minus(&run.charge.amount);
             if run.charge.urgent {
                 entry.urgent = entry.urgent.minus(&run.charge.amount);
             }
-            entry.ends.remove(&(run.ends, at, task));
+            entry.ends.remove(&(run.expected_end, at, task));
         }
     }
 
@@ -266,11 +271,11 @@
         &mut self,
         index: ExecutorIndex,
         task: TaskKey,
-        run: RunOn,
+        run: PlacedRun,
     ) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         self.ledger.take(index, task, &run);
-        if let Some(before) = executor.put(task, run) {
+        if let Some(before) = executor.place_run(task, run) {
             self.ledger.give_back(index, task, &before);
         }
     }
@@ -278,7 +283,7 @@
     /// A run takes up room no more.
     pub(super) fn remove_run(&mut self, index: ExecutorIndex, task: &TaskKey) {
         let executor = self.executors.get_mut(&index);
-        let removed = executor.and_then(|executor| executor.remove(task));
+        let removed = executor.and_then(|executor| executor.remove_run(task));
         if let Some(run) = removed {
             self.ledger.give_back(index, *task, &run);
         }
--- a/puffinknot-core/src/jobs/scheduler/live.rs
+++ b/puffinknot-core/src/jobs/scheduler/live.rs
@@ -7,7 +7,7 @@
 
 use crate::config::Resources;
 use crate::ids::Millis;
-use crate::jobs::losses::Losses;
+use crate::jobs::crash_evidence::CrashEvidence;
 use crate::jobs::message::{AccountIndex, CallId, ExecutorIndex, RequestId};
 use crate::jobs::model::{Job, JobState, Step};
 use crate::jobs::policy::Queue;
@@ -56,7 +56,7 @@
     pub failed: BTreeMap<u32, BTreeSet<u64>>,
     /// The executors that may have crashed by a task; a gang counts as its
     /// first.
-    pub losses: BTreeMap<u32, Losses>,
+    pub losses: BTreeMap<u32, CrashEvidence>,
     /// Until when a gang that may have crashed executors waits for such on
     /// which nothing else is under suspicion.
     pub tries_until: Millis,
@@ -114,13 +114,13 @@
     pub fn window(&self, counted: u32) -> Millis {
         match self.losses.get(&counted) {
             Some(losses) => losses.window(),
-            None => Losses::default().window(),
+            None => CrashEvidence::default().window(),
         }
     }
 
     /// The losses of a task, if it needs a trial. A gang counts as its
     /// first.
-    pub fn suspected(&self, counted: u32) -> Option<&Losses> {
+    pub fn suspected(&self, counted: u32) -> Option<&CrashEvidence> {
         self.losses.get(&counted).filter(|losses| losses.suspect())
     }
 
--- a/puffinknot-core/src/jobs/scheduler/lives.rs
+++ b/puffinknot-core/src/jobs/scheduler/lives.rs
@@ -4,23 +4,25 @@
 
 What runs on an executor is given up with its life, or when its lease has
 lapsed; it is then started elsewhere. Each way by which that happens is named
-by [`LifeOver`] and logged with what was known of the executor, since a wrong
+by [`IncarnationEnd`] and logged with what was known of the executor, since a wrong
 one makes tasks run twice.
 */
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Contact, Described, Executor, ExecutorInfo};
-use crate::jobs::message::{Action, ExecutorIndex, LifeOver};
+use crate::jobs::executor::{
+    DescriptionSource, Executor, ExecutorInfo, Liveness,
+};
+use crate::jobs::message::{Action, ExecutorIndex, IncarnationEnd};
 use crate::jobs::scheduler::Scheduler;
 
-impl LifeOver {
+impl IncarnationEnd {
     /// The counter of lives that were over by this.
     fn counter(self) -> &'static str {
         match self {
-            LifeOver::AnotherAnswers => "executors_over_another_answers",
-            LifeOver::LeftMachine => "executors_over_left_machine",
-            LifeOver::Lapsed => "executors_over_lapsed",
-            LifeOver::NeverHeard => "executors_over_never_heard",
+            IncarnationEnd::AnotherAnswers => "executors_over_another_answers",
+            IncarnationEnd::LeftMachine => "executors_over_left_machine",
+            IncarnationEnd::Lapsed => "executors_over_lapsed",
+            IncarnationEnd::NeverHeard => "executors_over_never_heard",
         }
     }
 }
@@ -37,8 +39,8 @@
             if executor.info.born != info.born {
                 return self.another_listed(index, info, now);
             }
-            self.stale |= executor.described != Described::ByEntry;
-            executor.described = Described::ByEntry;
+            self.stale |= executor.description != DescriptionSource::ByEntry;
+            executor.description = DescriptionSource::ByEntry;
             if executor.info != info {
                 self.describe(index, info);
                 self.stale = true;
@@ -65,7 +67,7 @@
         let cordoned = self.cordons.covers(&info.dc);
         self.executors.describe(index, info, cordoned);
         if let Some(executor) = self.executors.get_mut(&index) {
-            executor.recount();
+            executor.recompute_free();
         }
     }
 
@@ -100,7 +102,7 @@
     pub(super) fn ask_at_once(&mut self, index: ExecutorIndex, now: Millis) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.probe = true;
-        executor.next_hold = now;
+        executor.next_renewal = now;
         self.due_holds.touch(index);
     }
 
@@ -134,7 +136,7 @@
         let index = self.by_id.get(id);
         let executor = index.and_then(|i| self.executors.get_mut(i));
         if let Some(executor) = executor {
-            executor.described = Described::Not;
+            executor.description = DescriptionSource::Unknown;
         }
     }
 
@@ -145,7 +147,7 @@
         let executor = index.and_then(|i| self.executors.get_mut(i));
         if let Some(executor) = executor {
             executor.listed = false;
-            if executor.contact == Contact::Ready {
+            if executor.liveness == Liveness::Ready {
                 executor.unlisted_at.get_or_insert(now);
             }
         }
@@ -157,13 +159,13 @@
     pub(super) fn executor_over(
         &mut self,
         index: ExecutorIndex,
-        why: LifeOver,
+        why: IncarnationEnd,
         now: Millis,
     ) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        if executor.over.is_none() {
-            executor.over = Some((why, now));
-            executor.missed_at.get_or_insert(now);
+        if executor.incarnation_end.is_none() {
+            executor.incarnation_end = Some((why, now));
+            executor.unanswered_since.get_or_insert(now);
             executor.falls_silent(now);
         }
     }
@@ -173,12 +175,12 @@
     pub(super) fn give_up_lives(&mut self, now: Millis) {
         let confirmed = self.confirmed;
         let over = self.executors.iter().filter_map(|(index, executor)| {
-            let (why, at) = executor.over?;
+            let (why, at) = executor.incarnation_end?;
             // Ends that it has told of may wait.
             let until = confirmed.min(self.news_until(executor, now));
             (at <= until).then_some((*index, why))
         });
-        let over: Vec<(ExecutorIndex, LifeOver)> = over.collect();
+        let over: Vec<(ExecutorIndex, IncarnationEnd)> = over.collect();
         for (index, why) in over {
             self.give_up_life(index, why, now);
         }
@@ -187,7 +189,7 @@
     fn give_up_life(
         &mut self,
         index: ExecutorIndex,
-        why: LifeOver,
+        why: IncarnationEnd,
         now: Millis,
     ) {
         let Some(executor) = self.executors.get(&index) else { return };
@@ -222,11 +224,12 @@
     }
 
     /// What runs on an executor is lost.
-    fn give_up_runs(&mut self, index: ExecutorIndex, why: LifeOver) {
+    fn give_up_runs(&mut self, index: ExecutorIndex, why: IncarnationEnd) {
         let Some(executor) = self.executors.get(&index) else { return };
         let given_up = executor.runs.iter().map(|(task, on)| {
             let id = executor.info.id.clone();
-            let (ran, survived) = (executor.ran(on), executor.survived(on));
+            let (ran, survived) =
+                (executor.max_runtime(on), executor.survived(on));
             (id, *task, on.run, ran, survived)
         });
         let given_up: Vec<_> = given_up.collect();
@@ -249,13 +252,13 @@
         let confirmed = self.confirmed;
         let lapsed = self.executors.iter().filter_map(|(index, executor)| {
             let known = || confirmed.min(self.news_until(executor, now));
-            let why = match executor.contact {
-                Contact::Silent if executor.expiry < known() => {
-                    LifeOver::Lapsed
+            let why = match executor.liveness {
+                Liveness::Silent if executor.expiry < known() => {
+                    IncarnationEnd::Lapsed
                 }
                 // No lease was given to it in this tenure.
-                Contact::Unseen if settled && !executor.listed => {
-                    LifeOver::NeverHeard
+                Liveness::Unseen if settled && !executor.listed => {
+                    IncarnationEnd::NeverHeard
                 }
                 _ => return None,
             };
@@ -264,7 +267,8 @@
             }
             Some((*index, why, executor.listed))
         });
-        let lapsed: Vec<(ExecutorIndex, LifeOver, bool)> = lapsed.collect();
+        let lapsed: Vec<(ExecutorIndex, IncarnationEnd, bool)> =
+            lapsed.collect();
         for (index, why, listed) in lapsed {
             match listed {
                 true => self.give_up_runs(index, why),
--- a/puffinknot-core/src/jobs/scheduler/machines.rs
+++ b/puffinknot-core/src/jobs/scheduler/machines.rs
@@ -13,9 +13,9 @@
 use std::collections::BTreeMap;
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Contact, Executor};
+use crate::jobs::executor::{Executor, Liveness};
 use crate::jobs::message::{
-    ExecutorIndex, LifeOver, MachineInfo, MachineState,
+    ExecutorIndex, IncarnationEnd, MachineInfo, MachineState,
 };
 use crate::jobs::scheduler::Scheduler;
 
@@ -39,7 +39,7 @@
     /// Whether executors are silent that something may depend on.
     fn misses_executors(&self, now: Millis) -> bool {
         self.executors.values().any(|executor| {
-            let silent = executor.contact != Contact::Ready
+            let silent = executor.liveness != Liveness::Ready
                 && executor.silent_since + SILENT_FOR < now;
             silent && (!executor.runs.is_empty() || !self.settled())
         })
@@ -92,7 +92,7 @@
             machines.iter().map(|m| (m.machine.as_str(), m)).collect();
         let asked_at = self.machines.asked_at;
         let departed = self.executors.iter().filter(|(_, executor)| {
-            executor.contact != Contact::Ready
+            executor.liveness != Liveness::Ready
                 && executor.silent_since + SILENT_FOR < asked_at
                 && !executor.machine.is_empty()
                 && self.departed(executor, by_name.get(&*executor.machine))
@@ -101,7 +101,7 @@
             departed.map(|(index, _)| *index).collect();
         for index in departed {
             self.count("executors_gone");
-            self.executor_over(index, LifeOver::LeftMachine, now);
+            self.executor_over(index, IncarnationEnd::LeftMachine, now);
         }
     }
 
@@ -122,7 +122,7 @@
         match machine.state {
             MachineState::Down
             | MachineState::Moving
-            | MachineState::Upkeep => true,
+            | MachineState::Maintenance => true,
             MachineState::Up => self.answers(&machine.executor),
             MachineState::Unknown => false,
         }
@@ -132,6 +132,6 @@
     fn answers(&self, id: &str) -> bool {
         let index = self.by_id.get(id);
         let executor = index.and_then(|index| self.executors.get(index));
-        executor.is_some_and(|e| e.contact == Contact::Ready)
+        executor.is_some_and(|e| e.liveness == Liveness::Ready)
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -37,7 +37,7 @@
 use crate::jobs::crash_rate::CrashRate;
 use crate::jobs::executor::Executor;
 use crate::jobs::executors::Executors;
-use crate::jobs::mechanism::{Mechanism, Without};
+use crate::jobs::mechanism::{Mechanism, Mechanisms};
 use crate::jobs::message::{
     Action, CallId, Event, ExecutorIndex, Outcome, RequestId,
 };
@@ -126,7 +126,7 @@
     /// The least time between two writes to the store, in milliseconds.
     pub commit_gap: Millis,
     /// The mechanisms that are switched off.
-    pub without: Without,
+    pub mechanisms: Mechanisms,
 }
 
 /// How a job has ended.
@@ -341,23 +341,23 @@
             Event::Unlisted(id) => self.unlisted(&id, now),
             Event::EntryUnreadable(id) => self.entry_unreadable(&id),
             Event::EntriesRead => self.entries_read = true,
-            Event::Held { executor, sent_at, answer } => {
+            Event::RenewalAnswered { executor, sent_at, answer } => {
                 self.held(executor, sent_at, answer, now);
             }
-            Event::Started { executor, task, run, answer } => {
+            Event::StartAnswered { executor, task, run, answer } => {
                 self.started(executor, task, run, answer, now);
             }
-            Event::Stopped { executor, task, run, answer } => {
+            Event::StopAnswered { executor, task, run, answer } => {
                 self.stopped(executor, task, run, answer, now);
             }
             Event::Advised { call, answer } => self.advised(call, answer, now),
             Event::Advisors(names) => self.set_advisors(names),
-            Event::Paced { executor, answer } => {
+            Event::ThrottleAnswered { executor, answer } => {
                 self.paced(executor, answer, now);
             }
             Event::Wave(info) => self.wave(info, now),
             Event::Machines(machines) => self.machines_listed(machines, now),
-            Event::UpkeepAnswered { wave, machine, answer } => {
+            Event::MaintenanceAnswered { wave, machine, answer } => {
                 self.upkeep_answered(wave, &machine, answer, now);
             }
             Event::Committed => self.committed(now),
@@ -437,7 +437,7 @@
 
     /// Whether a mechanism is on.
     fn has(&self, mechanism: Mechanism) -> bool {
-        self.config.without.has(mechanism)
+        self.config.mechanisms.enabled(mechanism)
     }
 
     fn count(&mut self, name: &'static str) {
--- a/puffinknot-core/src/jobs/scheduler/pace.rs
+++ b/puffinknot-core/src/jobs/scheduler/pace.rs
@@ -9,7 +9,7 @@
 
 use crate::ids::Millis;
 use crate::jobs::executor::Phase;
-use crate::jobs::message::{Action, ExecutorIndex, OrderFailure, RunRow};
+use crate::jobs::message::{Action, ExecutorIndex, OrderFailure, RunReport};
 use crate::jobs::model::TaskKey;
 use crate::jobs::scheduler::Scheduler;
 
@@ -34,11 +34,11 @@
     pub(super) fn pace(
         &mut self,
         index: ExecutorIndex,
-        running: &[RunRow],
+        running: &[RunReport],
         now: Millis,
     ) {
         let Some(executor) = self.executors.get(&index) else { return };
-        if now < executor.paced_at + EVERY {
+        if now < executor.throttled_at + EVERY {
             return;
         }
         let mut worst: Option<f64> = None;
@@ -84,7 +84,7 @@
             return;
         }
         if let Some(executor) = self.executors.get_mut(&index) {
-            executor.paced_at = now;
+            executor.throttled_at = now;
         }
         for (task, run, percent) in changes {
             let on =
@@ -93,7 +93,7 @@
                 .is_some_and(|on| on.run == run && on.phase == Phase::Running);
             if ours {
                 self.count("paced");
-                self.actions.push(Action::Pace {
+                self.actions.push(Action::Throttle {
                     executor: index,
                     task,
                     run,
--- a/puffinknot-core/src/jobs/scheduler/place.rs
+++ b/puffinknot-core/src/jobs/scheduler/place.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Described, Executor};
+use crate::jobs::executor::{DescriptionSource, Executor};
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{AccountIndex, ExecutorIndex};
 use crate::jobs::model::{Step, StepKey};
@@ -113,7 +113,7 @@
             let gang = self.step(key).is_some_and(|s| s.gang && s.count > 1);
             let keep = !urgent
                 && plans < MAX_PLANS
-                && self.has(Mechanism::RoomForGangs);
+                && self.has(Mechanism::GangReservations);
             if gang {
                 if !self.place_gang(key, &mut kept, keep, urgent, now) {
                     plans += 1;
@@ -167,9 +167,9 @@
         let label = step.label.as_deref();
         let may = |executor: &Executor| {
             executor.usable()
-                && (executor.described == Described::ByEntry
+                && (executor.description == DescriptionSource::ByEntry
                     || self.entries_read)
-                && executor.health.admits(now)
+                && executor.breaker.admits(now)
                 && executor.info.service == live.queue.service
                 && label.is_none_or(|label| executor.has_label(label))
         };
@@ -276,13 +276,13 @@
                 };
                 let most = step.max_per_executor;
                 !executor.is_closed(now)
-                    && executor.free_for(&key).fits(&step.room())
-                    && executor.health.admits(now)
+                    && executor.free_for(&key).fits(&step.footprint())
+                    && executor.breaker.admits(now)
                     && (most == 0 || on.get(at).copied().unwrap_or(0) < most)
             });
             let mut best: Option<(i64, ExecutorIndex)> = None;
             for (at, holds) in fits {
-                if heeds && !self.leaves_slots(*at, &step.room()) {
+                if heeds && !self.leaves_slots(*at, &step.footprint()) {
                     held_back = true;
                     continue;
                 }
@@ -366,7 +366,8 @@
     /// it finds none while smaller ones take what gets free.
     fn is_wide(&self, step: &Step, executors: &[ExecutorIndex]) -> bool {
         let known = executors.iter().filter_map(|at| self.executors.get(at));
-        let most = known.map(|e| times(&e.info.capacity, &step.room())).max();
+        let most =
+            known.map(|e| times(&e.info.capacity, &step.footprint())).max();
         most.is_some_and(|most| most <= WIDE)
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/requests.rs
+++ b/puffinknot-core/src/jobs/scheduler/requests.rs
@@ -23,7 +23,7 @@
 /// milliseconds.
 pub(super) fn slack(job: &Job, queue: &Queue) -> Millis {
     let stretch = queue.stretch.max(1.0) - 1.0;
-    (job.chain() as f64 * stretch) as Millis + queue.target
+    (job.critical_path() as f64 * stretch) as Millis + queue.target
 }
 
 impl Scheduler {
@@ -168,7 +168,7 @@
         self.arrivals += 1;
         Live {
             since: now,
-            deadline: now + queue.objective(job.chain()),
+            deadline: now + queue.objective(job.critical_path()),
             spec: job.spec.as_str().into(),
             queue,
             account,
--- a/puffinknot-core/src/jobs/scheduler/restore.rs
+++ b/puffinknot-core/src/jobs/scheduler/restore.rs
@@ -12,15 +12,15 @@
 use std::sync::Arc;
 
 use crate::ids::Millis;
-use crate::jobs::executor::Described;
+use crate::jobs::executor::DescriptionSource;
 use crate::jobs::mechanism::Mechanism;
-use crate::jobs::message::{Action, Kept};
+use crate::jobs::message::{Action, StoredValue};
 use crate::jobs::model::{Job, JobId, StepKey};
 use crate::jobs::policy::{Policy, Queue};
 use crate::jobs::record::{
-    self, EndedChunk, Enrolled, EnrolledExecutor, FinishedUpkeep, Progress,
-    Record, RecordNumber, Shard, Shown, Stopping, ENDED, EXECUTORS, MACHINES,
-    RECORD, SHARDS, STOPPING, WAVES,
+    self, EndedChunk, EnrolledExecutor, FinishedMaintenance, LegacyEnrolled,
+    MachinesByExecutor, Progress, Record, RecordNumber, Shard, Stopping,
+    ENDED, EXECUTORS, MACHINES, RECORD, SHARDS, STOPPING, WAVES,
 };
 use crate::jobs::scheduler::waves::Machines;
 use crate::jobs::scheduler::{Scheduler, SchedulerConfig};
@@ -35,7 +35,7 @@
     pub fn restore(
         config: SchedulerConfig,
         policy: Arc<Policy>,
-        kept: &[Kept],
+        kept: &[StoredValue],
         now: Millis,
     ) -> Result<Scheduler, String> {
         let mut scheduler = Scheduler::new(config, policy);
@@ -59,7 +59,7 @@
             scheduler.restore_shard(shard, now);
         }
         for kept in named(EXECUTORS) {
-            let enrolled: Enrolled = record::decode(&kept.value)?;
+            let enrolled: LegacyEnrolled = record::decode(&kept.value)?;
             scheduler.restore_enrolled(enrolled, now);
         }
         for kept in named(MACHINES) {
@@ -68,7 +68,7 @@
         }
         scheduler.machines = Machines::new(now);
         for kept in named(WAVES) {
-            let finished: FinishedUpkeep = record::decode(&kept.value)?;
+            let finished: FinishedMaintenance = record::decode(&kept.value)?;
             scheduler.machines.finished = finished;
         }
         for kept in named(STOPPING) {
@@ -81,7 +81,7 @@
             scheduler.hidden.insert(*index);
             executor.enrolled = true;
             executor.listed = false;
-            executor.described = Described::ByPredecessor;
+            executor.description = DescriptionSource::ByPredecessor;
         }
         let until = now + scheduler.config.inherited_for;
         scheduler.unsettled = Some(until);
@@ -111,7 +111,7 @@
 
     /// Takes over the list of a leader of an earlier version, to be written
     /// in shards.
-    fn restore_enrolled(&mut self, enrolled: Enrolled, now: Millis) {
+    fn restore_enrolled(&mut self, enrolled: LegacyEnrolled, now: Millis) {
         for info in enrolled.executors {
             self.commits.enrol(&info.id);
             if !self.by_id.contains_key(&info.id) {
@@ -121,7 +121,7 @@
         self.commits.former_lists.push(EXECUTORS.to_string());
     }
 
-    fn restore_machines(&mut self, shown: Shown) {
+    fn restore_machines(&mut self, shown: MachinesByExecutor) {
         for (id, machine) in shown {
             let index = self.by_id.get(&id);
             let executor = index.and_then(|i| self.executors.get_mut(i));
@@ -133,7 +133,7 @@
 
     fn restore_ended(
         &mut self,
-        kept: &Kept,
+        kept: &StoredValue,
         now: Millis,
     ) -> Result<(), String> {
         let chunk: EndedChunk = record::decode(&kept.value)?;
@@ -222,7 +222,7 @@
         self.unsettled = None;
         let name = if unseen > 0 { "settled_late" } else { "settled" };
         self.count(name);
-        self.actions.push(Action::Settled { unseen: unseen as u32 });
+        self.actions.push(Action::TakeoverComplete { unseen: unseen as u32 });
         let mut broken = Vec::new();
         for (&job, live) in &self.jobs {
             for (&(time, number), state) in &live.steps {
--- a/puffinknot-core/src/jobs/scheduler/runs.rs
+++ b/puffinknot-core/src/jobs/scheduler/runs.rs
@@ -3,9 +3,9 @@
 */
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Charge, Phase, RunOn};
+use crate::jobs::executor::{Charge, Phase, PlacedRun};
 use crate::jobs::message::{
-    Action, EndKind, EndRow, ExecutorIndex, LifeOver, OrderFailure,
+    Action, EndKind, EndReport, ExecutorIndex, IncarnationEnd, OrderFailure,
 };
 use crate::jobs::model::{JobId, JobState, StepKey, TaskKey};
 use crate::jobs::scheduler::holds::expiry;
@@ -30,7 +30,7 @@
         self.take_slots(task.step, index);
         let Some(live) = self.jobs.get_mut(&task.step.job) else { return };
         let step = &live.job.steps[task.step.step as usize];
-        let need = step.room();
+        let need = step.footprint();
         let charge = Charge {
             account: live.account,
             amount: step.need,
@@ -44,16 +44,16 @@
         state.waiting.remove(&task.index);
         state.places.insert(task.index, (index, run));
         // Any member's checkpoint is good for its gang; all bring the same.
-        let saved = step.counted(task.index);
+        let saved = step.representative(task.index);
         let window = state.window(saved);
         let checkpoint =
             state.checkpoints.get(&saved).cloned().unwrap_or_default();
         let tells = tells(step, executor, &checkpoint);
         executor.expiry = executor.expiry.max(expiry(now, lease));
         // Its end is wanted at once, also if it was idle and left alone.
-        executor.next_hold = executor.next_hold.min(now);
+        executor.next_renewal = executor.next_renewal.min(now);
         self.due_holds.touch(index);
-        executor.health.started(now);
+        executor.breaker.started(now);
         self.actions.push(Action::Start {
             executor: index,
             task,
@@ -63,21 +63,21 @@
             checkpoint,
             ticket,
         });
-        let on = RunOn {
+        let on = PlacedRun {
             run,
             need,
             charge,
             urgent,
             phase: Phase::Starting,
-            since: now,
+            placed_at: now,
             stop_again: 0,
             confirmed: 0,
-            unsure: None,
-            begun: false,
-            began: None,
+            start_unsure_since: None,
+            start_confirmed: false,
+            start_clock: None,
             listed: false,
-            ends,
-            tells,
+            expected_end: ends,
+            measures_speed: tells,
             window,
         };
         self.put_run(index, task, on);
@@ -104,21 +104,21 @@
         }
         let Some(executor) = self.executors.get_mut(&index) else { return };
         let Some(on) = executor.runs.get(&task) else { return };
-        let own = |clock| executor.fits_clock(clock, on.since, now);
+        let own = |clock| executor.fits_clock(clock, on.placed_at, now);
         let began = answer.unwrap_or(None);
         let by_this_life = answer.map(|clock| clock.is_none_or(own));
         let Some(on) = executor.runs.get_mut(&task) else { return };
         match by_this_life {
             Ok(false) => {
                 // It may have been another life that has begun it.
-                on.unsure = Some(now);
+                on.start_unsure_since = Some(now);
                 self.doubt_life(index, now);
                 self.count("starts_by_other_lives");
             }
             Ok(true) => {
-                on.began = on.began.or(began);
+                on.start_clock = on.start_clock.or(began);
                 on.confirmed = now;
-                on.begun = true;
+                on.start_confirmed = true;
                 if on.phase == Phase::Starting {
                     on.phase = Phase::Running;
                 }
@@ -127,7 +127,7 @@
             }
             Err(OrderFailure::Unknown) => {
                 // If it has arrived, the next account shows it.
-                on.unsure = Some(now);
+                on.start_unsure_since = Some(now);
                 self.doubt_life(index, now);
                 self.count("starts_unknown");
                 self.order_unanswered(now);
@@ -155,7 +155,7 @@
     /// wanted, which shows it.
     fn doubt_life(&mut self, index: ExecutorIndex, now: Millis) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        executor.life_doubted = Some(now);
+        executor.incarnation_unsure_since = Some(now);
         executor.probe = true;
         self.due_holds.touch(index);
     }
@@ -205,7 +205,7 @@
             Ok(()) => {
                 on.phase = Phase::Stopping(true);
                 on.confirmed = now;
-                if on.unsure.is_some() {
+                if on.start_unsure_since.is_some() {
                     // It may never have been there: an account that is asked
                     // for from now on shows it.
                     self.ask_at(index, now + 1);
@@ -238,7 +238,7 @@
         match answer {
             Err(OrderFailure::Fenced) => self.deposed(),
             Err(OrderFailure::Gone) => {
-                self.executor_over(index, LifeOver::AnotherAnswers, now);
+                self.executor_over(index, IncarnationEnd::AnotherAnswers, now);
             }
             _ => return false,
         }
@@ -269,7 +269,7 @@
         index: ExecutorIndex,
         task: TaskKey,
         run: u64,
-        end: Option<&EndRow>,
+        end: Option<&EndReport>,
     ) {
         self.stale = true;
         if self.has_run(index, task, run) {
@@ -293,7 +293,7 @@
         let here = state.ended(task.index, index, run, goes_on);
         let how = end.map(|end| end.how);
         if let Some(end) = end.filter(|end| !end.checkpoint.is_empty()) {
-            let saved = step.counted(task.index);
+            let saved = step.representative(task.index);
             state.checkpoints.insert(saved, end.checkpoint.clone());
         }
         if how == Some(EndKind::Failed) {
@@ -395,7 +395,7 @@
         let key = task.step;
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
         let step = &live.job.steps[key.step as usize];
-        let counted = step.counted(task.index);
+        let counted = step.representative(task.index);
         let lasting = step.lasting;
         let most = live.queue.max_attempts.max(1) as usize;
         let place = (key.time, key.step);
--- a/puffinknot-core/src/jobs/scheduler/shares.rs
+++ b/puffinknot-core/src/jobs/scheduler/shares.rs
@@ -28,7 +28,9 @@
 
 use crate::config::Resources;
 use crate::ids::Millis;
-use crate::jobs::fair::{dominant_share, fair_shares_of, Claim, RecentMean};
+use crate::jobs::fair_share::{
+    dominant_share, fair_shares_of, Claim, RecentMean,
+};
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{AccountIndex, Action};
 use crate::jobs::model::StepKey;
@@ -221,7 +223,7 @@
         }
         self.shares_of_accounts.weighed = now;
         self.measure_room(now);
-        if !self.has(Mechanism::RoomShares) || !self.ledger.has_weights() {
+        if !self.has(Mechanism::CapacityShares) || !self.ledger.has_weights() {
             return;
         }
         let periods = self.bearable();
--- a/puffinknot-core/src/jobs/scheduler/speeds.rs
+++ b/puffinknot-core/src/jobs/scheduler/speeds.rs
@@ -13,7 +13,7 @@
 use crate::ids::Millis;
 use crate::jobs::executor::{Executor, Phase};
 use crate::jobs::mechanism::Mechanism;
-use crate::jobs::message::{Action, EndKind, EndRow, ExecutorIndex};
+use crate::jobs::message::{Action, EndKind, EndReport, ExecutorIndex};
 use crate::jobs::model::{Step, StepKey, TaskKey};
 use crate::jobs::record::SHARD_COUNT;
 use crate::jobs::scheduler::behind::Given;
@@ -21,7 +21,7 @@
 use crate::jobs::scheduler::live::StepRun;
 use crate::jobs::scheduler::order::Class;
 use crate::jobs::scheduler::Scheduler;
-use crate::jobs::speed::{compare, GuessError, Speed};
+use crate::jobs::speed::{compare, EstimateError, Speed};
 
 /// A run that goes on for this many times what it should is noted: two of
 /// three guesses are within 1.6, nearly all within the square of that.
@@ -56,8 +56,8 @@
 /// The error of guesses by queue, of single tasks and of gangs.
 #[derive(Debug, Default)]
 pub(super) struct Guesses {
-    by_queue: BTreeMap<String, [GuessError; 2]>,
-    unknown: GuessError,
+    by_queue: BTreeMap<String, [EstimateError; 2]>,
+    unknown: EstimateError,
     refreshed: Millis,
     /// The shard whose executors were looked at last.
     shard: u8,
@@ -65,12 +65,12 @@
 
 impl Guesses {
     /// The error of the guesses of a queue.
-    pub fn of(&self, queue: &str, step: &Step) -> &GuessError {
+    pub fn of(&self, queue: &str, step: &Step) -> &EstimateError {
         let known = self.by_queue.get(queue);
         known.map_or(&self.unknown, |both| &both[usize::from(step.gang)])
     }
 
-    fn of_mut(&mut self, queue: &str, step: &Step) -> &mut GuessError {
+    fn of_mut(&mut self, queue: &str, step: &Step) -> &mut EstimateError {
         let both = self.by_queue.entry(queue.to_string()).or_default();
         &mut both[usize::from(step.gang)]
     }
@@ -101,7 +101,7 @@
     pub(super) fn learn(
         &mut self,
         index: ExecutorIndex,
-        end: &EndRow,
+        end: &EndReport,
         given: &Given,
         now: Millis,
     ) {
@@ -116,7 +116,7 @@
         if on.run != end.run {
             return;
         }
-        let time = given.took(on).filter(|_| on.tells);
+        let time = given.took(on).filter(|_| on.measures_speed);
         let gang = self.step(key).is_some_and(|step| step.gang);
         let done = |run: &StepRun| run.done.contains(&end.task.index);
         if self.step_run(key).is_some_and(done) {
@@ -208,8 +208,8 @@
         }
         let Some(executor) = self.executors.get(&index) else { return };
         let overdue = executor.runs.iter().filter(|(_, on)| {
-            let should = on.ends.saturating_sub(on.since);
-            on.tells
+            let should = on.expected_end.saturating_sub(on.placed_at);
+            on.measures_speed
                 && on.phase == Phase::Running
                 && should > 0
                 && given.ran(on) > OVERDUE * should
@@ -239,13 +239,13 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         let Some(on) = executor.runs.get_mut(&task) else { return };
         // Its end would be the same evidence once more.
-        on.tells = false;
+        on.measures_speed = false;
         self.actions.push(Action::RunOverdue {
             executor: executor.info.id.clone(),
             task,
             run: on.run,
             ran,
-            should: on.ends.saturating_sub(on.since),
+            should: on.expected_end.saturating_sub(on.placed_at),
         });
         let Some(live) = self.jobs.get(&key.job) else { return };
         let step = &live.job.steps[key.step as usize];
--- a/puffinknot-core/src/jobs/scheduler/suspects.rs
+++ b/puffinknot-core/src/jobs/scheduler/suspects.rs
@@ -1,6 +1,6 @@
 /*!
 Tasks that may crash the executors that start them, see
-[`crate::jobs::losses`].
+[`crate::jobs::crash_evidence`].
 
 A crash makes suspects of all runs that the executor was not heard to have
 survived. A suspect gets a *trial*: it starts on an executor where nothing
@@ -14,10 +14,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Contact, Executor, RunOn, Trial};
-use crate::jobs::losses::{Loss, Losses};
+use crate::jobs::crash_evidence::{CrashEvidence, RunLoss};
+use crate::jobs::executor::{Executor, Liveness, PlacedRun, Trial};
 use crate::jobs::mechanism::Mechanism;
-use crate::jobs::message::{Action, ExecutorIndex, LifeOver};
+use crate::jobs::message::{Action, ExecutorIndex, IncarnationEnd};
 use crate::jobs::model::{JobState, Step, StepKey, TaskKey};
 use crate::jobs::scheduler::place::Opening;
 use crate::jobs::scheduler::Scheduler;
@@ -71,7 +71,7 @@
 struct Suspicion {
     task: TaskKey,
     executor: String,
-    loss: Loss,
+    loss: RunLoss,
 }
 
 impl Scheduler {
@@ -80,7 +80,7 @@
     pub(super) fn crash_of(
         &self,
         index: ExecutorIndex,
-        why: LifeOver,
+        why: IncarnationEnd,
     ) -> Option<Crash> {
         let executor = self.executors.get(&index)?;
         let down = self.machines.was_taken_down(executor);
@@ -89,25 +89,25 @@
             return None;
         }
         // One that has answered since has not crashed.
-        let missed = executor.missed_at?;
+        let missed = executor.unanswered_since?;
         // What was ordered later never arrived.
         let there = executor.runs.iter().chain(&executor.carried_over);
-        let there = there.filter(|(_, on)| on.since < missed);
-        let mut lost: BTreeMap<u64, (TaskKey, &RunOn)> = BTreeMap::new();
+        let there = there.filter(|(_, on)| on.placed_at < missed);
+        let mut lost: BTreeMap<u64, (TaskKey, &PlacedRun)> = BTreeMap::new();
         lost.extend(there.map(|(task, on)| (on.run, (*task, on))));
-        let may_have = |on: &&RunOn| !executor.is_harmless(on);
+        let may_have = |on: &&PlacedRun| !executor.is_harmless(on);
         let runs = lost.values().map(|(_, on)| *on);
         let possible = runs.filter(may_have).count();
         let suspicions = lost.values().map(|&(task, on)| Suspicion {
             task,
             executor: executor.info.id.clone(),
-            loss: Loss {
+            loss: RunLoss {
                 run: on.run,
                 alone: possible == 1 && may_have(&on),
-                confirmed: on.begun,
+                confirmed: on.start_confirmed,
                 seen: executor.broke_off,
                 executors: self.spread(task.step),
-                ran: executor.ran(on),
+                ran: executor.max_runtime(on),
                 survived: executor.survived(on),
                 address: executor.info.address.clone(),
             },
@@ -122,7 +122,8 @@
     /// The task that stands for another in what is counted of crashes.
     fn counted(&self, task: TaskKey) -> TaskKey {
         let step = self.step(task.step);
-        let index = step.map_or(task.index, |step| step.counted(task.index));
+        let index =
+            step.map_or(task.index, |step| step.representative(task.index));
         task.step.task(index)
     }
 
@@ -164,7 +165,7 @@
         if self.crash_rate.is_due(now) {
             let executors = self.executors.values();
             let living = executors.filter(|e| {
-                e.contact == Contact::Ready && e.missed_at.is_none()
+                e.liveness == Liveness::Ready && e.unanswered_since.is_none()
             });
             self.crash_rate.count(living.count(), now);
         }
@@ -175,9 +176,9 @@
     fn record_loss(
         &mut self,
         task: TaskKey,
-        loss: &Loss,
+        loss: &RunLoss,
         now: Millis,
-    ) -> Option<Losses> {
+    ) -> Option<CrashEvidence> {
         let key = self.counted(task);
         let counted = key.index;
         let live = self.jobs.get_mut(&task.step.job)?;
@@ -202,7 +203,7 @@
     }
 
     /// A task crashes the executors that start it: its job has failed.
-    fn give_up_task(&mut self, task: TaskKey, losses: Losses) {
+    fn give_up_task(&mut self, task: TaskKey, losses: CrashEvidence) {
         let Some(live) = self.jobs.get(&task.step.job) else { return };
         if live.ended.is_some() {
             return;
@@ -220,8 +221,8 @@
     }
 
     /// The losses of a task, if it needs a trial.
-    pub(super) fn suspected(&self, task: TaskKey) -> Option<&Losses> {
-        let counted = self.step(task.step)?.counted(task.index);
+    pub(super) fn suspected(&self, task: TaskKey) -> Option<&CrashEvidence> {
+        let counted = self.step(task.step)?.representative(task.index);
         self.step_run(task.step)?.suspected(counted)
     }
 
@@ -273,7 +274,7 @@
     /// Whether the next trial of a task is put off, since executors crash too
     /// often for it to tell anything.
     pub(super) fn awaits_calm(&mut self, task: TaskKey, now: Millis) -> bool {
-        if !self.suspected(task).is_some_and(Losses::may_settle) {
+        if !self.suspected(task).is_some_and(CrashEvidence::may_settle) {
             return false;
         }
         let counted = self.counted(task);
@@ -299,8 +300,8 @@
         now: Millis,
     ) -> bool {
         let Some(executor) = self.executors.get(&at) else { return false };
-        executor.free.fits(&step.room())
-            && executor.health.admits(now)
+        executor.free.fits(&step.footprint())
+            && executor.breaker.admits(now)
             && !executor.is_closed_to(task, now)
             && self.has_place(task.step, step, at)
     }
@@ -310,7 +311,7 @@
         &self,
         at: ExecutorIndex,
         task: TaskKey,
-        losses: &Losses,
+        losses: &CrashEvidence,
         step: &Step,
         now: Millis,
     ) -> Option<TrialPlace> {
@@ -339,7 +340,7 @@
     pub(super) fn is_no_trial(
         &self,
         at: ExecutorIndex,
-        gang: Option<&Losses>,
+        gang: Option<&CrashEvidence>,
     ) -> bool {
         let Some(losses) = gang else { return false };
         self.executors.get(&at).is_none_or(|executor| {
@@ -392,8 +393,9 @@
         for executor in all {
             known += 1;
             let lately =
-                executor.missed_at.is_none_or(|m| now < m + FORGOTTEN);
-            let weighty = executor.trial.as_ref().is_some_and(|t| t.weighty);
+                executor.unanswered_since.is_none_or(|m| now < m + FORGOTTEN);
+            let weighty =
+                executor.trial.as_ref().is_some_and(|t| t.crashed_alone);
             risked += usize::from(lately && weighty);
         }
         risked >= (known / RISKED).max(1)
@@ -413,7 +415,7 @@
         let harmless = executor.harmless_from().max(now);
         let until = harmless + KEPT_FOR;
         executor.trial =
-            Some(Trial { task, run: None, until, weighty: false });
+            Some(Trial { task, run: None, until, crashed_alone: false });
         self.ask_at(at, harmless);
     }
 
@@ -431,7 +433,8 @@
         let first = until.min(now + FIRST_LOOK);
         let Some(executor) = self.executors.get_mut(&at) else { return };
         let run = Some(run);
-        executor.trial = Some(Trial { task, run, until, weighty });
+        executor.trial =
+            Some(Trial { task, run, until, crashed_alone: weighty });
         self.ask_at(at, first);
         self.count("trials");
     }
@@ -443,7 +446,7 @@
         let Some(run) = trial.run else { return };
         let mut tried = executor.runs.values().filter(|on| on.run == run);
         if let Some(on) = tried.find(|on| !executor.is_harmless(on)) {
-            let twice = now + now.saturating_sub(on.since);
+            let twice = now + now.saturating_sub(on.placed_at);
             let next = trial.until.min(twice).max(now);
             return self.ask_at(at, next);
         }
@@ -458,9 +461,13 @@
 
 /// Whether an executor whose life is over has crashed, as far as is known:
 /// it was not about to leave, nor was its machine called for.
-fn has_crashed(executor: &Executor, why: LifeOver) -> bool {
-    let by_itself =
-        matches!(why, LifeOver::AnotherAnswers | LifeOver::LeftMachine);
-    let wanted = executor.leaves() || executor.clearing || executor.going;
+fn has_crashed(executor: &Executor, why: IncarnationEnd) -> bool {
+    let by_itself = matches!(
+        why,
+        IncarnationEnd::AnotherAnswers | IncarnationEnd::LeftMachine
+    );
+    let wanted = executor.is_departing()
+        || executor.maintenance_due
+        || executor.maintenance_ordered;
     by_itself && !wanted
 }
--- a/puffinknot-core/src/jobs/scheduler/urgent.rs
+++ b/puffinknot-core/src/jobs/scheduler/urgent.rs
@@ -16,7 +16,7 @@
 
 use crate::config::Resources;
 use crate::ids::Millis;
-use crate::jobs::executor::{Executor, RunOn};
+use crate::jobs::executor::{Executor, PlacedRun};
 use crate::jobs::headroom::{Demand, Headroom, MOST_KEPT};
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{AccountIndex, Action, ExecutorIndex};
@@ -65,7 +65,7 @@
         }
         self.urgent.counted_at = now;
         self.urgent.spare = None;
-        if !self.has(Mechanism::UrgentRoom) || !self.has_both_kinds() {
+        if !self.has(Mechanism::UrgentHeadroom) || !self.has_both_kinds() {
             return;
         }
         let demands = self.urgent_demands(order);
@@ -130,7 +130,7 @@
     ) -> BTreeMap<Option<AccountIndex>, Demand> {
         let mut demands: BTreeMap<_, Demand> = BTreeMap::new();
         let runs = self.executors.values().flat_map(|e| e.runs.values());
-        let within = |run: &&RunOn| {
+        let within = |run: &&PlacedRun| {
             run.urgent && self.is_urgent_due(run.charge.account)
         };
         for run in runs.filter(within) {
@@ -149,7 +149,7 @@
             let account =
                 self.jobs.get(&key.job).and_then(|live| live.account);
             let demand = demands.entry(account).or_default();
-            demand.wait(state.waiting.len() as u32, &step.room());
+            demand.wait(state.waiting.len() as u32, &step.footprint());
         }
         demands
     }
@@ -195,7 +195,7 @@
         else {
             return;
         };
-        let taken = self.slots_taken(executor, &step.room());
+        let taken = self.slots_taken(executor, &step.footprint());
         self.urgent.spare = Some(spare.saturating_sub(taken));
     }
 
--- a/puffinknot-core/src/jobs/scheduler/waves.rs
+++ b/puffinknot-core/src/jobs/scheduler/waves.rs
@@ -13,9 +13,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Contact, Executor, Phase};
+use crate::jobs::executor::{Executor, Liveness, Phase};
 use crate::jobs::message::{
-    Action, ExecutorIndex, MachineInfo, MachineState, UpkeepFailure, WaveInfo,
+    Action, ExecutorIndex, MachineInfo, MachineState, MaintenanceFailure,
+    MaintenanceWave,
 };
 use crate::jobs::model::StepKey;
 use crate::jobs::scheduler::Scheduler;
@@ -69,7 +70,7 @@
 /// A wave.
 #[derive(Clone, Debug)]
 pub(super) struct Wave {
-    info: WaveInfo,
+    info: MaintenanceWave,
     since: Millis,
     turns: BTreeMap<String, Turn>,
     not_before: BTreeMap<String, Millis>,
@@ -124,13 +125,13 @@
     /// Whether the list shows a machine down for its upkeep.
     fn is_in_upkeep(&self, machine: &str) -> bool {
         let info = self.machines.get(machine);
-        info.is_some_and(|info| info.state == MachineState::Upkeep)
+        info.is_some_and(|info| info.state == MachineState::Maintenance)
     }
 }
 
 impl Scheduler {
     /// The operators want a wave, or want it otherwise.
-    pub(super) fn wave(&mut self, info: WaveInfo, now: Millis) {
+    pub(super) fn wave(&mut self, info: MaintenanceWave, now: Millis) {
         let finished = self.machines.finished.get(&info.wave);
         let done = |machine: &String| {
             finished.is_some_and(|finished| finished.contains(machine))
@@ -170,7 +171,7 @@
         self.machines_told(&machines, now);
         self.machines.listed_at = Some(now);
         let down = machines.iter();
-        let down = down.filter(|m| m.state == MachineState::Upkeep);
+        let down = down.filter(|m| m.state == MachineState::Maintenance);
         let down = down.map(|m| (m.machine.clone(), now));
         self.machines.in_upkeep_at.extend(down);
         self.machines.machines = machines
@@ -193,12 +194,12 @@
                     && !name.is_empty();
                 match (*turn, info.state) {
                     (Turn::Done, _) => {}
-                    (Turn::Down(_), MachineState::Upkeep) => {}
-                    (Turn::Called(_), MachineState::Upkeep) => {
+                    (Turn::Down(_), MachineState::Maintenance) => {}
+                    (Turn::Called(_), MachineState::Maintenance) => {
                         *turn = Turn::Down(now);
                     }
                     // By a predecessor, if no other wave may have it down.
-                    (Turn::Waiting, MachineState::Upkeep)
+                    (Turn::Waiting, MachineState::Maintenance)
                         if wanted.get(machine) == Some(&1) =>
                     {
                         *turn = Turn::Down(now);
@@ -238,7 +239,7 @@
         let there = self.executor_of(machine);
         for (index, executor) in self.executors.iter_mut() {
             if there == Some(*index) || executor.machine == machine {
-                executor.going = false;
+                executor.maintenance_ordered = false;
             }
         }
     }
@@ -248,7 +249,7 @@
         &mut self,
         number: u64,
         machine: &str,
-        answer: Result<(), UpkeepFailure>,
+        answer: Result<(), MaintenanceFailure>,
         now: Millis,
     ) {
         let Some(wave) = self.machines.waves.get_mut(&number) else { return };
@@ -263,14 +264,14 @@
                 }
             }
             // Another leader orders.
-            Err(UpkeepFailure::Fenced) => self.deposed(),
-            Err(UpkeepFailure::Refused) => {
+            Err(MaintenanceFailure::Fenced) => self.deposed(),
+            Err(MaintenanceFailure::Refused) => {
                 *turn = Turn::Waiting;
                 wave.lives.remove(machine);
                 wave.not_before.insert(machine.to_string(), now + AGAIN);
                 self.stays(machine);
             }
-            Err(UpkeepFailure::NoSuchMachine) => {
+            Err(MaintenanceFailure::NoSuchMachine) => {
                 *turn = Turn::Done;
                 let finished =
                     self.machines.finished.entry(number).or_default();
@@ -279,14 +280,14 @@
                 self.stays(machine);
             }
             // It may be carried out yet; the list of machines tells.
-            Err(UpkeepFailure::Unknown) => {}
+            Err(MaintenanceFailure::Unknown) => {}
         }
     }
 
     /// Lets waves go on.
     pub(super) fn advance_waves(&mut self, now: Millis) {
         for executor in self.executors.values_mut() {
-            executor.clearing = false;
+            executor.maintenance_due = false;
         }
         let open: Vec<u64> = self
             .machines
@@ -366,10 +367,10 @@
         let index = self.executor_of(&machine);
         if let Some(executor) = index.and_then(|i| self.executors.get_mut(&i))
         {
-            executor.going = true;
+            executor.maintenance_ordered = true;
         }
         self.count("upkeeps");
-        self.actions.push(Action::Upkeep { wave: number, machine });
+        self.actions.push(Action::StartMaintenance { wave: number, machine });
     }
 
     fn executor_of(&self, machine: &str) -> Option<ExecutorIndex> {
@@ -385,7 +386,7 @@
             .filter_map(|machine| self.executor_of(machine))
             .collect();
         for (index, executor) in self.executors.iter_mut() {
-            executor.clearing |= next.contains(index);
+            executor.maintenance_due |= next.contains(index);
         }
     }
 
@@ -425,8 +426,9 @@
         let at_work = places.iter().filter(|(index, (at, run))| {
             let task = key.task(**index);
             let there = self.executors.get(at);
-            let executor =
-                there.filter(|e| !e.going && e.contact == Contact::Ready);
+            let executor = there.filter(|e| {
+                !e.maintenance_ordered && e.liveness == Liveness::Ready
+            });
             let on = executor.and_then(|e| e.runs.get(&task));
             on.is_some_and(|on| on.run == *run && on.phase == Phase::Running)
         });
--- a/puffinknot-core/src/jobs/speed.rs
+++ b/puffinknot-core/src/jobs/speed.rs
@@ -9,7 +9,7 @@
 * The tasks of one step share the error of their guess. Compared with each
   other, it cancels, and what is left tells of the executors ([`compare`]).
 * What a whole step took, less what its executors explain, tells how far the
-  guesses of its queue are off ([`GuessError`]).
+  guesses of its queue are off ([`EstimateError`]).
 
 All is reckoned in natural logarithms of times, where factors add up. Evidence
 is weighed by the inverse of its variance and fades with time, so that an
@@ -214,7 +214,7 @@
 
 /// How much longer the runs of a step on one executor were than they should.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Finding {
+pub struct SpeedSample {
     /// The executor.
     pub at: ExecutorIndex,
     /// The logarithm.
@@ -230,9 +230,9 @@
 pub fn compare(
     times: &StepTimes,
     speed_of: impl Fn(ExecutorIndex) -> Speed,
-    error: &GuessError,
+    error: &EstimateError,
     expected: f64,
-) -> Vec<Finding> {
+) -> Vec<SpeedSample> {
     let mut runs = times.runs.clone();
     runs.sort_by_key(|(at, _)| *at);
     let groups: Vec<Group> = runs
@@ -254,7 +254,7 @@
         }
         let longer = group.sum / group.count - usual / weight;
         let variance = 1.0 / weight + error.uneven() / group.count;
-        Finding { at: group.at, longer, variance }
+        SpeedSample { at: group.at, longer, variance }
     });
     findings.collect()
 }
@@ -290,7 +290,7 @@
 
 /// How far the guesses that come with the jobs of a queue are off.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct GuessError {
+pub struct EstimateError {
     steps: f64,
     bias: f64,
     /// The variance of guesses around their bias.
@@ -301,7 +301,7 @@
     compared: f64,
 }
 
-impl GuessError {
+impl EstimateError {
     /// Takes in a step that is done: its guess, in milliseconds, and what it
     /// took.
     pub fn note(&mut self, guess: Millis, times: &StepTimes) {
@@ -316,7 +316,7 @@
     }
 
     /// Takes in how much the tasks of a step differ, by executors.
-    pub fn note_uneven(&mut self, findings: &[Finding], slow: &[f64]) {
+    pub fn note_uneven(&mut self, findings: &[SpeedSample], slow: &[f64]) {
         let count = findings.len() as f64;
         if count < 2.0 {
             return;
--- a/puffinknot-measure/src/leader.rs
+++ b/puffinknot-measure/src/leader.rs
@@ -16,11 +16,11 @@
 use hdrhistogram::Histogram;
 use puffinknot_core::config::Resources;
 use puffinknot_core::ids::Millis;
-use puffinknot_core::jobs::message::{ExecutorIndex, Kept};
+use puffinknot_core::jobs::message::{ExecutorIndex, StoredValue};
 use puffinknot_core::jobs::{
-    Action, AdviceRow, Caller, Change, EndKind, EndRow, Event, ExecutorInfo,
-    HoldAnswer, JobId, OrderFailure, Outcome, Policy, Request, RunRow,
-    Scheduler, SchedulerConfig, TaskKey, Without,
+    Action, AdvisedExecutor, Caller, Change, EndKind, EndReport, Event,
+    ExecutorInfo, ExecutorReport, JobId, Mechanisms, OrderFailure, Outcome,
+    Policy, Request, RunReport, Scheduler, SchedulerConfig, TaskKey,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -68,7 +68,7 @@
 #[derive(Default)]
 struct There {
     running: BTreeMap<TaskKey, u64>,
-    ended: Vec<EndRow>,
+    ended: Vec<EndReport>,
     numbers: u64,
     /// The hold that waits there, and since when.
     waiting: Option<(Millis, u64)>,
@@ -126,7 +126,7 @@
         inherited_for: 16_700,
         advice_batch: 100,
         commit_gap: 25,
-        without: Without::default(),
+        mechanisms: Mechanisms::default(),
     }
 }
 
@@ -260,7 +260,9 @@
 
     fn perform(&mut self, action: Action, slowest: &BTreeMap<u64, f64>) {
         match action {
-            Action::Hold { executor, sent_at, last_seen, wait, .. } => {
+            Action::RenewLease {
+                executor, sent_at, last_seen, wait, ..
+            } => {
                 let Some(at) = self.at(executor) else { return };
                 let there = &mut self.executors[at];
                 there.ended.retain(|end| end.number > last_seen);
@@ -285,14 +287,19 @@
                 let work = (work * slowest[&run]) as Millis;
                 self.later(work, Next::Done(at, task, run));
                 let answer = Ok(None);
-                let event = Event::Started { executor, task, run, answer };
+                let event =
+                    Event::StartAnswered { executor, task, run, answer };
                 self.later(WAY, Next::Tell(event));
             }
             Action::Stop { executor, task, run } => {
                 let Some(at) = self.at(executor) else { return };
                 self.end(at, task, run, EndKind::Stopped);
-                let event =
-                    Event::Stopped { executor, task, run, answer: Ok(()) };
+                let event = Event::StopAnswered {
+                    executor,
+                    task,
+                    run,
+                    answer: Ok(()),
+                };
                 self.later(WAY, Next::Tell(event));
             }
             Action::Advise { call, executors, .. } => {
@@ -300,7 +307,7 @@
                 let random = &mut self.random;
                 let good = executors.into_iter();
                 let good = good.filter(|_| random.random_bool(GOOD));
-                let rows = good.map(|executor| AdviceRow {
+                let rows = good.map(|executor| AdvisedExecutor {
                     executor,
                     ticket: "t".into(),
                 });
@@ -343,21 +350,22 @@
     ) {
         let there = &mut self.executors[at];
         there.waiting = None;
-        let row = |(task, run): (&TaskKey, &u64)| RunRow {
+        let row = |(task, run): (&TaskKey, &u64)| RunReport {
             task: *task,
             run: *run,
             checkpoint: String::new(),
             percent: 100,
             usage: 0,
         };
-        let answer = HoldAnswer {
+        let answer = ExecutorReport {
             born: None,
             clock: self.now,
             running: there.running.iter().map(row).collect(),
             ended: there.ended.clone(),
             more_ended: false,
         };
-        let event = Event::Held { executor, sent_at, answer: Ok(answer) };
+        let event =
+            Event::RenewalAnswered { executor, sent_at, answer: Ok(answer) };
         self.later(WAY, Next::Tell(event));
     }
 
@@ -368,7 +376,7 @@
         }
         there.running.remove(&task);
         there.numbers += 1;
-        there.ended.push(EndRow {
+        there.ended.push(EndReport {
             number: there.numbers,
             task,
             run,
@@ -442,17 +450,17 @@
     /// An answer as the leader's node takes it, which has given up one that
     /// comes too late.
     fn in_time(&mut self, event: Event, due: Millis) -> Event {
-        if matches!(event, Event::Held { .. }) {
+        if matches!(event, Event::RenewalAnswered { .. }) {
             self.heard_after.saturating_record(self.now - due);
         }
         if self.now < due + ORDER_TIMEOUT {
             return event;
         }
         match event {
-            Event::Held { executor, sent_at, answer: Ok(_) } => {
+            Event::RenewalAnswered { executor, sent_at, answer: Ok(_) } => {
                 self.late += 1;
                 let answer = Err(OrderFailure::Unknown);
-                Event::Held { executor, sent_at, answer }
+                Event::RenewalAnswered { executor, sent_at, answer }
             }
             event => event,
         }
@@ -461,10 +469,10 @@
     /// Another node leads, with what stands in the store.
     fn take_over(&mut self) {
         self.token += 1;
-        let kept: Vec<Kept> = self
+        let kept: Vec<StoredValue> = self
             .store
             .iter()
-            .map(|(name, value)| Kept {
+            .map(|(name, value)| StoredValue {
                 name: name.clone(),
                 value: value.clone(),
                 revision: 0,
--- a/src/cell/decisions.rs
+++ b/src/cell/decisions.rs
@@ -48,7 +48,7 @@
             }
             Request::State { .. } | Request::Pending { .. } => {}
         },
-        Event::Held { executor, answer: Ok(answer), .. } => {
+        Event::RenewalAnswered { executor, answer: Ok(answer), .. } => {
             let meant = scheduler.executor(*executor);
             let meant = meant.and_then(|executor| executor.info.born);
             let executor = name(scheduler, *executor);
@@ -67,15 +67,15 @@
                 );
             }
         }
-        Event::Held { executor, answer: Err(error), .. } => {
+        Event::RenewalAnswered { executor, answer: Err(error), .. } => {
             let executor = name(scheduler, *executor);
             warn!(executor, ?error, "hold_failed");
         }
-        Event::Started { executor, task, run, answer: Err(error) } => {
+        Event::StartAnswered { executor, task, run, answer: Err(error) } => {
             let executor = name(scheduler, *executor);
             warn!(%task, run, executor, ?error, "start_failed");
         }
-        Event::Stopped { executor, task, run, answer: Err(error) } => {
+        Event::StopAnswered { executor, task, run, answer: Err(error) } => {
             let executor = name(scheduler, *executor);
             warn!(%task, run, executor, ?error, "stop_failed");
         }
@@ -89,15 +89,15 @@
             let (draining, born) = (executor.draining, executor.born);
             info!(executor = executor.id, born, draining, "executor_listed");
         }
-        Event::UpkeepAnswered { wave, machine, answer } => {
+        Event::MaintenanceAnswered { wave, machine, answer } => {
             info!(wave, machine, ?answer, "upkeep_answered");
         }
         Event::Unlisted(executor) => info!(executor, "executor_unlisted"),
         Event::EntryUnreadable(_) => {}
-        Event::Started { .. }
-        | Event::Stopped { .. }
+        Event::StartAnswered { .. }
+        | Event::StopAnswered { .. }
         | Event::Advisors(_)
-        | Event::Paced { .. }
+        | Event::ThrottleAnswered { .. }
         | Event::Wave(_)
         | Event::Machines(_)
         | Event::EntriesRead
@@ -119,14 +119,14 @@
             let executor = name(scheduler, *executor);
             info!(%task, run, executor, token, "stop_ordered");
         }
-        Action::Pace { executor, task, run, percent } => {
+        Action::Throttle { executor, task, run, percent } => {
             let executor = name(scheduler, *executor);
             info!(%task, run, executor, percent, "pace_ordered");
         }
-        Action::Upkeep { wave, machine } => {
+        Action::StartMaintenance { wave, machine } => {
             info!(wave, machine, token, "upkeep_ordered");
         }
-        Action::Deposed => warn!(token, "fenced"),
+        Action::Superseded => warn!(token, "fenced"),
         Action::JobEnded { job, account, state, after, in_time } => {
             info!(%job, account, ?state, after, in_time, token, "job_ended");
         }
@@ -150,7 +150,7 @@
         Action::OverShare { account, held } => {
             info!(account, held, token, "account_over_share");
         }
-        Action::Displaced { step, tasks } => {
+        Action::Preempted { step, tasks } => {
             info!(%step, tasks, token, "displaced");
         }
         Action::ExecutorSpeed { id, percent } => {
@@ -160,10 +160,10 @@
         Action::RunOverdue { executor, task, run, ran, should } => {
             info!(executor, %task, run, ran, should, token, "run_overdue");
         }
-        Action::Cleared { executor, left, runs } => {
+        Action::RunsEvicted { executor, left, runs } => {
             info!(executor, left, runs, token, "leaving_cleared");
         }
-        Action::Settled { unseen } => info!(token, unseen, "settled"),
+        Action::TakeoverComplete { unseen } => info!(token, unseen, "settled"),
         Action::ExecutorHeard { id, born, running, ended } => {
             info!(
                 executor = id,
@@ -250,7 +250,7 @@
             Outcome::State(_) | Outcome::NoSuchJob | Outcome::Pending(_) => {}
         },
         Action::Commit(_)
-        | Action::Hold { .. }
+        | Action::RenewLease { .. }
         | Action::ListMachines
         | Action::WaveState { .. } => {}
     }
--- a/src/cell/lead.rs
+++ b/src/cell/lead.rs
@@ -14,11 +14,11 @@
 
 use puffinknot_core::ids::{Millis, Revision};
 use puffinknot_core::jobs::message::{
-    AdviceFailure, AdviceRow, CallId, ExecutorIndex,
+    AdviceFailure, AdvisedExecutor, CallId, ExecutorIndex,
 };
 use puffinknot_core::jobs::{
-    Caller, Cordons, Event, ExecutorInfo, Mechanism, Outcome, Policy, Request,
-    RequestId, Scheduler, WaveInfo,
+    Caller, Cordons, Event, ExecutorInfo, MaintenanceWave, Mechanism, Outcome,
+    Policy, Request, RequestId, Scheduler,
 };
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::yield_now;
@@ -179,7 +179,7 @@
     pub fn advised(
         &self,
         call: CallId,
-        answer: Result<Vec<AdviceRow>, AdviceFailure>,
+        answer: Result<Vec<AdvisedExecutor>, AdviceFailure>,
     ) {
         self.send(Input::Event(Event::Advised { call, answer }));
     }
@@ -195,7 +195,7 @@
     }
 
     /// The operators want a wave of upkeep.
-    pub fn wave(&self, wave: WaveInfo) {
+    pub fn wave(&self, wave: MaintenanceWave) {
         self.send(Input::Event(Event::Wave(wave)));
     }
 
--- a/src/cell/lead/orders.rs
+++ b/src/cell/lead/orders.rs
@@ -10,8 +10,8 @@
 use puffinknot_core::jobs::message::{AdviceFailure, CallId, ExecutorIndex};
 use puffinknot_core::jobs::model::StepKey;
 use puffinknot_core::jobs::{
-    Action, Change, Event, ExecutorInfo, Mechanism, OrderFailure, Scheduler,
-    UpkeepFailure,
+    Action, Change, Event, ExecutorInfo, MaintenanceFailure, Mechanism,
+    OrderFailure, Scheduler,
 };
 use tokio::time::{sleep, timeout};
 use tracing::info;
@@ -78,19 +78,19 @@
             match action {
                 Action::Reply { id, outcome } => self.answer(id, outcome),
                 Action::Commit(changes) => self.commit(changes),
-                Action::Deposed => return true,
+                Action::Superseded => return true,
                 Action::JobEnded { job, .. } => {
                     self.handle.relays.forget(job);
                 }
                 // These are for the logs only.
-                Action::Settled { .. }
+                Action::TakeoverComplete { .. }
                 | Action::NotAdmitted { .. }
                 | Action::OverShare { .. }
-                | Action::Displaced { .. }
+                | Action::Preempted { .. }
                 | Action::ExecutorSpeed { .. }
                 | Action::HeldBack { .. }
                 | Action::RunOverdue { .. }
-                | Action::Cleared { .. }
+                | Action::RunsEvicted { .. }
                 | Action::ExecutorHeard { .. }
                 | Action::ExecutorOver { .. }
                 | Action::RunGivenUp { .. }
@@ -100,7 +100,7 @@
                 Action::Advise { call, advisor, step, executors } => {
                     self.advise(call, &advisor, step, executors);
                 }
-                Action::Hold {
+                Action::RenewLease {
                     executor,
                     sent_at,
                     due,
@@ -114,7 +114,7 @@
                             Reply::Account(account) => Ok(account),
                             _ => Err(OrderFailure::Unknown),
                         });
-                        Event::Held { executor, sent_at, answer }
+                        Event::RenewalAnswered { executor, sent_at, answer }
                     };
                     self.order(scheduler, executor, order, None, held);
                 }
@@ -134,7 +134,7 @@
                             Reply::Started(clock) => clock,
                             _ => None,
                         });
-                        Event::Started { executor, task, run, answer }
+                        Event::StartAnswered { executor, task, run, answer }
                     };
                     let text = Some(spec);
                     self.order(scheduler, executor, order, text, started);
@@ -143,20 +143,20 @@
                     let order = Order::Stop { task, run };
                     let stopped = move |answer: Answer| {
                         let answer = answer.map(|_| ());
-                        Event::Stopped { executor, task, run, answer }
+                        Event::StopAnswered { executor, task, run, answer }
                     };
                     self.order(scheduler, executor, order, None, stopped);
                 }
-                Action::Pace { executor, task, run, percent } => {
+                Action::Throttle { executor, task, run, percent } => {
                     let order = Order::Pace { task, run, percent };
                     let paced = move |answer: Answer| {
                         let answer = answer.map(|_| ());
-                        Event::Paced { executor, answer }
+                        Event::ThrottleAnswered { executor, answer }
                     };
                     self.order(scheduler, executor, order, None, paced);
                 }
                 Action::ListMachines => self.list_machines(),
-                Action::Upkeep { wave, machine } => {
+                Action::StartMaintenance { wave, machine } => {
                     self.upkeep(wave, machine);
                 }
                 Action::WaveState { wave, succeeded } => {
@@ -269,9 +269,9 @@
             let answer = if sure {
                 platform.upkeep(&holder, token, &machine, wave).await
             } else {
-                Err(UpkeepFailure::Refused)
+                Err(MaintenanceFailure::Refused)
             };
-            let event = Event::UpkeepAnswered { wave, machine, answer };
+            let event = Event::MaintenanceAnswered { wave, machine, answer };
             handle.send(Input::Event(event));
         });
     }
--- a/src/cell/lead/takeover.rs
+++ b/src/cell/lead/takeover.rs
@@ -3,8 +3,10 @@
 */
 
 use puffinknot_core::ids::Millis;
-use puffinknot_core::jobs::message::Kept;
-use puffinknot_core::jobs::{Mechanism, Scheduler, SchedulerConfig, Without};
+use puffinknot_core::jobs::message::StoredValue;
+use puffinknot_core::jobs::{
+    Mechanism, Mechanisms, Scheduler, SchedulerConfig,
+};
 use tokio::time::sleep;
 use tracing::{info, warn};
 
@@ -25,10 +27,10 @@
 
 /// What a leader does without behind a narrow link: what sends more when
 /// answers are late fills it further.
-fn affordable(without: Without, link_bytes_per_ms: u32) -> Without {
+fn affordable(without: Mechanisms, link_bytes_per_ms: u32) -> Mechanisms {
     let costly = [Mechanism::SilenceAlarm, Mechanism::ParallelAdvice];
     match link_bytes_per_ms < NARROW {
-        true => without.and(costly),
+        true => without.except(costly),
         false => without,
     }
 }
@@ -75,11 +77,11 @@
         if !unchanged {
             return None;
         }
-        let kept: Vec<Kept> = listing
+        let kept: Vec<StoredValue> = listing
             .items
             .into_iter()
             .filter(|item| item.key != head)
-            .map(|item| Kept {
+            .map(|item| StoredValue {
                 name: item.key[prefix.len()..].to_string(),
                 value: item.value,
                 revision: item.revision,
@@ -99,7 +101,10 @@
             inherited_for,
             advice_batch: ADVICE_BATCH,
             commit_gap: COMMIT_GAP,
-            without: affordable(settings.without, settings.link_bytes_per_ms),
+            mechanisms: affordable(
+                settings.without,
+                settings.link_bytes_per_ms,
+            ),
         };
         if !self.read_wishes(started).await {
             return None;
--- a/src/cell/link.rs
+++ b/src/cell/link.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use puffinknot_core::ids::{Millis, Revision};
-use puffinknot_core::jobs::message::{AdviceFailure, AdviceRow, CallId};
+use puffinknot_core::jobs::message::{AdviceFailure, AdvisedExecutor, CallId};
 use puffinknot_core::jobs::model::StepKey;
 use puffinknot_core::jobs::{
     Caller, Cordons, JobId, OrderFailure, Outcome, Request, RequestId,
@@ -75,7 +75,7 @@
     /// The data centres that take no new work.
     Cordons(Cordons),
     /// Advice.
-    Advised(CallId, Result<Vec<AdviceRow>, AdviceFailure>),
+    Advised(CallId, Result<Vec<AdvisedExecutor>, AdviceFailure>),
     /// The answer to an order.
     Ordered(OrderId, Answer),
     /// The node is there.
--- a/src/cell/node.rs
+++ b/src/cell/node.rs
@@ -16,8 +16,8 @@
 use puffinknot_core::ids::{Millis, Revision};
 use puffinknot_core::jobs::policy::Router;
 use puffinknot_core::jobs::{
-    Caller, Cordon, Cordons, KeyRing, Mechanism, Outcome, Policy, Request,
-    WaveInfo, Without,
+    Caller, Cordon, Cordons, KeyRing, MaintenanceWave, Mechanism, Mechanisms,
+    Outcome, Policy, Request,
 };
 use tokio::net::TcpListener;
 use tokio::sync::{oneshot, Notify};
@@ -67,7 +67,7 @@
     /// What its machine's own link carries, in bytes a millisecond.
     pub link_bytes_per_ms: u32,
     /// The mechanisms that are switched off.
-    pub without: Without,
+    pub without: Mechanisms,
 }
 
 impl NodeSettings {
@@ -112,7 +112,7 @@
     leader: RefCell<Option<Leader>>,
     cordons: RefCell<Cordons>,
     /// The waves of upkeep that the operators want.
-    waves: RefCell<BTreeMap<u64, WaveInfo>>,
+    waves: RefCell<BTreeMap<u64, MaintenanceWave>>,
     /// Told when the leader, or the way to it, changes.
     pub leader_changed: Notify,
     /// Whether a claim of this node is under way.
@@ -175,7 +175,7 @@
 
     /// Whether a mechanism is on.
     pub fn has(&self, mechanism: Mechanism) -> bool {
-        self.settings.borrow().without.has(mechanism)
+        self.settings.borrow().without.enabled(mechanism)
     }
 
     /// Counts an event.
@@ -266,7 +266,7 @@
     }
 
     /// The waves of upkeep that are known.
-    pub fn waves(&self) -> Vec<WaveInfo> {
+    pub fn waves(&self) -> Vec<MaintenanceWave> {
         self.waves.borrow().values().cloned().collect()
     }
 
--- a/src/cell/order.rs
+++ b/src/cell/order.rs
@@ -7,7 +7,9 @@
 */
 
 use puffinknot_core::ids::Millis;
-use puffinknot_core::jobs::{ExecutorInfo, HoldAnswer, OrderFailure, TaskKey};
+use puffinknot_core::jobs::{
+    ExecutorInfo, ExecutorReport, OrderFailure, TaskKey,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::cell::ports::{Hold, Platform, Start};
@@ -63,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// Its account, to a hold.
-    Account(HoldAnswer),
+    Account(ExecutorReport),
     /// The task runs; what its clock showed, as far as it says.
     Started(Option<Millis>),
     /// It is done.
--- a/src/cell/ports.rs
+++ b/src/cell/ports.rs
@@ -11,11 +11,12 @@
 
 use bytes::Bytes;
 use puffinknot_core::ids::{Millis, Revision};
-use puffinknot_core::jobs::message::{AdviceFailure, AdviceRow};
+use puffinknot_core::jobs::message::{AdviceFailure, AdvisedExecutor};
 use puffinknot_core::jobs::model::StepKey;
 use puffinknot_core::jobs::{
-    Cordon, ExecutorInfo, HoldAnswer, JobId, MachineInfo, OrderFailure,
-    Outcome, Policy, Request, TaskKey, UpkeepFailure, WaveInfo,
+    Cordon, ExecutorInfo, ExecutorReport, JobId, MachineInfo,
+    MaintenanceFailure, MaintenanceWave, OrderFailure, Outcome, Policy,
+    Request, TaskKey,
 };
 
 /// A value in the store.
@@ -265,7 +266,7 @@
         executor: &ExecutorInfo,
         token: u64,
         hold: Hold,
-    ) -> Result<HoldAnswer, OrderFailure>;
+    ) -> Result<ExecutorReport, OrderFailure>;
     /// Starts a task. Returns what the executor's clock showed, as far as the
     /// answer says.
     ///
@@ -313,7 +314,7 @@
     /// # Errors
     ///
     /// Why it can't be read.
-    fn wave(&self, value: &[u8]) -> Result<WaveInfo, String>;
+    fn wave(&self, value: &[u8]) -> Result<MaintenanceWave, String>;
     /// The key and the value by which operators are told of a wave.
     fn wave_state(&self, wave: u64, succeeded: bool) -> (String, Vec<u8>);
     /// Lists the machines.
@@ -333,7 +334,7 @@
         token: u64,
         machine: &str,
         wave: u64,
-    ) -> Result<(), UpkeepFailure>;
+    ) -> Result<(), MaintenanceFailure>;
 
     /// Asks which executors may run a step.
     ///
@@ -344,7 +345,7 @@
         &self,
         step: StepKey,
         executors: &[String],
-    ) -> Result<Vec<AdviceRow>, AdviceFailure>;
+    ) -> Result<Vec<AdvisedExecutor>, AdviceFailure>;
 
     /// The header that holds a client's key.
     fn key_header(&self) -> &'static str;
--- a/src/cell/store.rs
+++ b/src/cell/store.rs
@@ -13,7 +13,7 @@
 
 use puffinknot_core::ids::{Millis, Revision};
 use puffinknot_core::jobs::mechanism::Mechanism::{MadeAgain, StorePatience};
-use puffinknot_core::jobs::Without;
+use puffinknot_core::jobs::Mechanisms;
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
@@ -89,10 +89,10 @@
     /// a millisecond.
     pub fn new(
         platform: Rc<P>,
-        without: &Without,
+        without: &Mechanisms,
         link_bytes_per_ms: u32,
     ) -> Store<P> {
-        let follows = without.has(StorePatience);
+        let follows = without.enabled(StorePatience);
         let patience = |bounds: Bounds| {
             Patience::new(bounds.behind(link_bytes_per_ms), follows)
         };
@@ -109,7 +109,7 @@
             answered: Cell::new(0),
             failures: Cell::new(0),
             regained: Notify::new(),
-            tells_regained: without.has(MadeAgain),
+            tells_regained: without.enabled(MadeAgain),
         }
     }
 
--- a/src/cell/turn.rs
+++ b/src/cell/turn.rs
@@ -43,9 +43,9 @@
     pub fn of(event: &Event) -> Kind {
         match event {
             Event::Request { .. } => Kind::Request,
-            Event::Held { .. } => Kind::Held,
-            Event::Started { .. } => Kind::Started,
-            Event::Stopped { .. } => Kind::Stopped,
+            Event::RenewalAnswered { .. } => Kind::Held,
+            Event::StartAnswered { .. } => Kind::Started,
+            Event::StopAnswered { .. } => Kind::Stopped,
             Event::Advised { .. } => Kind::Advised,
             Event::Committed | Event::CommitDeclined(_) => Kind::Committed,
             Event::Listed(_)
@@ -53,10 +53,10 @@
             | Event::EntryUnreadable(_)
             | Event::EntriesRead => Kind::Listed,
             Event::Advisors(_)
-            | Event::Paced { .. }
+            | Event::ThrottleAnswered { .. }
             | Event::Wave(_)
             | Event::Machines(_)
-            | Event::UpkeepAnswered { .. }
+            | Event::MaintenanceAnswered { .. }
             | Event::Tick => Kind::Other,
         }
     }
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -1,7 +1,7 @@
 //! What accounts should hold of room that is too little for all.
 
 use puffinknot_core::config::Resources;
-use puffinknot_core::jobs::fair::{
+use puffinknot_core::jobs::fair_share::{
     dominant_share, fair_shares, Claim, RecentMean,
 };
 
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -1,12 +1,12 @@
 //! When executors are trusted with runs.
 
-use puffinknot_core::jobs::health::Health;
+use puffinknot_core::jobs::circuit_breaker::CircuitBreaker;
 
 /// The time at which the runs here fail.
 const NOW: u64 = 10_000;
 
-fn tripped() -> Health {
-    let mut health = Health::default();
+fn tripped() -> CircuitBreaker {
+    let mut health = CircuitBreaker::default();
     while !health.tripped() {
         health.failed(NOW);
     }
@@ -15,7 +15,7 @@
 
 #[test]
 fn failures_in_a_row_trip_it_and_one_that_is_done_ends_that() {
-    let mut health = Health::default();
+    let mut health = CircuitBreaker::default();
     for _ in 0..50 {
         health.failed(NOW);
         health.failed(NOW);
@@ -39,7 +39,7 @@
 #[test]
 fn the_time_between_trials_grows_to_a_bound() {
     let mut health = tripped();
-    let wait = |health: &Health, from: u64| {
+    let wait = |health: &CircuitBreaker, from: u64| {
         (0..).find(|after| health.admits(from + after)).expect("admitted")
     };
     let first = wait(&health, NOW);
@@ -55,7 +55,7 @@
 
 #[test]
 fn only_the_failure_that_trips_it_says_so() {
-    let mut health = Health::default();
+    let mut health = CircuitBreaker::default();
     let said: Vec<bool> = (0..5).map(|_| health.failed(NOW)).collect();
     assert_eq!(said.iter().filter(|said| **said).count(), 1);
 }
--- a/tests/jobs/absence.rs
+++ b/tests/jobs/absence.rs
@@ -3,10 +3,10 @@
 
 use std::sync::Arc;
 
-use puffinknot_core::jobs::message::Kept;
+use puffinknot_core::jobs::message::StoredValue;
 use puffinknot_core::jobs::{
-    record, Event, HoldAnswer, JobState, RunRow, Scheduler, SchedulerConfig,
-    Step, TaskKey, WaveInfo, Without,
+    record, Event, ExecutorReport, JobState, MaintenanceWave, Mechanisms,
+    RunReport, Scheduler, SchedulerConfig, Step, TaskKey,
 };
 
 use super::world::{job, policy, room, step, World, LEASE, WORK};
@@ -23,7 +23,7 @@
 }
 
 fn wave(wave: u64, machine: &str) -> Event {
-    Event::Wave(WaveInfo {
+    Event::Wave(MaintenanceWave {
         wave,
         machines: vec![machine.into()],
         within: 1_000,
@@ -33,20 +33,20 @@
 
 /// An account that was given while the first run was at work.
 fn earlier_account(world: &World, sent_at: u64) -> Event {
-    let row = RunRow {
+    let row = RunReport {
         task: task(),
         run: 1_000_001,
         checkpoint: String::new(),
         percent: 100,
         usage: 0,
     };
-    let answer = HoldAnswer {
+    let answer = ExecutorReport {
         clock: sent_at,
         running: vec![row],
-        ..HoldAnswer::default()
+        ..ExecutorReport::default()
     };
     assert_eq!(world.token, 1);
-    Event::Held { executor: 0, sent_at, answer: Ok(answer) }
+    Event::RenewalAnswered { executor: 0, sent_at, answer: Ok(answer) }
 }
 
 /// A task whose first run has failed has just been ordered again, at the same
@@ -189,7 +189,7 @@
     while !world.scheduler.counters().contains_key("upkeeps") {
         world.run(10);
     }
-    world.event(Event::Wave(WaveInfo {
+    world.event(Event::Wave(MaintenanceWave {
         wave: 7,
         machines: Vec::new(),
         within: 1_000,
@@ -310,7 +310,7 @@
 #[test]
 fn a_list_of_executors_without_machines_is_readable() {
     let info = World::new(1).executors[0].info.clone();
-    let kept = Kept {
+    let kept = StoredValue {
         name: record::EXECUTORS.into(),
         value: record::encode(&vec![info]),
         revision: 0,
@@ -322,7 +322,7 @@
         inherited_for: 2 * LEASE,
         advice_batch: 100,
         commit_gap: 20,
-        without: Without::default(),
+        mechanisms: Mechanisms::default(),
     };
     let restored =
         Scheduler::restore(config, Arc::new(policy()), &[kept], 1_000);
--- a/tests/jobs/accounts.rs
+++ b/tests/jobs/accounts.rs
@@ -2,8 +2,8 @@
 //! may run.
 
 use puffinknot_core::jobs::{
-    Caller, Event, JobId, JobState, KeyDigest, Mechanism, Outcome, Request,
-    Without,
+    Caller, Event, JobId, JobState, KeyDigest, Mechanism, Mechanisms, Outcome,
+    Request,
 };
 
 use super::world::{
@@ -293,10 +293,13 @@
 #[test]
 fn what_is_beyond_its_account_s_due_waits_for_others() {
     for (without, first) in [
-        (Without::default(), true),
-        (Without::new([Mechanism::RoomShares]), true),
+        (Mechanisms::default(), true),
+        (Mechanisms::all_except([Mechanism::CapacityShares]), true),
         (
-            Without::new([Mechanism::RoomShares, Mechanism::AccountShares]),
+            Mechanisms::all_except([
+                Mechanism::CapacityShares,
+                Mechanism::AccountShares,
+            ]),
             false,
         ),
     ] {
--- a/tests/jobs/admission.rs
+++ b/tests/jobs/admission.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use puffinknot_core::ids::Millis;
-use puffinknot_core::jobs::{JobId, Mechanism, Outcome, Repeats, Without};
+use puffinknot_core::jobs::{JobId, Mechanism, Mechanisms, Outcome, Repeats};
 
 use super::world::{
     account, job, owned_queue, room, step, World, INHERITED, WORK,
@@ -159,8 +159,8 @@
     }
 }
 
-fn without(off: &[Mechanism]) -> Without {
-    Without::new(off.iter().copied())
+fn without(off: &[Mechanism]) -> Mechanisms {
+    Mechanisms::all_except(off.iter().copied())
 }
 
 /// A world with this many accounts of one weight, `a0` to `a3`.
--- a/tests/jobs/backlog.rs
+++ b/tests/jobs/backlog.rs
@@ -1,12 +1,12 @@
 //! The model of what waits for room.
 
-use puffinknot_core::jobs::backlog::{Backlog, Room, Work};
+use puffinknot_core::jobs::backlog::{Backlog, ServiceCapacity, Work};
 
 use super::world::room;
 
 /// A room of ten cores, of which some are free and others from later on.
-fn cores(free: u32, later: &[(u64, u32)]) -> Room {
-    let mut all = Room::default();
+fn cores(free: u32, later: &[(u64, u32)]) -> ServiceCapacity {
+    let mut all = ServiceCapacity::default();
     all.add(&room(10_000, 1_000), &room(free * 1_000, 1_000));
     for (after, cores) in later {
         all.free_after(*after, &room(cores * 1_000, 0));
@@ -37,7 +37,7 @@
 
 #[test]
 fn nothing_is_told_without_room_of_the_kind() {
-    let none = Room::default();
+    let none = ServiceCapacity::default();
     assert_eq!(none.time_for(&work(1, 1), 1.0), None);
     let backlog: Backlog<u64> = Backlog::new(none);
     assert!(backlog.wait(None, "q", 1).is_some_and(|w| w.least() == 0));
--- a/tests/jobs/behind.rs
+++ b/tests/jobs/behind.rs
@@ -2,7 +2,7 @@
 //! nor as silent.
 
 use puffinknot_core::ids::Millis;
-use puffinknot_core::jobs::{Event, HoldAnswer, Job, JobState};
+use puffinknot_core::jobs::{Event, ExecutorReport, Job, JobState};
 
 use super::world::{job, room, step, World, INHERITED, LEASE, WORK};
 
@@ -27,7 +27,7 @@
     world.run(100);
     let known = |at| world.scheduler.executor(at).expect("an executor");
     for on in (0..all).flat_map(|at| known(at).runs.values()) {
-        assert_eq!(on.ends - on.since, WORK, "an estimate");
+        assert_eq!(on.expected_end - on.placed_at, WORK, "an estimate");
     }
     world.run(4 * WORK);
     world.check();
@@ -209,9 +209,10 @@
     let sent_at = world.now;
     world.submit(wide(1, 1));
     world.run(400);
-    let earlier = HoldAnswer { clock: reading + 1, ..HoldAnswer::default() };
+    let earlier =
+        ExecutorReport { clock: reading + 1, ..ExecutorReport::default() };
     let answer = Ok(earlier);
-    world.event(Event::Held { executor: 0, sent_at, answer });
+    world.event(Event::RenewalAnswered { executor: 0, sent_at, answer });
     let known = world.scheduler.executor(0).expect("an executor");
     assert!(!known.all_harmless());
 }
--- a/tests/jobs/cordons.rs
+++ b/tests/jobs/cordons.rs
@@ -1,7 +1,7 @@
 //! Data centres that take no new work.
 
 use puffinknot_core::jobs::{
-    Cordon, CordonSource, Cordons, Event, JobState, Outcome, WaveInfo,
+    Cordon, CordonSource, Cordons, Event, JobState, MaintenanceWave, Outcome,
 };
 
 use super::world::{job, room, step, World, LEASE, WORK};
@@ -216,7 +216,7 @@
     let mut world = World::in_two_dcs(2);
     world.run(100);
     world.set_cordoned("e", true);
-    world.event(Event::Wave(WaveInfo {
+    world.event(Event::Wave(MaintenanceWave {
         wave: 1,
         machines: vec!["x1".into()],
         within: 3_000,
--- a/tests/jobs/displacing.rs
+++ b/tests/jobs/displacing.rs
@@ -1,6 +1,6 @@
 //! Tasks that save their progress give way to gangs that would be late.
 
-use puffinknot_core::jobs::{Job, JobState, Mechanism, Step, Without};
+use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms, Step};
 
 use super::world::{job, room, step, World, WORK};
 
@@ -19,7 +19,7 @@
 }
 
 /// A world whose executors are all taken by long tasks; then a gang comes.
-fn full(without: Without, edit: impl Fn(&mut Job)) -> World {
+fn full(without: Mechanisms, edit: impl Fn(&mut Job)) -> World {
     let mut world = World::without(4, without);
     world.run(50);
     for id in 1..=4 {
@@ -36,8 +36,11 @@
 #[test]
 fn a_gang_that_would_be_late_has_others_give_way() {
     for (without, state) in [
-        (Without::default(), JobState::Succeeded),
-        (Without::new([Mechanism::Displacing]), JobState::Queued),
+        (Mechanisms::default(), JobState::Succeeded),
+        (
+            Mechanisms::all_except([Mechanism::GangPreemption]),
+            JobState::Queued,
+        ),
     ] {
         let mut world = full(without, |_| {});
         world.run(1_500 + WORK);
@@ -50,7 +53,7 @@
 
 #[test]
 fn only_as_many_give_way_as_the_gang_needs() {
-    let mut world = full(Without::default(), |_| {});
+    let mut world = full(Mechanisms::default(), |_| {});
     world.run(1_500 + WORK);
     world.run(60 * WORK);
     let again = world.starts.values().filter(|starts| **starts > 1);
@@ -65,7 +68,7 @@
         |job: &mut Job| job.steps[0].checkpoints = false,
         |job: &mut Job| job.queue = "batch".into(),
     ] {
-        let mut world = full(Without::default(), edit);
+        let mut world = full(Mechanisms::default(), edit);
         world.run(1_500 + WORK);
         assert!(world.starts.values().all(|starts| *starts == 1));
         assert_eq!(world.state(9), Some(JobState::Queued));
@@ -76,7 +79,7 @@
 /// What gave way is not asked again, or it would never end.
 #[test]
 fn a_task_gives_way_once() {
-    let mut world = full(Without::default(), |_| {});
+    let mut world = full(Mechanisms::default(), |_| {});
     world.run(8 * WORK);
     for id in 10..=14 {
         world.submit(job(id, "batch", vec![gang(3)]));
--- a/tests/jobs/faults.rs
+++ b/tests/jobs/faults.rs
@@ -3,7 +3,8 @@
 
 use puffinknot_core::jobs::model::StepKey;
 use puffinknot_core::jobs::{
-    Event, JobId, JobState, LifeOver, Mechanism, Outcome, Request, Without,
+    Event, IncarnationEnd, JobId, JobState, Mechanism, Mechanisms, Outcome,
+    Request,
 };
 
 use super::world::{job, room, step, World, LEASE, WORK};
@@ -60,7 +61,7 @@
     let id = world.executors[0].info.id.clone();
     world.event(Event::Unlisted(id.clone()));
     world.run(LEASE + 1_000);
-    assert_eq!(world.lives_over, [(id, LifeOver::Lapsed)]);
+    assert_eq!(world.lives_over, [(id, IncarnationEnd::Lapsed)]);
     let counted = world.scheduler.counters()["executors_over_lapsed"];
     assert_eq!(counted, 1);
 }
@@ -307,7 +308,7 @@
 }
 
 /// Jobs that still wait some time after a data centre was cut off.
-fn stranded_by_a_cut(without: Without) -> usize {
+fn stranded_by_a_cut(without: Mechanisms) -> usize {
     let mut world = World::without(16, without);
     for executor in &mut world.executors[8..] {
         executor.info.dc = "e".into();
@@ -340,9 +341,9 @@
 /// until the cut was over.
 #[test]
 fn a_data_centre_that_is_cut_off_takes_few_tasks_with_it() {
-    let off = [Mechanism::DoubtedExecutors, Mechanism::SuspectedDcs];
-    let before = stranded_by_a_cut(Without::new(off));
-    let after = stranded_by_a_cut(Without::default());
+    let off = [Mechanism::UnresponsiveExecutors, Mechanism::SuspectedDcs];
+    let before = stranded_by_a_cut(Mechanisms::all_except(off));
+    let after = stranded_by_a_cut(Mechanisms::default());
     assert!(2 * after < before, "{after} jobs wait, {before} without");
 }
 
@@ -438,7 +439,7 @@
 /// connections were given up.
 #[test]
 fn unanswered_orders_to_several_executors_have_all_asked_at_once() {
-    let holds = |without: Without| {
+    let holds = |without: Mechanisms| {
         let mut world = World::without(6, without);
         world.run(50);
         let long = |id| {
@@ -457,8 +458,8 @@
         world.run(400);
         world.holds - before
     };
-    let with = holds(Without::default());
-    let without = holds(Without::new([Mechanism::SilenceAlarm]));
+    let with = holds(Mechanisms::default());
+    let without = holds(Mechanisms::all_except([Mechanism::SilenceAlarm]));
     // Three were in doubt anyway; so the others are asked too.
     assert!(with >= without + 3, "{with} holds, {without} without");
 }
--- a/tests/jobs/fuzz.rs
+++ b/tests/jobs/fuzz.rs
@@ -2,7 +2,9 @@
 
 use proptest::prelude::*;
 use puffinknot_core::jobs::model::StepKey;
-use puffinknot_core::jobs::{Event, ExecutorInfo, JobId, Request, WaveInfo};
+use puffinknot_core::jobs::{
+    Event, ExecutorInfo, JobId, MaintenanceWave, Request,
+};
 
 use super::world::{
     dc_of, job, room, step, Crashes, World, FREE, LEASE, LIMITED, WORK,
@@ -350,7 +352,7 @@
         }
         Mistaken::Unlistable(is_so) => world.unlistable = is_so,
         Mistaken::Wave(machine) => {
-            let wave = WaveInfo {
+            let wave = MaintenanceWave {
                 wave: machine as u64 + 1,
                 machines: vec![format!("x{machine}")],
                 within: 3_000,
--- a/tests/jobs/holds.rs
+++ b/tests/jobs/holds.rs
@@ -1,7 +1,7 @@
 //! Which executors are asked for their accounts.
 
 use puffinknot_core::ids::Millis;
-use puffinknot_core::jobs::{Mechanism, Without};
+use puffinknot_core::jobs::{Mechanism, Mechanisms};
 
 use super::world::{job, room, step, World};
 
@@ -12,8 +12,10 @@
 /// Those that were known first were asked again and again, others never.
 #[test]
 fn no_executor_is_passed_over_while_the_turns_of_a_leader_are_long() {
-    let mut world =
-        World::without(EXECUTORS, Without::new([Mechanism::Admission]));
+    let mut world = World::without(
+        EXECUTORS,
+        Mechanisms::all_except([Mechanism::Admission]),
+    );
     world.run(500);
     world.turn = TURN;
     let mut short = step(40 * EXECUTORS as u32, room(4_000, 100));
--- a/tests/jobs/latest.rs
+++ b/tests/jobs/latest.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use puffinknot_core::ids::Millis;
-use puffinknot_core::jobs::{Job, JobState, Mechanism, TaskKey, Without};
+use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms, TaskKey};
 
 use super::world::{job, room, step, World, WORK};
 
@@ -32,7 +32,7 @@
 
 /// Twice what the cell can do, for some seconds: short jobs, and chains.
 /// Returns how many were done in time.
-fn in_time(queue: &str, without: Without) -> usize {
+fn in_time(queue: &str, without: Mechanisms) -> usize {
     let mut world = World::without(EXECUTORS, without);
     world.run(100);
     let mut due: BTreeMap<Millis, Vec<u64>> = BTreeMap::new();
@@ -69,9 +69,9 @@
 #[test]
 fn more_is_in_time_in_an_overload_than_by_deadlines() {
     for queue in ["urgent", "batch"] {
-        let by_latest_start = in_time(queue, Without::default());
+        let by_latest_start = in_time(queue, Mechanisms::default());
         let by_deadline =
-            in_time(queue, Without::new([Mechanism::LatestStart]));
+            in_time(queue, Mechanisms::all_except([Mechanism::LatestStart]));
         assert!(by_latest_start > by_deadline);
     }
 }
--- a/tests/jobs/leaving.rs
+++ b/tests/jobs/leaving.rs
@@ -1,15 +1,15 @@
 //! What runs on executors that give notice is moved before they go.
 
 use puffinknot_core::ids::Millis;
-use puffinknot_core::jobs::{JobState, Mechanism, Step, Without};
+use puffinknot_core::jobs::{JobState, Mechanism, Mechanisms, Step};
 
 use super::world::{job, room, step, World, LEASE, WORK};
 
 /// How much longer an executor stays that gives notice.
 const STAYS: Millis = 2_000;
 
-fn without_leaving() -> Without {
-    Without::new([Mechanism::Leaving])
+fn without_leaving() -> Mechanisms {
+    Mechanisms::all_except([Mechanism::Leaving])
 }
 
 fn long(times: Millis, saves: bool) -> Step {
@@ -30,7 +30,7 @@
 
 /// Has the executor of a job leave, and tells what runs the job's task had
 /// and its state a while after: long before any lease has lapsed.
-fn moved(without: Without, first: Step) -> (u32, Option<JobState>) {
+fn moved(without: Mechanisms, first: Step) -> (u32, Option<JobState>) {
     let work = first.estimate;
     let mut world = World::without(3, without);
     world.run(50);
@@ -52,7 +52,7 @@
 #[test]
 fn what_will_not_end_is_started_elsewhere_before_the_executor_goes() {
     for saves in [true, false] {
-        let (starts, state) = moved(Without::default(), long(8, saves));
+        let (starts, state) = moved(Mechanisms::default(), long(8, saves));
         assert_eq!((starts, state), (2, Some(JobState::Succeeded)));
         // It has to be waited for until its lease has lapsed.
         let (starts, state) = moved(without_leaving(), long(8, saves));
@@ -62,7 +62,7 @@
 
 #[test]
 fn what_should_end_in_time_stays() {
-    let (starts, state) = moved(Without::default(), long(3, false));
+    let (starts, state) = moved(Mechanisms::default(), long(3, false));
     assert_eq!((starts, state), (1, Some(JobState::Succeeded)));
 }
 
@@ -92,8 +92,8 @@
 
 #[test]
 fn a_gang_is_moved_whole_and_nobody_waits_alone() {
-    for without in [Without::default(), without_leaving()] {
-        let moves = without.has(Mechanism::Leaving);
+    for without in [Mechanisms::default(), without_leaving()] {
+        let moves = without.enabled(Mechanism::Leaving);
         let mut world = World::without(6, without);
         world.run(50);
         let mut gang = step(3, room(3_000, 100));
@@ -119,8 +119,8 @@
 /// notice taken, all of them end within less than twice their work.
 #[test]
 fn under_load_no_job_waits_for_an_executor_that_has_left() {
-    for without in [Without::default(), without_leaving()] {
-        let moves = without.has(Mechanism::Leaving);
+    for without in [Mechanisms::default(), without_leaving()] {
+        let moves = without.enabled(Mechanism::Leaving);
         let mut world = World::without(12, without);
         world.run(50);
         let mut late = 0;
--- a/tests/jobs/lives.rs
+++ b/tests/jobs/lives.rs
@@ -1,7 +1,7 @@
 //! Lives of executors that were taken for over though they went on: each way
 //! by which a task came to run on two executors at once.
 
-use puffinknot_core::jobs::{Event, JobState, Step, TaskKey, WaveInfo};
+use puffinknot_core::jobs::{Event, JobState, MaintenanceWave, Step, TaskKey};
 
 use super::world::{job, room, step, World, LEASE};
 
@@ -263,7 +263,7 @@
 /// and the life that was born after it was taken for over.
 #[test]
 fn an_upkeep_carried_out_before_ends_no_later_life() {
-    let wave = WaveInfo {
+    let wave = MaintenanceWave {
         wave: 7,
         machines: vec!["x0".into()],
         within: 1_000,
@@ -298,7 +298,7 @@
 /// second call, and the wave was late by then.
 #[test]
 fn an_upkeep_carried_out_late_ends_no_later_life() {
-    let wave = WaveInfo {
+    let wave = MaintenanceWave {
         wave: 7,
         machines: vec!["x0".into()],
         within: 1_000,
@@ -439,7 +439,7 @@
 /// before: its machine is not called for again.
 #[test]
 fn an_executor_is_used_again_after_its_wave() {
-    let wave = WaveInfo {
+    let wave = MaintenanceWave {
         wave: 7,
         machines: vec!["x0".into()],
         within: 1_000,
--- a/tests/jobs/looked.rs
+++ b/tests/jobs/looked.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use puffinknot_core::jobs::scheduler::Looked;
-use puffinknot_core::jobs::{Mechanism, Without};
+use puffinknot_core::jobs::{Mechanism, Mechanisms};
 
 use super::world::{job, room, step, World, WORK};
 
@@ -37,7 +37,7 @@
 
 fn full(executors: usize) -> World {
     // What waits for longer than it is of use is to be let in.
-    let without = Without::new([Mechanism::Admission]);
+    let without = Mechanisms::all_except([Mechanism::Admission]);
     let mut world = World::without(executors, without);
     world.run(200);
     let mut wide = step(executors as u32, room(4_000, 100));
--- a/tests/jobs/outage.rs
+++ b/tests/jobs/outage.rs
@@ -2,7 +2,7 @@
 
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{
-    Job, JobState, Mechanism, Outcome, Step, TaskKey, Without,
+    Job, JobState, Mechanism, Mechanisms, Outcome, Step, TaskKey,
 };
 
 use super::world::{job, room, step, World, WORK};
@@ -186,7 +186,7 @@
 
 /// Clients come without pause, one every `gap`, and the store declines all for
 /// four seconds. Returns them.
-fn outage(without: Without, gap: Millis) -> Vec<Client> {
+fn outage(without: Mechanisms, gap: Millis) -> Vec<Client> {
     let mut world = World::without(20, without);
     world.run(100);
     let begin = world.now;
@@ -245,7 +245,7 @@
 /// back, and all that may still be served after the return are.
 #[test]
 fn under_load_nobody_is_held_in_vain_and_all_that_come_back_are_served() {
-    let clients = outage(Without::default(), 20);
+    let clients = outage(Mechanisms::default(), 20);
     let began = clients[0].since;
     for client in &clients {
         let (from, waited) = (client.since - began, client.waited);
@@ -256,7 +256,7 @@
         }
     }
     // What is in the commit that was declined would be held to its end.
-    let clients = outage(Without::new([Mechanism::AfterOutage]), 20);
+    let clients = outage(Mechanisms::all_except([Mechanism::AfterOutage]), 20);
     let longest = clients.iter().map(|client| client.waited).max();
     assert!(longest > Some(PATIENCE), "held {longest:?}");
 }
--- a/tests/jobs/reborn.rs
+++ b/tests/jobs/reborn.rs
@@ -19,7 +19,8 @@
 use puffinknot_core::jobs::message::ExecutorIndex;
 use puffinknot_core::jobs::record;
 use puffinknot_core::jobs::{
-    Event, HoldAnswer, JobState, LifeOver, Service, Step, TaskKey, WaveInfo,
+    Event, ExecutorReport, IncarnationEnd, JobState, MaintenanceWave, Service,
+    Step, TaskKey,
 };
 
 use super::world::{job, room, step, Crashes, World, BACK_AFTER, LEASE};
@@ -255,8 +256,9 @@
     world.run(SOON);
     assert_eq!(world.starts[&task(1)], 2);
     for executor in 0..2 {
-        let answer = HoldAnswer { born, clock: LATER, ..Default::default() };
-        world.event(Event::Held {
+        let answer =
+            ExecutorReport { born, clock: LATER, ..Default::default() };
+        world.event(Event::RenewalAnswered {
             executor: executor as ExecutorIndex,
             sent_at,
             answer: Ok(answer),
@@ -292,7 +294,7 @@
     let mut world = at_work(1);
     world.restart(0, EARLIER);
     world.run(SOON);
-    let over = vec![("x0".to_string(), LifeOver::AnotherAnswers)];
+    let over = vec![("x0".to_string(), IncarnationEnd::AnotherAnswers)];
     assert_eq!(world.lives_over, over);
 }
 
@@ -320,9 +322,10 @@
     let mut world = at_work(1);
     world.restart(0, EARLIER);
     world.run(SOON);
-    let answer = HoldAnswer { clock: SOON, ..HoldAnswer::default() };
+    let answer = ExecutorReport { clock: SOON, ..ExecutorReport::default() };
     let sent_at = world.now;
-    let event = Event::Held { executor: 1, sent_at, answer: Ok(answer) };
+    let event =
+        Event::RenewalAnswered { executor: 1, sent_at, answer: Ok(answer) };
     world.run(1);
     world.event(event);
     world.run(200);
@@ -372,7 +375,7 @@
     let mut world = World::new(2);
     world.keep_names = true;
     world.run(OLD);
-    let wave = WaveInfo {
+    let wave = MaintenanceWave {
         wave: 1,
         machines: vec!["x0".into(), "x1".into()],
         within: 60_000,
@@ -451,14 +454,15 @@
     world.event(Event::EntriesRead);
     world.restart(0, EARLIER);
     world.run(SOON);
-    let answer = HoldAnswer { born, clock: LATER, ..HoldAnswer::default() };
+    let answer =
+        ExecutorReport { born, clock: LATER, ..ExecutorReport::default() };
     let lives = world.lives_over.len();
     // Whether a hold is open there or not.
     world.executors[0].cut = true;
     for _ in 0..200 {
         world.run(10);
         let answer = Ok(answer.clone());
-        world.event(Event::Held { executor: 0, sent_at, answer });
+        world.event(Event::RenewalAnswered { executor: 0, sent_at, answer });
     }
     world.executors[0].cut = false;
     world.run(SOON);
--- a/tests/jobs/rounds.rs
+++ b/tests/jobs/rounds.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use puffinknot_core::ids::Millis;
-use puffinknot_core::jobs::{JobState, Mechanism, Without};
+use puffinknot_core::jobs::{JobState, Mechanism, Mechanisms};
 
 use super::world::{job, room, step, World, WORK};
 
@@ -14,7 +14,7 @@
 
 /// A cell that is full, with hundreds of gangs that wait for half of it.
 fn crowded() -> World {
-    let without = Without::new([Mechanism::Admission]);
+    let without = Mechanisms::all_except([Mechanism::Admission]);
     let mut world = World::without(EXECUTORS, without);
     world.run(200);
     let mut wide = step(EXECUTORS as u32, room(4_000, 100));
--- a/tests/jobs/rules.rs
+++ b/tests/jobs/rules.rs
@@ -2,7 +2,7 @@
 
 use puffinknot_core::jobs::model::Repeats;
 use puffinknot_core::jobs::{
-    Event, JobId, JobState, Mechanism, Outcome, Request, Without,
+    Event, JobId, JobState, Mechanism, Mechanisms, Outcome, Request,
 };
 
 use super::world::{job, room, step, World, WORK};
@@ -163,7 +163,7 @@
 
 /// Whether a task that needs a whole executor ends while small ones keep
 /// coming.
-fn wide_task_ends(without: Without) -> bool {
+fn wide_task_ends(without: Mechanisms) -> bool {
     let mut world = World::without(2, without);
     world.run(100);
     let mut wide = 0;
@@ -186,9 +186,9 @@
 /// as long as they came (map renders on tally-tbilisi).
 #[test]
 fn a_wide_task_gets_its_turn_while_small_ones_come() {
-    let off = Without::new([Mechanism::RoomForGangs]);
+    let off = Mechanisms::all_except([Mechanism::GangReservations]);
     assert!(!wide_task_ends(off), "it is kept waiting without room kept");
-    assert!(wide_task_ends(Without::default()));
+    assert!(wide_task_ends(Mechanisms::default()));
 }
 
 /// Each step asked for advice about the same hundred executors, the first of
@@ -240,7 +240,7 @@
 /// advised on all executors.
 #[test]
 fn long_calls_for_advice_are_made_in_parts_while_nodes_are_free() {
-    let asked = |without: Without| {
+    let asked = |without: Mechanisms| {
         let mut world = World::without(40, without);
         let names = (0..8).map(|node| format!("n{node}")).collect();
         world.event(Event::Advisors(names));
@@ -252,6 +252,9 @@
         assert_eq!(world.state(1), Some(JobState::Succeeded));
         world.asked
     };
-    assert_eq!(asked(Without::default()), [20, 20]);
-    assert_eq!(asked(Without::new([Mechanism::ParallelAdvice])), [40]);
+    assert_eq!(asked(Mechanisms::default()), [20, 20]);
+    assert_eq!(
+        asked(Mechanisms::all_except([Mechanism::ParallelAdvice])),
+        [40]
+    );
 }
--- a/tests/jobs/services.rs
+++ b/tests/jobs/services.rs
@@ -1,6 +1,6 @@
 //! Tasks that last, tasks that fill beside them, and waves of upkeep.
 
-use puffinknot_core::jobs::{JobId, JobState, Request, Step, WaveInfo};
+use puffinknot_core::jobs::{JobId, JobState, MaintenanceWave, Request, Step};
 
 use super::world::{job, room, step, World, WORK};
 
@@ -67,8 +67,8 @@
     world.check();
 }
 
-fn wave(machines: &[&str], most: u32) -> WaveInfo {
-    WaveInfo {
+fn wave(machines: &[&str], most: u32) -> MaintenanceWave {
+    MaintenanceWave {
         wave: 7,
         machines: machines.iter().map(|m| m.to_string()).collect(),
         within: 20_000,
--- a/tests/jobs/shares.rs
+++ b/tests/jobs/shares.rs
@@ -6,7 +6,7 @@
 
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{
-    Job, Mechanism, Outcome, Queue, TaskKey, Without,
+    Job, Mechanism, Mechanisms, Outcome, Queue, TaskKey,
 };
 
 use super::world::{account, job, owned_queue, room, step, World};
@@ -39,7 +39,7 @@
 }
 
 /// A world of accounts, with an urgent and a patient queue.
-fn world(executors: usize, without: Without) -> World {
+fn world(executors: usize, without: Mechanisms) -> World {
     let mut world = World::without(executors, without);
     world.set_policy(|policy| {
         let urgent = Queue {
@@ -85,7 +85,7 @@
 }
 
 impl Day {
-    fn new(without: Without) -> Day {
+    fn new(without: Mechanisms) -> Day {
         Day {
             world: world(EXECUTORS, without),
             due: BTreeMap::new(),
@@ -168,8 +168,11 @@
 }
 
 /// No protection at all.
-fn unprotected() -> Without {
-    Without::new([Mechanism::RoomShares, Mechanism::AccountShares])
+fn unprotected() -> Mechanisms {
+    Mechanisms::all_except([
+        Mechanism::CapacityShares,
+        Mechanism::AccountShares,
+    ])
 }
 
 /// Whether urgent jobs of the others wait no longer than on a calm day and
@@ -183,7 +186,7 @@
 #[test]
 fn a_flood_of_one_account_spares_the_others() {
     for (without, spared) in
-        [(Without::default(), true), (unprotected(), false)]
+        [(Mechanisms::default(), true), (unprotected(), false)]
     {
         let mut day = Day::new(without);
         day.play(8_000, 1.0);
@@ -203,7 +206,7 @@
 /// executors have answered.
 #[test]
 fn a_takeover_amid_a_flood_spares_the_others_again() {
-    let mut day = Day::new(Without::default());
+    let mut day = Day::new(Mechanisms::default());
     day.play(8_000, 1.0);
     let calm = (day.others_waited(true), day.others_waited(false));
     day.play(LONG, FLOOD);
@@ -218,7 +221,7 @@
 
 #[test]
 fn executors_that_leave_amid_a_flood_take_from_the_flood() {
-    let mut day = Day::new(Without::default());
+    let mut day = Day::new(Mechanisms::default());
     day.play(8_000, 1.0);
     let calm = (day.others_waited(true), day.others_waited(false));
     day.play(LONG, FLOOD);
@@ -237,7 +240,7 @@
 /// let the flood overtake the others.
 #[test]
 fn a_store_that_was_away_amid_a_flood_leaves_the_shares() {
-    let mut day = Day::new(Without::default());
+    let mut day = Day::new(Mechanisms::default());
     day.play(8_000, 1.0);
     let calm = (day.others_waited(true), day.others_waited(false));
     day.play(LONG, FLOOD);
@@ -259,7 +262,7 @@
 
 /// Two accounts of one weight; the first has more to do than there is room.
 fn two(executors: usize, jobs: u64) -> World {
-    let mut world = world(executors, Without::default());
+    let mut world = world(executors, Mechanisms::default());
     world.set_policy(|policy| {
         for at in 0..2 {
             let account = account(&name(at), 0);
@@ -308,7 +311,7 @@
 #[test]
 fn a_flood_of_urgent_work_goes_behind_what_may_wait_within_its_share() {
     for (without, spared) in
-        [(Without::default(), true), (unprotected(), false)]
+        [(Mechanisms::default(), true), (unprotected(), false)]
     {
         let mut world = world(4, without);
         world.set_policy(|policy| {
@@ -426,7 +429,7 @@
 /// A gang of a small account gets its room though a flood fills the cell.
 #[test]
 fn a_gang_within_its_share_gets_room_in_a_flood() {
-    let mut day = Day::new(Without::default());
+    let mut day = Day::new(Mechanisms::default());
     day.play(2_000, 1.0);
     day.play(LONG, FLOOD);
     let mut work = step(12, room(2_000, 100));
@@ -446,7 +449,7 @@
 /// Without accounts, and in a cell that has room, all starts as before.
 #[test]
 fn shares_change_nothing_where_nothing_competes() {
-    let starts = |without: Without, owned: bool, jobs: u64| {
+    let starts = |without: Mechanisms, owned: bool, jobs: u64| {
         let mut world = world(10, without);
         let mut starts = Vec::new();
         for id in 1..=jobs {
@@ -469,7 +472,7 @@
         starts
     };
     for (owned, jobs) in [(false, 120), (true, 10)] {
-        let with = starts(Without::default(), owned, jobs);
+        let with = starts(Mechanisms::default(), owned, jobs);
         assert!(with == starts(unprotected(), owned, jobs));
     }
 }
--- a/tests/jobs/size.rs
+++ b/tests/jobs/size.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use puffinknot_core::jobs::record::{self, Enrolled, Shard};
+use puffinknot_core::jobs::record::{self, LegacyEnrolled, Shard};
 use puffinknot_core::jobs::{JobState, Step};
 
 use super::world::{job, room, step, World, LEASE, WORK};
@@ -71,7 +71,7 @@
     }
     assert_eq!(executors.len(), 8);
     world.store.retain(|name, _| !name.starts_with(record::SHARDS));
-    let whole = record::encode(&Enrolled { executors });
+    let whole = record::encode(&LegacyEnrolled { executors });
     world.store.insert(record::EXECUTORS.into(), whole);
     world.replace_leader();
     assert_eq!(world.scheduler.executors(), 8);
