--- a/tests/jobs/speeds.rs
+++ b/tests/jobs/speeds.rs
@@ -4,16 +4,16 @@
 
 use puffinknot_core::jobs::model::StepKey;
 use puffinknot_core::jobs::record::{self, Shard};
-use puffinknot_core::jobs::speed::{compare, GuessError, Speed, StepTimes};
-use puffinknot_core::jobs::{Job, JobId, JobState, Mechanism, Without};
+use puffinknot_core::jobs::speed::{compare, EstimateError, Speed, StepTimes};
+use puffinknot_core::jobs::{Job, JobId, JobState, Mechanism, Mechanisms};
 
 use super::world::{job, room, step, World, LEASE, WORK};
 
 /// An executor that takes as long as this, in percent, counts as quick.
 const QUICK: u64 = 50;
 
-fn without_speeds() -> Without {
-    Without::new([Mechanism::Speeds])
+fn without_speeds() -> Mechanisms {
+    Mechanisms::all_except([Mechanism::Speeds])
 }
 
 /// A job of single tasks that fill an executor each.
@@ -22,7 +22,7 @@
 }
 
 /// A world whose last executors are quick.
-fn uneven(executors: usize, quick: usize, without: Without) -> World {
+fn uneven(executors: usize, quick: usize, without: Mechanisms) -> World {
     let mut world = World::without(executors, without);
     for executor in &mut world.executors[executors - quick..] {
         executor.takes = QUICK;
@@ -63,7 +63,7 @@
 
 #[test]
 fn two_groups_of_executors_are_found_within_a_few_runs() {
-    let mut world = uneven(8, 2, Without::default());
+    let mut world = uneven(8, 2, Mechanisms::default());
     teach(&mut world, 1, 8);
     for at in 6..8 {
         assert!(percent(&world, at) < 70, "{at}: {}", percent(&world, at));
@@ -77,7 +77,7 @@
 
 #[test]
 fn executors_that_are_alike_are_decided_on_as_if_nothing_were_learnt() {
-    let play = |without: Without| {
+    let play = |without: Mechanisms| {
         let mut world = uneven(8, 0, without);
         let mut where_to = Vec::new();
         for id in 1..40 {
@@ -92,12 +92,12 @@
         world.check();
         (where_to, world.starts.clone())
     };
-    assert_eq!(play(Without::default()), play(without_speeds()));
+    assert_eq!(play(Mechanisms::default()), play(without_speeds()));
 }
 
 #[test]
 fn one_that_turns_slow_is_noticed_within_a_few_runs() {
-    let mut world = uneven(8, 0, Without::default());
+    let mut world = uneven(8, 0, Mechanisms::default());
     teach(&mut world, 1, 10);
     for slow in [4, 8] {
         let at = slow as usize;
@@ -124,7 +124,7 @@
 
 #[test]
 fn one_that_recovers_is_tried_again() {
-    let mut world = uneven(4, 0, Without::default());
+    let mut world = uneven(4, 0, Mechanisms::default());
     teach(&mut world, 1, 6);
     world.executors[0].takes = 800;
     for id in 20..24 {
@@ -145,7 +145,7 @@
 /// a step are as hard, wherever they run.
 #[test]
 fn hard_work_is_not_slowness() {
-    let mut world = uneven(4, 0, Without::default());
+    let mut world = uneven(4, 0, Mechanisms::default());
     teach(&mut world, 1, 6);
     for id in 20..30 {
         let hard = id % 2 == 0;
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_new_life_is_known_by_nothing() {
-    let mut world = uneven(6, 1, Without::default());
+    let mut world = uneven(6, 1, Mechanisms::default());
     teach(&mut world, 1, 8);
     assert!(percent(&world, 5) < 70);
     world.keep_names = true;
@@ -180,7 +180,7 @@
 /// has written it a few times only.
 #[test]
 fn a_successor_knows_the_speeds() {
-    let mut world = uneven(8, 2, Without::default());
+    let mut world = uneven(8, 2, Mechanisms::default());
     teach(&mut world, 1, 16);
     assert!(counted(&world, "speeds_kept") <= 4);
     world.replace_leader();
@@ -205,7 +205,7 @@
 
 #[test]
 fn a_shard_of_an_earlier_version_can_be_read() {
-    let mut world = uneven(4, 1, Without::default());
+    let mut world = uneven(4, 1, Mechanisms::default());
     teach(&mut world, 1, 8);
     let names = world.store.keys().filter(|n| n.starts_with(record::SHARDS));
     let names: Vec<String> = names.cloned().collect();
@@ -225,7 +225,7 @@
 /// What callers get: urgent work beside patient work on executors of which a
 /// quarter is quick and the rest is slow. Returns how many urgent jobs were in
 /// time, of how many.
-fn urgent_in_time(without: Without, takeover: bool) -> (usize, usize) {
+fn urgent_in_time(without: Mechanisms, takeover: bool) -> (usize, usize) {
     let mut world = uneven(8, 2, without);
     tighten(&mut world);
     for executor in &mut world.executors[..6] {
@@ -266,7 +266,7 @@
 
 #[test]
 fn urgent_work_is_in_time_where_a_quarter_is_quick() {
-    let (with, all) = urgent_in_time(Without::default(), false);
+    let (with, all) = urgent_in_time(Mechanisms::default(), false);
     let (less, _) = urgent_in_time(without_speeds(), false);
     assert!(with >= all * 95 / 100, "{with} of {all} in time");
     assert!(less <= all / 2, "{less} of {all} in time without");
@@ -274,7 +274,7 @@
 
 #[test]
 fn a_takeover_costs_urgent_work_little() {
-    let (with, all) = urgent_in_time(Without::default(), true);
+    let (with, all) = urgent_in_time(Mechanisms::default(), true);
     assert!(with >= all * 9 / 10, "{with} of {all} in time");
 }
 
@@ -282,7 +282,7 @@
 /// alone where others have room for all.
 #[test]
 fn members_of_a_gang_are_alike() {
-    let mut world = uneven(8, 2, Without::default());
+    let mut world = uneven(8, 2, Mechanisms::default());
     teach(&mut world, 1, 10);
     let mut members = step(4, room(3_000, 100));
     members.gang = true;
@@ -304,7 +304,7 @@
 /// tasks that are left of a step are reckoned by those that have ended.
 #[test]
 fn the_error_of_guesses_is_learnt() {
-    let mut error = GuessError::default();
+    let mut error = EstimateError::default();
     let alike = |time: u64| {
         let mut times = StepTimes::default();
         for at in 0..5 {
@@ -322,7 +322,7 @@
     // Nearer to what was seen than to the guess.
     let seen = error.run_time(1_000, &alike(4_000));
     assert!((2_829..4_000).contains(&seen), "{seen}");
-    assert_eq!(GuessError::default().run_time(1_000, &none), 1_000);
+    assert_eq!(EstimateError::default().run_time(1_000, &none), 1_000);
 }
 
 /// Runs of one step differ by chance; no executor differs by that.
@@ -335,7 +335,7 @@
         random = random.wrapping_add(1_442_695_040_888_963_407);
         (random >> 33) as f64 / f64::from(1_u32 << 31)
     };
-    let error = GuessError::default();
+    let error = EstimateError::default();
     // The mean of what the work below is.
     let expected = 1_000_f64.ln() + 1.0;
     let mut differ = 0;
@@ -371,7 +371,7 @@
 /// All members of a gang take the same time, and tell of one guess.
 #[test]
 fn a_gang_tells_once_how_far_its_guess_is_off() {
-    let mut world = uneven(8, 0, Without::default());
+    let mut world = uneven(8, 0, Mechanisms::default());
     let expected = |world: &mut World, id: u64| {
         let mut gang = step(32, room(1_000, 100));
         gang.gang = true;
@@ -383,7 +383,7 @@
         world.run(100);
         let known = world.scheduler.executor(0).expect("a known executor");
         let run = known.runs.values().next().expect("a run");
-        let should = run.ends - run.since;
+        let should = run.expected_end - run.placed_at;
         world.run(4 * WORK);
         should
     };
--- a/tests/jobs/urgent.rs
+++ b/tests/jobs/urgent.rs
@@ -5,7 +5,7 @@
 use puffinknot_core::config::Resources;
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::headroom::{Demand, Headroom, MOST_KEPT};
-use puffinknot_core::jobs::{Job, JobState, Mechanism, Without};
+use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms};
 
 use super::world::{job, room, step, World, WORK};
 
@@ -28,8 +28,8 @@
     job(URGENT + id, "urgent", vec![step(count, room(1_500, 500))])
 }
 
-fn off(mechanisms: &[Mechanism]) -> Without {
-    Without::new(mechanisms.iter().copied())
+fn off(mechanisms: &[Mechanism]) -> Mechanisms {
+    Mechanisms::all_except(mechanisms.iter().copied())
 }
 
 fn counted(world: &World, name: &str) -> u64 {
@@ -84,7 +84,7 @@
 
 /// A cell whose executors are all taken for long by tasks that save their
 /// progress.
-fn full(without: Without) -> World {
+fn full(without: Mechanisms) -> World {
     let mut world = World::without(EXECUTORS, without);
     world.run(50);
     for id in 1..=EXECUTORS as u64 {
@@ -108,13 +108,13 @@
 
 #[test]
 fn others_give_way_to_a_burst_of_urgent_work() {
-    let mut world = full(Without::default());
+    let mut world = full(Mechanisms::default());
     let waits = burst(&mut world);
     assert!(waits.at_once() >= 18, "at once: {}", waits.at_once());
     assert_eq!(waits.in_time, 20);
     assert!(counted(&world, "urgent_displacements") > 0);
 
-    let mut without = full(off(&[Mechanism::GivingWay]));
+    let mut without = full(off(&[Mechanism::UrgentPreemption]));
     let waits = burst(&mut without);
     assert_eq!(waits.at_once(), 0);
     assert_eq!(counted(&without, "urgent_displacements"), 0);
@@ -128,7 +128,7 @@
 
 #[test]
 fn no_task_gives_way_twice() {
-    let mut world = full(Without::default());
+    let mut world = full(Mechanisms::default());
     for _ in 0..2 {
         let mut waits = Waits::default();
         for id in 1..=60 {
@@ -163,7 +163,7 @@
 /// rest of the executor is not kept.
 #[test]
 fn an_urgent_gang_gets_all_of_its_room() {
-    let mut world = full(Without::default());
+    let mut world = full(Mechanisms::default());
     let mut gang = step(4, room(3_000, 500));
     gang.gang = true;
     world.submit(job(URGENT, "urgent", vec![gang]));
@@ -179,7 +179,7 @@
 #[test]
 fn a_successor_goes_on_while_others_give_way() {
     for after in [160, 200, 300, 400] {
-        let mut world = full(Without::default());
+        let mut world = full(Mechanisms::default());
         for id in 1..=6 {
             world.submit(urgent(id, 2));
         }
@@ -193,7 +193,7 @@
 
 #[test]
 fn executors_may_leave_while_others_give_way() {
-    let mut world = full(Without::default());
+    let mut world = full(Mechanisms::default());
     let mut waits = Waits::default();
     for id in 1..=6 {
         waits.submit(&mut world, urgent(id, 2));
@@ -215,7 +215,7 @@
 
 /// Four waves of small urgent jobs beside a backlog that saves no progress and
 /// has not waited for twice its objective at their end.
-fn waves(without: Without) -> (World, Waits) {
+fn waves(without: Mechanisms) -> (World, Waits) {
     let mut world = World::without(EXECUTORS, without);
     world.run(50);
     let mut waits = Waits::default();
@@ -238,7 +238,7 @@
 
 #[test]
 fn room_is_kept_for_the_next_wave() {
-    let only = [Mechanism::GivingWay, Mechanism::UrgentRoom];
+    let only = [Mechanism::UrgentPreemption, Mechanism::UrgentHeadroom];
     let (_, before) = waves(off(&only));
     let (mut world, after) = waves(off(&only[..1]));
     // The first wave finds the cell full.
@@ -262,7 +262,7 @@
 /// Whoever is held back starts in the kept room before it would be late.
 #[test]
 fn nothing_that_waits_starves_by_urgent_work() {
-    let mut world = World::without(2, off(&[Mechanism::GivingWay]));
+    let mut world = World::without(2, off(&[Mechanism::UrgentPreemption]));
     world.run(50);
     let mut waits = Waits::default();
     world.submit(patient(1, 6, 100, false));
@@ -283,7 +283,7 @@
 /// goes as without.
 #[test]
 fn without_need_nothing_changes() {
-    let both = [Mechanism::GivingWay, Mechanism::UrgentRoom];
+    let both = [Mechanism::UrgentPreemption, Mechanism::UrgentHeadroom];
     let loads: [fn(u64) -> Job; 3] = [
         |id| patient(id, 6, 3, true),
         |id| urgent(id, 2),
@@ -291,7 +291,7 @@
     ];
     for (number, load) in loads.into_iter().enumerate() {
         let mut counters = Vec::new();
-        for without in [Without::default(), off(&both)] {
+        for without in [Mechanisms::default(), off(&both)] {
             let mut world = World::without(EXECUTORS, without);
             world.run(50);
             for id in 1..=40 {
--- a/tests/jobs/world/lives.rs
+++ b/tests/jobs/world/lives.rs
@@ -52,7 +52,7 @@
         self.executors[at].resets = true;
         for (_, executor, sent_at, token) in self.take_waiting_holds(at) {
             let answer = Err(OrderFailure::Unknown);
-            let event = Event::Held { executor, sent_at, answer };
+            let event = Event::RenewalAnswered { executor, sent_at, answer };
             self.answer(WAY, token, event);
         }
     }
@@ -115,7 +115,7 @@
             let given_up = due + HOLD_SLACK - self.now;
             let after = if silent { given_up } else { WAY };
             let answer = Err(OrderFailure::Unknown);
-            let event = Event::Held { executor, sent_at, answer };
+            let event = Event::RenewalAnswered { executor, sent_at, answer };
             self.later(after, Pending::Tell(token, event));
         }
     }
--- a/tests/jobs/world/machines.rs
+++ b/tests/jobs/world/machines.rs
@@ -11,7 +11,7 @@
             let down = self.down.contains_key(&machine);
             let off = self.off.contains(&machine);
             let state = match (down, off) {
-                (true, _) => MachineState::Upkeep,
+                (true, _) => MachineState::Maintenance,
                 (_, true) => MachineState::Down,
                 _ => MachineState::Up,
             };
@@ -37,16 +37,16 @@
         &mut self,
         wave: u64,
         machine: &str,
-    ) -> Result<(), UpkeepFailure> {
+    ) -> Result<(), MaintenanceFailure> {
         if self.foreign.contains(machine) {
-            return Err(UpkeepFailure::NoSuchMachine);
+            return Err(MaintenanceFailure::NoSuchMachine);
         }
         let called = (wave, machine.to_string());
         if self.had_upkeep.contains(&called) {
             return Ok(());
         }
         if self.down.contains_key(machine) {
-            return Err(UpkeepFailure::Refused);
+            return Err(MaintenanceFailure::Refused);
         }
         let there = self.executors.iter_mut().rev();
         let there = there.filter(|e| e.info.address == machine);
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -9,15 +9,16 @@
 use puffinknot_core::config::Resources;
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::message::{
-    AdviceFailure, AdviceRow, ExecutorIndex, Kept,
+    AdviceFailure, AdvisedExecutor, ExecutorIndex, StoredValue,
 };
 use puffinknot_core::jobs::model::StepKey;
 use puffinknot_core::jobs::{
     Account, Action, AdviceCost, Caller, Change, Cordon, CordonSource,
-    Cordons, EndKind, EndRow, Event, ExecutorInfo, HoldAnswer, Job, JobId,
-    JobState, KeyDigest, LifeOver, MachineInfo, MachineState, OrderFailure,
-    Outcome, Policy, Queue, Request, RunRow, Scheduler, SchedulerConfig, Step,
-    TaskKey, UpkeepFailure, WaveInfo, Without,
+    Cordons, EndKind, EndReport, Event, ExecutorInfo, ExecutorReport,
+    IncarnationEnd, Job, JobId, JobState, KeyDigest, MachineInfo,
+    MachineState, MaintenanceFailure, MaintenanceWave, Mechanisms,
+    OrderFailure, Outcome, Policy, Queue, Request, RunReport, Scheduler,
+    SchedulerConfig, Step, TaskKey,
 };
 
 mod cordons;
@@ -92,7 +93,7 @@
     due: Millis,
     running: BTreeMap<TaskKey, RunThere>,
     sealed: BTreeMap<TaskKey, u64>,
-    ended: Vec<EndRow>,
+    ended: Vec<EndReport>,
     numbers: u64,
     /// Neither orders nor answers pass.
     pub cut: bool,
@@ -232,7 +233,7 @@
     any_ordered: bool,
     pub broken: Vec<String>,
     /// The executors that leaders took for over, and by what.
-    pub lives_over: Vec<(String, LifeOver)>,
+    pub lives_over: Vec<(String, IncarnationEnd)>,
     /// Tasks that take longer than the guess says, in percent of it.
     pub takes: BTreeMap<TaskKey, Millis>,
     /// Tasks that fail, this many times each.
@@ -266,7 +267,7 @@
     /// answered with Ok and does nothing more.
     had_upkeep: BTreeSet<(u64, String)>,
     /// What the operators want of waves, which successors are told too.
-    wanted_waves: BTreeMap<u64, WaveInfo>,
+    wanted_waves: BTreeMap<u64, MaintenanceWave>,
     /// The executors that the list of machines shows on some machines,
     /// whatever lives there; empty for none.
     pub shown: BTreeMap<String, String>,
@@ -302,7 +303,7 @@
     /// About how many executors each call for advice was.
     pub asked: Vec<usize>,
     submitted: BTreeMap<u64, JobId>,
-    without: Without,
+    without: Mechanisms,
     /// Whose key jobs were handed in with.
     owners: BTreeMap<JobId, String>,
     /// Since when which limit was in force.
@@ -400,7 +401,7 @@
     }
 }
 
-fn scheduler_config(token: u64, without: Without) -> SchedulerConfig {
+fn scheduler_config(token: u64, without: Mechanisms) -> SchedulerConfig {
     SchedulerConfig {
         token,
         lease: LEASE,
@@ -408,21 +409,21 @@
         inherited_for: INHERITED,
         advice_batch: ADVICE_BATCH,
         commit_gap: 20,
-        without,
+        mechanisms: without,
     }
 }
 
 /// What a leader is told of an order that has failed.
 fn failed(action: &Action, why: OrderFailure) -> Option<Event> {
     let event = match *action {
-        Action::Hold { executor, sent_at, .. } => {
-            Event::Held { executor, sent_at, answer: Err(why) }
+        Action::RenewLease { executor, sent_at, .. } => {
+            Event::RenewalAnswered { executor, sent_at, answer: Err(why) }
         }
         Action::Start { executor, task, run, .. } => {
-            Event::Started { executor, task, run, answer: Err(why) }
+            Event::StartAnswered { executor, task, run, answer: Err(why) }
         }
         Action::Stop { executor, task, run } => {
-            Event::Stopped { executor, task, run, answer: Err(why) }
+            Event::StopAnswered { executor, task, run, answer: Err(why) }
         }
         _ => return None,
     };
@@ -431,11 +432,11 @@
 
 impl World {
     pub fn new(executors: usize) -> World {
-        World::without(executors, Without::default())
+        World::without(executors, Mechanisms::default())
     }
 
     /// A world whose leaders do without some mechanisms.
-    pub fn without(executors: usize, without: Without) -> World {
+    pub fn without(executors: usize, without: Mechanisms) -> World {
         let policy = Arc::new(policy());
         let config = scheduler_config(1, without.clone());
         let mut world = World {
@@ -707,7 +708,7 @@
         }
         let mut actions = former.handle(event, self.now);
         actions.extend(former.advance(self.now));
-        let deposed = actions.contains(&Action::Deposed);
+        let deposed = actions.contains(&Action::Superseded);
         if !deposed {
             self.former.insert(token, (former, until));
             self.perform(token, actions);
@@ -727,7 +728,8 @@
     }
 
     fn told_late(&self, pending: &Pending) -> Millis {
-        let Pending::Tell(token, Event::Held { executor, .. }) = pending
+        let Pending::Tell(token, Event::RenewalAnswered { executor, .. }) =
+            pending
         else {
             return 0;
         };
@@ -776,22 +778,22 @@
                         self.later(2 * WAY, Pending::Written(token));
                     }
                 }
-                Action::Deposed => self.deposed = true,
+                Action::Superseded => self.deposed = true,
                 Action::JobEnded { job, .. } => {
                     self.ended_at.insert(*job, self.now);
                 }
-                Action::Settled { .. }
+                Action::TakeoverComplete { .. }
                 | Action::ExecutorHeard { .. }
                 | Action::TaskCleared { .. }
                 | Action::TaskGivenUp { .. }
                 | Action::RunGivenUp { .. }
                 | Action::OverShare { .. }
                 | Action::NotAdmitted { .. }
-                | Action::Displaced { .. }
+                | Action::Preempted { .. }
                 | Action::ExecutorSpeed { .. }
                 | Action::HeldBack { .. }
                 | Action::RunOverdue { .. }
-                | Action::Cleared { .. } => {}
+                | Action::RunsEvicted { .. } => {}
                 Action::TaskSuspected { executor, .. } => {
                     self.suspected_on.insert(executor.clone());
                 }
@@ -818,7 +820,7 @@
                         let sum: usize = bytes.map(usize::from).sum();
                         (sum + step.job.0 as usize) % 4 != 0
                     });
-                    let rows = rows.map(|id| AdviceRow {
+                    let rows = rows.map(|id| AdvisedExecutor {
                         executor: id.clone(),
                         ticket: "t".into(),
                     });
@@ -826,7 +828,7 @@
                     let event = Event::Advised { call: *call, answer };
                     self.later(self.advice_takes, Pending::Tell(token, event));
                 }
-                Action::Pace { task, percent, .. } => {
+                Action::Throttle { task, percent, .. } => {
                     self.percents.insert(*task, *percent);
                 }
                 Action::ListMachines => {
@@ -834,29 +836,33 @@
                     let event = Event::Machines(listed);
                     self.later(2 * WAY, Pending::Tell(token, event));
                 }
-                Action::Upkeep { wave, machine } if self.lost_upkeeps > 0 => {
+                Action::StartMaintenance { wave, machine }
+                    if self.lost_upkeeps > 0 =>
+                {
                     self.lost_upkeeps -= 1;
-                    let event = Event::UpkeepAnswered {
+                    let event = Event::MaintenanceAnswered {
                         wave: *wave,
                         machine: machine.clone(),
-                        answer: Err(UpkeepFailure::Unknown),
+                        answer: Err(MaintenanceFailure::Unknown),
                     };
                     self.later(ORDER_TIMEOUT, Pending::Tell(token, event));
                 }
-                Action::Upkeep { wave, machine } if self.late_upkeeps > 0 => {
+                Action::StartMaintenance { wave, machine }
+                    if self.late_upkeeps > 0 =>
+                {
                     self.late_upkeeps -= 1;
                     let late = Pending::Upkeep(*wave, machine.clone());
                     self.later(UPKEEP_LATE, late);
-                    let event = Event::UpkeepAnswered {
+                    let event = Event::MaintenanceAnswered {
                         wave: *wave,
                         machine: machine.clone(),
-                        answer: Err(UpkeepFailure::Unknown),
+                        answer: Err(MaintenanceFailure::Unknown),
                     };
                     self.later(ORDER_TIMEOUT, Pending::Tell(token, event));
                 }
-                Action::Upkeep { wave, machine } => {
+                Action::StartMaintenance { wave, machine } => {
                     let answer = self.upkeep(*wave, machine);
-                    let event = Event::UpkeepAnswered {
+                    let event = Event::MaintenanceAnswered {
                         wave: *wave,
                         machine: machine.clone(),
                         answer,
@@ -866,12 +872,12 @@
                 Action::WaveState { wave, succeeded } => {
                     self.waves.insert(*wave, *succeeded);
                 }
-                Action::Hold { executor, .. }
+                Action::RenewLease { executor, .. }
                 | Action::Start { executor, .. }
                 | Action::Stop { executor, .. } => {
                     let start = matches!(action, Action::Start { .. });
                     self.any_ordered |= start;
-                    let hold = matches!(action, Action::Hold { .. });
+                    let hold = matches!(action, Action::RenewLease { .. });
                     self.holds += u64::from(hold);
                     let Some(at) = self.index_of(token, *executor) else {
                         continue;
@@ -929,10 +935,10 @@
         self.unknowable.extend(unknown.cloned());
         let token = self.token;
         self.token += 1;
-        let kept: Vec<Kept> = self
+        let kept: Vec<StoredValue> = self
             .store
             .iter()
-            .map(|(name, value)| Kept {
+            .map(|(name, value)| StoredValue {
                 name: name.clone(),
                 value: value.clone(),
                 revision: 0,
--- a/tests/jobs/world/orders.rs
+++ b/tests/jobs/world/orders.rs
@@ -24,12 +24,14 @@
         if there.resets && answer_to.is_some() {
             return self.refuse(action, token, OrderFailure::NotSent);
         }
-        if there.unhealthy && matches!(action, Action::Hold { .. }) {
+        if there.unhealthy && matches!(action, Action::RenewLease { .. }) {
             return self.refuse(action, token, OrderFailure::Unhealthy);
         }
         let silent = there.silent_to(token);
         if let (Some(late), false) = (there.late, silent) {
-            if answer_to.is_some() && !matches!(action, Action::Hold { .. }) {
+            if answer_to.is_some()
+                && !matches!(action, Action::RenewLease { .. })
+            {
                 let life = there.lives;
                 self.unanswered(&action, token);
                 let action = Box::new(action);
@@ -52,14 +54,19 @@
         let way = held_up.map_or(WAY, |late| ORDER_TIMEOUT + late);
         let there = &mut self.executors[at];
         match action {
-            Action::Hold {
-                executor, sent_at, due, last_seen, wait, ..
+            Action::RenewLease {
+                executor,
+                sent_at,
+                due,
+                last_seen,
+                wait,
+                ..
             } => {
                 if fenced {
                     return self.answer(
                         way,
                         token,
-                        Event::Held {
+                        Event::RenewalAnswered {
                             executor,
                             sent_at,
                             answer: Err(OrderFailure::Fenced),
@@ -87,7 +94,7 @@
                 let clock = self.executors[at].clock(self.now);
                 let answer = answer.map(|()| Some(clock));
                 if self.muted(at, answer_to) {
-                    let event = Event::Started {
+                    let event = Event::StartAnswered {
                         executor,
                         task,
                         run,
@@ -95,7 +102,8 @@
                     };
                     self.later(ORDER_TIMEOUT, Pending::Tell(token, event));
                 } else if answer_to.is_some() {
-                    let event = Event::Started { executor, task, run, answer };
+                    let event =
+                        Event::StartAnswered { executor, task, run, answer };
                     self.answer(way, token, event);
                 }
             }
@@ -107,7 +115,8 @@
                     Ok(())
                 };
                 if answer_to.is_some() {
-                    let event = Event::Stopped { executor, task, run, answer };
+                    let event =
+                        Event::StopAnswered { executor, task, run, answer };
                     self.answer(way, token, event);
                 }
             }
@@ -141,7 +150,7 @@
     /// Nobody answers an order.
     pub(super) fn unanswered(&mut self, action: &Action, token: u64) {
         let after = match action {
-            Action::Hold { wait, .. } => wait + HOLD_SLACK,
+            Action::RenewLease { wait, .. } => wait + HOLD_SLACK,
             _ => ORDER_TIMEOUT,
         };
         if let Some(event) = failed(action, OrderFailure::Unknown) {
@@ -155,7 +164,7 @@
             .into_iter()
             .partition(|end| end.number <= last_seen);
         there.ended = kept;
-        let gone: Vec<EndRow> = gone;
+        let gone: Vec<EndReport> = gone;
         for end in gone {
             self.noted.insert((end.task, end.run));
             if end.how == EndKind::Failed {
@@ -176,21 +185,21 @@
         let there = &self.executors[at];
         let clock = there.clock(self.now);
         if there.silent_to(token) {
-            let event = Event::Held {
+            let event = Event::RenewalAnswered {
                 executor,
                 sent_at,
                 answer: Err(OrderFailure::Unknown),
             };
             return self.later(HOLD_SLACK, Pending::Tell(token, event));
         }
-        let running = there.running.iter().map(|(task, run)| RunRow {
+        let running = there.running.iter().map(|(task, run)| RunReport {
             task: *task,
             run: run.run,
             checkpoint: String::new(),
             percent: self.percents.get(task).copied().unwrap_or(100),
             usage: self.usages.get(task).copied().unwrap_or(0),
         });
-        let answer = Ok(HoldAnswer {
+        let answer = Ok(ExecutorReport {
             born: there.info.born,
             clock,
             running: running.collect(),
@@ -198,7 +207,11 @@
             more_ended: there.ended.len() >= ENDS_AT_ONCE,
         });
         let way = there.held_up.map_or(WAY, |late| HOLD_SLACK + late);
-        self.answer(way, token, Event::Held { executor, sent_at, answer });
+        self.answer(
+            way,
+            token,
+            Event::RenewalAnswered { executor, sent_at, answer },
+        );
     }
 
     pub(super) fn start(
@@ -210,7 +223,7 @@
     ) -> Result<(), OrderFailure> {
         let now = self.now;
         let step = &self.jobs[&task.step.job].steps[task.step.step as usize];
-        let (need, gang) = (step.room(), step.gang);
+        let (need, gang) = (step.footprint(), step.gang);
         let takes = self.takes.get(&task).copied().unwrap_or(100);
         let work = step.estimate * takes / 100;
         let lasting = step.lasting;
--- a/tests/jobs/world/work.rs
+++ b/tests/jobs/world/work.rs
@@ -93,7 +93,7 @@
                 let Some(run) = there.running.remove(&task) else { continue };
                 let how = if lapsed { EndKind::Lapsed } else { run.how };
                 there.numbers += 1;
-                there.ended.push(EndRow {
+                there.ended.push(EndReport {
                     number: there.numbers,
                     task,
                     run: run.run,
--- a/tests/losses.rs
+++ b/tests/losses.rs
@@ -1,11 +1,11 @@
 //! What the crashes under a task weigh.
 
-use puffinknot_core::jobs::losses::Losses;
-use puffinknot_core::jobs::Loss;
+use puffinknot_core::jobs::crash_evidence::CrashEvidence;
+use puffinknot_core::jobs::RunLoss;
 
 /// A run that was lost alone with an executor, so long after its start.
-fn loss(run: u64, address: &str, ran: u64, executors: u32) -> Loss {
-    Loss {
+fn loss(run: u64, address: &str, ran: u64, executors: u32) -> RunLoss {
+    RunLoss {
         run,
         alone: true,
         confirmed: true,
@@ -17,8 +17,8 @@
     }
 }
 
-fn weight(losses: &[Loss]) -> u32 {
-    let mut sum = Losses::default();
+fn weight(losses: &[RunLoss]) -> u32 {
+    let mut sum = CrashEvidence::default();
     for loss in losses {
         assert!(sum.add(loss, 1_000));
         sum.weigh(|_| Some(0.05));
@@ -44,7 +44,7 @@
 
 #[test]
 fn losses_weigh_less_once_more_crashes_are_known_of_then() {
-    let mut losses = Losses::default();
+    let mut losses = CrashEvidence::default();
     losses.add(&loss(1, "x0", 20, 1), 1_000);
     losses.weigh(|_| Some(0.05));
     let before = losses.weight;
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -1,7 +1,7 @@
 //! What is known from answers to orders.
 
 use puffinknot::cell::order::{known, Reply};
-use puffinknot_core::jobs::{HoldAnswer, OrderFailure};
+use puffinknot_core::jobs::{ExecutorReport, OrderFailure};
 
 const FAILURES: [OrderFailure; 10] = [
     OrderFailure::Fenced,
@@ -36,6 +36,6 @@
         };
         assert_eq!(known(Err(failure), true), Err(expected), "{failure:?}");
     }
-    let account = Reply::Account(HoldAnswer::default());
+    let account = Reply::Account(ExecutorReport::default());
     assert_eq!(known(Ok(account.clone()), true), Ok(account));
 }
