--- a/puffinknot-core/src/jobs/scheduler/admission.rs
+++ b/puffinknot-core/src/jobs/scheduler/admission.rs
@@ -86,7 +86,7 @@
         id: JobId,
         now: Millis,
     ) -> Option<Millis> {
-        if !self.has(Mechanism::Admission) {
+        if !self.is_enabled(Mechanism::Admission) {
             return None;
         }
         if self.ready.is_empty() {
@@ -167,14 +167,14 @@
 
     /// Reckons the backlog anew if it is too old.
     fn reckon_backlog(&mut self, now: Millis) {
-        let crowds = self.jobs.len() / CROWD + self.executors() / CROWD;
+        let crowds = self.jobs.len() / CROWD + self.executor_count() / CROWD;
         let age = BACKLOG_AGE * (1 + crowds as Millis);
         let reckoned = self.admission.reckoned;
         if reckoned.is_some_and(|at| now < at + age) {
             return;
         }
         let mut backlogs = self.rooms(now);
-        let unsettled = self.unsettled.is_some();
+        let unsettled = self.takeover_deadline.is_some();
         for (id, live) in &self.jobs {
             let Some(backlog) = backlogs.get_mut(&live.queue.service) else {
                 continue;
@@ -202,7 +202,7 @@
     fn rooms(&self, now: Millis) -> BTreeMap<String, Backlog<Place>> {
         let mut rooms: BTreeMap<&str, Room> = BTreeMap::new();
         // What saves its progress may leave its room at any time.
-        let gives_way = self.has(Mechanism::GivingWay);
+        let gives_way = self.is_enabled(Mechanism::GivingWay);
         let stays = |e: &&Executor| e.over.is_none() && !e.info.draining;
         for executor in self.executors.values().filter(stays) {
             let room = rooms.entry(&executor.info.service).or_default();
@@ -294,7 +294,7 @@
         takes: Millis,
         now: Millis,
     ) -> Millis {
-        if !self.has(Mechanism::ReturnTimes) {
+        if !self.is_enabled(Mechanism::ReturnTimes) {
             return now + COME_BACK;
         }
         let Some(live) = self.jobs.get(&id) else { return now + COME_BACK };
@@ -313,7 +313,7 @@
         first: Millis,
         now: Millis,
     ) {
-        if self.has(Mechanism::ReturnTimes) {
+        if self.is_enabled(Mechanism::ReturnTimes) {
             let returns = &mut self.admission.returns;
             let first = returns.first(id).map_or(first, |(first, _)| first);
             returns.refused(id, first, false, now + COME_BACK);
--- a/puffinknot-core/src/jobs/scheduler/advise.rs
+++ b/puffinknot-core/src/jobs/scheduler/advice.rs
@@ -127,7 +127,7 @@
     }
 
     /// Asks about the steps of a new job, before it is written.
-    pub(super) fn ask_ahead(&mut self, job: JobId, now: Millis) {
+    pub(super) fn prefetch_advice(&mut self, job: JobId, now: Millis) {
         let Some(live) = self.jobs.get(&job) else { return };
         if live.queue.advice.is_none() {
             return;
@@ -138,12 +138,12 @@
             .map(|&(time, step)| StepKey { job, time, step })
             .collect();
         for step in steps {
-            self.ask_all(step, now);
+            self.request_more_advice(step, now);
         }
     }
 
     /// Asks about all executors that were not asked about yet.
-    pub(super) fn ask_all(&mut self, key: StepKey, now: Millis) {
+    pub(super) fn request_more_advice(&mut self, key: StepKey, now: Millis) {
         let Some(live) = self.jobs.get(&key.job) else { return };
         let Some(state) = live.steps.get(&(key.time, key.step)) else {
             return;
@@ -181,7 +181,7 @@
             Some(self.executors.get(index)?.info.capacity)
         });
         let enough = self.enough(queue, step, capacities);
-        let batch = self.config.advice_batch;
+        let batch = self.config.max_advice_batch;
         let most = enough.clamp(batch, batch * MOST_CALLS);
         if ranked.len() > most {
             ranked.select_nth_unstable(most);
@@ -190,7 +190,7 @@
         let indices: Vec<ExecutorIndex> =
             ranked.into_iter().map(|(_, index)| index).collect();
         if !indices.is_empty() {
-            self.ask(key, indices, now);
+            self.request_advice(key, indices, now);
             self.change_advice(key, |advice| advice.widened = now);
             return;
         }
@@ -213,17 +213,17 @@
     /// Asks about further executors if a step has waited for those known for
     /// long. Else renewals of their tickets, which are asked for again and
     /// again while there is no room, would leave no turn to this.
-    pub(super) fn widen(&mut self, key: StepKey, now: Millis) {
+    pub(super) fn widen_advice(&mut self, key: StepKey, now: Millis) {
         let state = self.step_run(key);
         if state.is_some_and(|s| now >= s.advice.widened + WIDEN_AFTER) {
-            self.ask_all(key, now);
+            self.request_more_advice(key, now);
         }
     }
 
     /// Asks about these executors, unless a call about the step is open. More
     /// than fit into one call are asked about by several nodes at once: a
     /// gang needs tickets that all hold at one time.
-    pub(super) fn ask(
+    pub(super) fn request_advice(
         &mut self,
         key: StepKey,
         executors: Vec<ExecutorIndex>,
@@ -261,10 +261,10 @@
 
     /// How many executors each call asks about, of so many.
     fn part(&self, cost: &AdviceCost, executors: usize) -> usize {
-        let batch = self.config.advice_batch;
+        let batch = self.config.max_advice_batch;
         let long = cost.of(executors.min(batch)) > LONG_CALL;
         let split = long
-            && self.has(Mechanism::ParallelAdvice)
+            && self.is_enabled(Mechanism::ParallelAdvice)
             && !self.advice_scarce();
         let parts = if split { PARTS } else { 1 };
         executors.div_ceil(parts).clamp(1, batch)
@@ -288,7 +288,7 @@
 
     /// Forgets the calls about a job that has ended. Those under way still
     /// count for their nodes until they are answered.
-    pub(super) fn drop_calls(&mut self, job: JobId) {
+    pub(super) fn drop_advice_calls(&mut self, job: JobId) {
         self.calls
             .retain(|_, call| call.step.job != job || call.advisor.is_some());
     }
@@ -310,7 +310,7 @@
             .collect();
         open.sort_unstable();
         let crowded = open.len() > CROWDED * self.advisors.len()
-            && self.has(Mechanism::ShorterAdvice);
+            && self.is_enabled(Mechanism::ShorterAdvice);
         let mut full = Full::default();
         for (_, _, id) in open {
             if full.all() {
@@ -325,7 +325,7 @@
             if *full.of(long) {
                 continue;
             }
-            let lane = self.has(Mechanism::ShortLane);
+            let lane = self.is_enabled(Mechanism::ShortLane);
             let Some(name) = self.advisors.free(long, lane, now) else {
                 *full.of(long) = true;
                 continue;
@@ -344,7 +344,7 @@
         cost: Millis,
         now: Millis,
     ) {
-        let soon = self.has(Mechanism::OverdueAdvice);
+        let soon = self.is_enabled(Mechanism::OverdueAdvice);
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.advisor = Some(name.clone());
         let key = call.step;
@@ -394,7 +394,10 @@
     /// The fewest executors that a call asks about.
     fn least_asked(&self, call: &Call) -> usize {
         let AdviceCost { call_ms, each_ms, .. } = call.cost;
-        if !call.urgent || !self.has(Mechanism::GivingWay) || each_ms <= 0.0 {
+        if !call.urgent
+            || !self.is_enabled(Mechanism::GivingWay)
+            || each_ms <= 0.0
+        {
             return 0;
         }
         (call_ms * URGENT_PART / each_ms) as usize
@@ -495,11 +498,15 @@
             *share += (found - *share) * SHARE_WEIGHT;
         }
         self.count("advised");
-        self.stale = true;
+        self.needs_placement = true;
     }
 
     /// A ticket was refused: it has to be asked for again.
-    pub(super) fn drop_ticket(&mut self, key: StepKey, index: ExecutorIndex) {
+    pub(super) fn invalidate_ticket(
+        &mut self,
+        key: StepKey,
+        index: ExecutorIndex,
+    ) {
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
         let place = (key.time, key.step);
         let Some(state) = live.steps.get_mut(&place) else { return };
--- a/puffinknot-core/src/jobs/scheduler/alarm.rs
+++ b/puffinknot-core/src/jobs/scheduler/alarm.rs
@@ -50,14 +50,16 @@
 impl Scheduler {
     /// An order to an executor is unanswered.
     pub(super) fn order_unanswered(&mut self, now: Millis) {
-        if !self.has(Mechanism::SilenceAlarm) || !self.alarm.unanswered(now) {
+        if !self.is_enabled(Mechanism::SilenceAlarm)
+            || !self.silence_alarm.unanswered(now)
+        {
             return;
         }
         self.count("silence_alarms");
         for (index, executor) in self.executors.iter_mut() {
             if !executor.runs.is_empty() {
                 executor.probe = true;
-                self.due_holds.touch(*index);
+                self.renewal_queue.touch(*index);
             }
         }
     }
--- a/puffinknot-core/src/jobs/scheduler/behind.rs
+++ b/puffinknot-core/src/jobs/scheduler/behind.rs
@@ -141,8 +141,8 @@
         received: Millis,
         now: Millis,
     ) -> Vec<Action> {
-        self.behind.call(received, now, self.config.lease);
-        self.take(event, now);
+        self.event_lag.call(received, now, self.config.lease);
+        self.apply_event(event, now);
         std::mem::take(&mut self.actions)
     }
 
@@ -160,13 +160,13 @@
             true => now.saturating_sub(sent_at),
             false => known,
         };
-        self.behind.note(late, self.config.lease, now);
+        self.event_lag.note(late, self.config.lease, now);
     }
 
     /// Until when the leader has probably taken in what was to be heard.
     /// Silence counts until then, and no longer.
     pub(super) fn known_until(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.behind.late(now))
+        now.saturating_sub(self.event_lag.late(now))
     }
 
     /// The same of one executor.
@@ -179,6 +179,6 @@
     /// since the leader stood still.
     pub(super) fn found_silent(&self, at: &Executor) -> bool {
         let asked = at.missed_hold.filter(|_| at.failures >= FAILURES);
-        at.over.is_some() || asked >= Some(self.behind.resumed)
+        at.over.is_some() || asked >= Some(self.event_lag.resumed)
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/buckets.rs
+++ b/puffinknot-core/src/jobs/scheduler/buckets.rs
@@ -55,8 +55,8 @@
 impl Scheduler {
     /// Whether a job that is handed in is beyond its account's due.
     pub(super) fn is_beyond_due(&mut self, job: &Job, now: Millis) -> bool {
-        if !self.has(Mechanism::AccountShares)
-            || self.has(Mechanism::RoomShares)
+        if !self.is_enabled(Mechanism::AccountShares)
+            || self.is_enabled(Mechanism::RoomShares)
         {
             return false;
         }
@@ -68,7 +68,7 @@
         if weight <= 0.0 {
             return false;
         }
-        let beyond = self.buckets.spend(name, weight, now);
+        let beyond = self.token_buckets.spend(name, weight, now);
         if beyond {
             self.count("jobs_beyond_due");
         }
--- a/puffinknot-core/src/jobs/scheduler/commit.rs
+++ b/puffinknot-core/src/jobs/scheduler/commit.rs
@@ -38,11 +38,11 @@
     progress: BTreeSet<JobId>,
     ends: BTreeSet<JobId>,
     /// Executors that have listed ends since the last commit.
-    pub unnoted: BTreeSet<ExecutorIndex>,
+    pub unacknowledged: BTreeSet<ExecutorIndex>,
     /// The shards of the list of executors that have to be written.
     shards: BTreeSet<u8>,
     /// Lists of an earlier version, which go once all shards are written.
-    pub former_lists: Vec<String>,
+    pub legacy_lists: Vec<String>,
     waves: bool,
     /// What was written last of what may still run of ended jobs, and when
     /// that was worked out.
@@ -76,9 +76,9 @@
             accepted: BTreeSet::new(),
             progress: BTreeSet::new(),
             ends: BTreeSet::new(),
-            unnoted: BTreeSet::new(),
+            unacknowledged: BTreeSet::new(),
             shards: BTreeSet::new(),
-            former_lists: Vec::new(),
+            legacy_lists: Vec::new(),
             waves: false,
             stopping: Stopping::new(),
             stopping_at: 0,
@@ -92,23 +92,23 @@
         self.since.get_or_insert(now);
     }
 
-    pub fn accept(&mut self, job: JobId, now: Millis) {
+    pub fn job_accepted(&mut self, job: JobId, now: Millis) {
         self.accepted.insert(job);
         self.touch(now);
     }
 
-    pub fn progress(&mut self, job: JobId) {
+    pub fn job_progressed(&mut self, job: JobId) {
         self.progress.insert(job);
         self.touch(0);
     }
 
-    pub fn end(&mut self, job: JobId) {
+    pub fn job_ended(&mut self, job: JobId) {
         self.ends.insert(job);
         self.touch(0);
     }
 
     /// What is kept of this executor has changed.
-    pub fn enrol(&mut self, id: &str) {
+    pub fn executor_changed(&mut self, id: &str) {
         self.shards.insert(record::shard_of(id));
         self.touch(0);
     }
@@ -133,13 +133,13 @@
     }
 
     /// Whether the store has not answered for long.
-    pub fn stuck(&self, now: Millis) -> bool {
+    pub fn is_stalled(&self, now: Millis) -> bool {
         let batch = self.under_way.as_ref();
         batch.is_some_and(|batch| now > batch.sent_at + SLOW)
     }
 
     /// The new jobs that are in no commit yet. What is to stay among them has
-    /// to be handed back by [`CommitQueue::accept`].
+    /// to be handed back by [`CommitQueue::job_accepted`].
     pub fn take_accepted(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.accepted)
     }
@@ -167,7 +167,7 @@
         if self.commits.records.have_garbage(now) {
             self.commits.touch(now);
         }
-        let due = self.commits.due(self.config.commit_gap);
+        let due = self.commits.due(self.config.min_commit_interval);
         if due.is_none_or(|due| due > now) {
             return;
         }
@@ -189,7 +189,7 @@
             changes.push(Change::Put { name, value });
         }
         self.commit_stopping(&mut changes, &batch, now);
-        for index in std::mem::take(&mut self.commits.unnoted) {
+        for index in std::mem::take(&mut self.commits.unacknowledged) {
             if let Some(executor) = self.executors.get(&index) {
                 batch.noted.insert(index, executor.taken);
             }
@@ -224,7 +224,7 @@
         if batch.ends.is_empty() {
             return;
         }
-        let keep = self.config.keep_ended;
+        let keep = self.config.ended_retention;
         let records = &mut self.commits.records;
         let (name, value) = records.add_ended(&batch.ends, now, keep);
         changes.push(Change::Put { name, value });
@@ -287,7 +287,7 @@
             if kept.is_empty() || bytes <= MAX_BYTES {
                 kept.insert(job);
             } else {
-                self.commits.accept(job, now);
+                self.commits.job_accepted(job, now);
             }
         }
         batch.accepted = kept;
@@ -368,7 +368,7 @@
         if !self.commits.shards.is_empty() {
             return self.commits.touch(now);
         }
-        let former = std::mem::take(&mut self.commits.former_lists);
+        let former = std::mem::take(&mut self.commits.legacy_lists);
         changes.extend(former.into_iter().map(|name| Change::Remove { name }));
     }
 
@@ -397,11 +397,11 @@
                 if noted > executor.noted {
                     executor.noted = noted;
                     executor.next_hold = now;
-                    self.due_holds.touch(index);
+                    self.renewal_queue.touch(index);
                 }
             }
         }
-        self.stale = true;
+        self.needs_placement = true;
     }
 
     fn accepted(&mut self, job: JobId) {
@@ -421,7 +421,7 @@
     fn end_written(&mut self, ended: EndedJob, now: Millis) {
         let EndedJob { job, state, .. } = ended;
         let Some(live) = self.jobs.remove(&job) else { return };
-        let until = now + self.config.keep_ended;
+        let until = now + self.config.ended_retention;
         self.ended.insert(ended, until);
         self.actions.push(Action::JobEnded {
             job,
@@ -446,8 +446,8 @@
     /// Refuses the jobs that wait for a store that does not answer. They
     /// are in no commit, so that they never run.
     pub(super) fn refuse_waiting(&mut self, now: Millis) {
-        let stuck = self.commits.stuck(now);
-        if !self.has(Mechanism::AfterOutage) {
+        let stuck = self.commits.is_stalled(now);
+        if !self.is_enabled(Mechanism::AfterOutage) {
             if stuck {
                 for job in self.commits.take_accepted() {
                     self.refuse_new(job, now);
@@ -466,7 +466,7 @@
 
     /// Whether everything that executors have reported is written or needs
     /// no writing.
-    pub(super) fn nothing_to_write(&self) -> bool {
+    pub(super) fn has_no_pending_writes(&self) -> bool {
         self.commits.idle()
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/cordons.rs
+++ b/puffinknot-core/src/jobs/scheduler/cordons.rs
@@ -21,7 +21,7 @@
         }
         let covers = |executor: &Executor| cordons.covers(&executor.info.dc);
         let freed = |e: &Executor| e.cordoned && !covers(e);
-        self.stale |= self.executors.values().any(freed);
+        self.needs_placement |= self.executors.values().any(freed);
         self.executors.cordon(covers);
         self.cordons = cordons;
         self.count("cordons_changed");
@@ -29,7 +29,7 @@
 
     /// Whether all executors of a service are where nothing new may start, so
     /// that nobody can say when a job would begin.
-    pub(super) fn takes_nothing_new(&self, service: &str) -> bool {
+    pub(super) fn is_service_cordoned(&self, service: &str) -> bool {
         if self.cordons.is_empty() || !self.entries_read {
             return false;
         }
--- a/puffinknot-core/src/jobs/scheduler/displace.rs
+++ b/puffinknot-core/src/jobs/scheduler/displace.rs
@@ -171,7 +171,9 @@
         let key = waiting.key;
         let live = self.jobs.get(&key.job);
         let account = live.and_then(|live| live.account);
-        if !self.has(Mechanism::GivingWay) || self.over_urgent_share(account) {
+        if !self.is_enabled(Mechanism::GivingWay)
+            || self.over_urgent_share(account)
+        {
             return false;
         }
         if self.is_displacing(key, now) && self.keeps_usable(key) {
@@ -186,7 +188,7 @@
     /// Whether all executors with room that is kept for a step may still be
     /// used.
     fn keeps_usable(&self, key: StepKey) -> bool {
-        let kept = self.reserved.get(&key).into_iter().flatten();
+        let kept = self.reservations.get(&key).into_iter().flatten();
         let mut kept = kept.map(|at| self.executors.get(at));
         kept.all(|executor| executor.is_some_and(Executor::usable))
     }
@@ -206,9 +208,9 @@
             .iter()
             .filter_map(|&at| self.offer(at, key, step, priority, now))
             .collect();
-        self.looked.add_executors(executors.len());
+        self.placement_stats.add_executors(executors.len());
         let known = executors.iter().filter_map(|at| self.executors.get(at));
-        self.looked.add_runs(known.map(|e| e.runs.len()).sum());
+        self.placement_stats.add_runs(known.map(|e| e.runs.len()).sum());
         let found = choose(&mut offers, step, count);
         if found == 0 || step.gang && found < count {
             self.try_displacing(key, 0, now + TRY_AGAIN);
@@ -238,7 +240,7 @@
             self.give_way(at, &victim);
         }
         let asked = plan.into_iter().map(|(at, _)| at).collect();
-        self.ask(key, asked, now);
+        self.request_advice(key, asked, now);
         true
     }
 
@@ -298,7 +300,7 @@
 
     /// What is free on an executor once those that stop have gone.
     fn room_to_come(&self, executor: &Executor) -> Resources {
-        if !self.has(Mechanism::GivingWay) {
+        if !self.is_enabled(Mechanism::GivingWay) {
             return executor.free;
         }
         let runs = executor.runs.values();
--- a/puffinknot-core/src/jobs/scheduler/domains.rs
+++ b/puffinknot-core/src/jobs/scheduler/domains.rs
@@ -61,9 +61,9 @@
         executor.missed_at = None;
         executor.broke_off = false;
         if std::mem::take(&mut executor.doubted) {
-            self.stale = true;
+            self.needs_placement = true;
         }
-        if self.domains.heard(&executor.info.dc) {
+        if self.failure_domains.heard(&executor.info.dc) {
             let dc = executor.info.dc.clone();
             self.suspect_dc(&dc, false);
             self.count("dcs_trusted");
@@ -73,12 +73,12 @@
     /// An executor has left an order unanswered: nothing more is started
     /// there until it answers.
     pub(super) fn doubted(&mut self, index: ExecutorIndex, now: Millis) {
-        let by_dc = self.has(Mechanism::SuspectedDcs);
-        let by_executor = self.has(Mechanism::DoubtedExecutors);
+        let by_dc = self.is_enabled(Mechanism::SuspectedDcs);
+        let by_executor = self.is_enabled(Mechanism::DoubtedExecutors);
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.doubted = by_executor;
         executor.missed_at.get_or_insert(now);
-        if by_dc && self.domains.doubted(&executor.info.dc, index) {
+        if by_dc && self.failure_domains.doubted(&executor.info.dc, index) {
             let dc = executor.info.dc.clone();
             self.suspect_dc(&dc, true);
             self.count("dcs_suspected");
@@ -90,6 +90,6 @@
         for executor in self.executors.values_mut().filter(there) {
             executor.dc_suspected = suspected;
         }
-        self.stale = true;
+        self.needs_placement = true;
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/estimate.rs
+++ b/puffinknot-core/src/jobs/scheduler/estimate.rs
@@ -65,10 +65,10 @@
         let Some(step) = live.job.steps.get(key.step as usize) else {
             return 0;
         };
-        if !self.has(Mechanism::Speeds) {
+        if !self.is_enabled(Mechanism::Speeds) {
             return step.estimate;
         }
-        let error = self.guesses.of(&live.job.queue, step);
+        let error = self.estimate_errors.of(&live.job.queue, step);
         match live.steps.get(&(key.time, key.step)) {
             Some(state) => error.run_time(step.estimate, &state.times),
             None => error.run_time(step.estimate, &StepTimes::default()),
--- a/puffinknot-core/src/jobs/scheduler/fit.rs
+++ b/puffinknot-core/src/jobs/scheduler/fit.rs
@@ -44,7 +44,7 @@
     /// tasks find room elsewhere. The wrong rack counts as much as a whole
     /// executor.
     pub(super) fn leftover(&self, at: ExecutorIndex, step: &Step) -> u64 {
-        if !self.has(Mechanism::BestFit) {
+        if !self.is_enabled(Mechanism::BestFit) {
             return 0;
         }
         let Some(executor) = self.executors.get(&at) else { return u64::MAX };
--- a/puffinknot-core/src/jobs/scheduler/followers.rs
+++ b/puffinknot-core/src/jobs/scheduler/followers.rs
@@ -120,7 +120,7 @@
         executor.described = Described::Not;
         executor.enrolled = false;
         executor.speed = Speed::default();
-        self.commits.enrol(&executor.info.id);
+        self.commits.executor_changed(&executor.info.id);
         if let Some(info) = executor.take_entry_of(born) {
             executor.described = Described::ByEntry;
             self.describe(index, info);
@@ -154,7 +154,7 @@
             }
         };
         let (machine, listed) = (before.machine.clone(), before.listed);
-        self.commits.enrol(&info.id);
+        self.commits.executor_changed(&info.id);
         let next = self.enrol(info, now);
         if let Some(executor) = self.executors.get_mut(&next) {
             executor.described = described;
--- a/puffinknot-core/src/jobs/scheduler/gangs.rs
+++ b/puffinknot-core/src/jobs/scheduler/gangs.rs
@@ -86,7 +86,7 @@
             .map(|(at, _)| at)
             .collect();
         let open = self.ready_for_trial(key, open, now);
-        self.looked.add_executors(open.len());
+        self.placement_stats.add_executors(open.len());
         let suspect = self.suspected(key.task(0)).cloned();
         let again = |at: ExecutorIndex| {
             failed_on.contains(&at) || self.is_no_trial(at, suspect.as_ref())
@@ -106,7 +106,7 @@
             // Tickets are too old: keep the room, and ask anew.
             self.reserve(key, &step, &plan);
             let asked = plan.iter().map(|(at, _)| *at).collect();
-            self.ask(key, asked, now);
+            self.request_advice(key, asked, now);
             return false;
         }
         if self.is_displacing(key, now) {
@@ -115,7 +115,7 @@
         self.note_full(key);
         self.unreserve(key);
         let waiting = Waiting { key, step: &step, count: step.count };
-        let displaces = keep && self.has(Mechanism::Displacing);
+        let displaces = keep && self.is_enabled(Mechanism::Displacing);
         if displaces && self.displace(&waiting, &open, now)
             || urgent && self.make_way(&waiting, &open, now)
         {
@@ -123,13 +123,13 @@
         }
         let all: Vec<ExecutorIndex> =
             candidates.iter().map(|(at, _)| *at).collect();
-        self.widen(key, now);
+        self.widen_advice(key, now);
         let scarce = self.advice_scarce();
         if keep {
             self.keep_for(&waiting, &all, !scarce, kept, now);
         }
         if !scarce || !self.could_hold(&step, &all) {
-            self.ask_all(key, now);
+            self.request_more_advice(key, now);
         }
         false
     }
@@ -144,7 +144,7 @@
         };
         let step = &live.job.steps[key.step as usize];
         // Its own room is free to it, and a trial has others asked.
-        let special = self.reserved.contains_key(&key)
+        let special = self.reservations.contains_key(&key)
             || now < state.tries_until
             || state.waiting.len() as u32 != step.count;
         if special || live.queue.advice.is_none() {
@@ -171,10 +171,10 @@
             return;
         }
         self.note_full(key);
-        self.widen(key, now);
+        self.widen_advice(key, now);
         let scarce = self.advice_scarce();
         if !scarce || !self.could_hold_all(key, now) {
-            self.ask_all(key, now);
+            self.request_more_advice(key, now);
         }
     }
 
@@ -300,11 +300,11 @@
             }
         }
         let at = plan.iter().map(|(at, _)| *at);
-        self.reserved.insert(key, at.collect());
+        self.reservations.insert(key, at.collect());
     }
 
     pub(super) fn unreserve(&mut self, key: StepKey) {
-        for at in self.reserved.remove(&key).into_iter().flatten() {
+        for at in self.reservations.remove(&key).into_iter().flatten() {
             if let Some(executor) = self.executors.get_mut(&at) {
                 executor.unreserve(&key);
             }
@@ -318,7 +318,7 @@
         at: ExecutorIndex,
         step: &Step,
     ) {
-        if !self.reserved.contains_key(&key) {
+        if !self.reservations.contains_key(&key) {
             return;
         }
         let Some(executor) = self.executors.get_mut(&at) else { return };
@@ -332,7 +332,7 @@
     }
 
     pub(super) fn drop_reservations(&mut self, job: JobId) {
-        let of_job = self.reserved.keys().filter(|key| key.job == job);
+        let of_job = self.reservations.keys().filter(|key| key.job == job);
         let steps: Vec<StepKey> = of_job.copied().collect();
         for step in steps {
             self.unreserve(step);
@@ -380,8 +380,8 @@
                 ends.push((expected_end(run, now), at, run.need));
             }
         }
-        self.looked.add_executors(executors.len());
-        self.looked.add_runs(ends.len());
+        self.placement_stats.add_executors(executors.len());
+        self.placement_stats.add_runs(ends.len());
         ends.sort_unstable_by_key(|(end, at, _)| (*end, *at));
         let mut total: u64 = free
             .values()
@@ -422,7 +422,7 @@
             left = left.saturating_sub(there);
             chosen.push(at);
         }
-        if may_ask && self.has(Mechanism::TicketsAhead) {
+        if may_ask && self.is_enabled(Mechanism::TicketsAhead) {
             self.refresh_ahead(key, chosen, when, now);
         }
     }
@@ -449,7 +449,7 @@
             good.is_none_or(|ticket| ticket.until < when.max(now + call))
         });
         if old {
-            self.ask(key, executors, now);
+            self.request_advice(key, executors, now);
         }
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/holds.rs
+++ b/puffinknot-core/src/jobs/scheduler/holds.rs
@@ -44,8 +44,8 @@
     /// Sends the holds that are due, to some executors at a time, so that a
     /// takeover of many holds nothing else up for long.
     pub(super) fn send_holds(&mut self, now: Millis) {
-        let idle = self.nothing_to_write();
-        for index in self.due_holds.take(now, AT_ONCE) {
+        let idle = self.has_no_pending_writes();
+        for index in self.renewal_queue.take(now, AT_ONCE) {
             self.send_hold(index, idle, now);
         }
     }
@@ -72,12 +72,12 @@
                     wait: 0,
                 });
             } else if executor.probe {
-                self.due_holds.at(probes, index);
+                self.renewal_queue.at(probes, index);
             }
             return;
         }
         if executor.next_hold > now {
-            return self.due_holds.at(executor.next_hold, index);
+            return self.renewal_queue.at(executor.next_hold, index);
         }
         // What is reported already would be reported again at once.
         let fresh = executor.noted == executor.taken;
@@ -88,7 +88,7 @@
         let longest = if close { CLOSE } else { WAIT };
         let wait = if patient { longest } else { 0 };
         if !fresh && !idle && now < executor.held_at + UNWRITTEN {
-            return self.due_holds.at(executor.held_at + UNWRITTEN, index);
+            return self.renewal_queue.at(executor.held_at + UNWRITTEN, index);
         }
         // An executor that did not answer gets no more time, or what runs
         // there could never be given up.
@@ -101,7 +101,7 @@
         executor.holding = true;
         executor.probe &= !asked;
         if executor.probe {
-            self.due_holds.at(executor.next_probe, index);
+            self.renewal_queue.at(executor.next_probe, index);
         }
         executor.held_at = now;
         executor.wait = wait;
@@ -132,7 +132,7 @@
         now: Millis,
     ) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        self.due_holds.touch(index);
+        self.renewal_queue.touch(index);
         let main = executor.held_at == sent_at;
         if main {
             executor.holding = false;
@@ -212,7 +212,7 @@
             });
             self.meet_in_flight(index, now);
         }
-        let received = self.behind.received();
+        let received = self.event_lag.received();
         let Some(executor) = self.executors.get_mut(&index) else { return };
         let given = Given::new(executor, answer.clock, received);
         executor.age = now.saturating_sub(given.at());
@@ -242,7 +242,7 @@
         }
         if executor.over.is_none() {
             executor.contact = Contact::Ready;
-            self.hidden.remove(&index);
+            self.unheard_executors.remove(&index);
         }
         let fresh: Vec<EndRow> = answer
             .ended
@@ -260,12 +260,12 @@
                     _ => 0,
                 };
         }
-        self.stale = true;
+        self.needs_placement = true;
         if outdated {
             self.count("accounts_outdated");
         }
         if !fresh.is_empty() {
-            self.commits.unnoted.insert(index);
+            self.commits.unacknowledged.insert(index);
         }
         for end in fresh {
             if let Some(executor) = self.executors.get_mut(&index) {
--- a/puffinknot-core/src/jobs/scheduler/judge.rs
+++ b/puffinknot-core/src/jobs/scheduler/judge.rs
@@ -20,7 +20,7 @@
         end: &EndRow,
         now: Millis,
     ) {
-        if !self.has(Mechanism::Breaker) {
+        if !self.is_enabled(Mechanism::Breaker) {
             return;
         }
         match end.how {
--- a/puffinknot-core/src/jobs/scheduler/leaving.rs
+++ b/puffinknot-core/src/jobs/scheduler/leaving.rs
@@ -42,25 +42,29 @@
         let Some(executor) = self.executors.get(&index) else { return };
         let info = &executor.info;
         let Some(left) = info.remaining.filter(|_| info.draining) else {
-            self.notices.0.remove(&index);
+            self.departures.0.remove(&index);
             return;
         };
         // The entry may be read again, and be older then.
-        let leaves = self.notices.0.entry(index).or_insert(now + left);
+        let leaves = self.departures.0.entry(index).or_insert(now + left);
         *leaves = (*leaves).min(now + left);
     }
 
     /// Stops what would die on executors that leave.
     pub(super) fn clear_leaving(&mut self, now: Millis) {
-        if !self.has(Mechanism::Leaving) {
+        if !self.is_enabled(Mechanism::Leaving) {
             return;
         }
-        let notices: Vec<(ExecutorIndex, Millis)> =
-            self.notices.0.iter().map(|(at, leaves)| (*at, *leaves)).collect();
+        let notices: Vec<(ExecutorIndex, Millis)> = self
+            .departures
+            .0
+            .iter()
+            .map(|(at, leaves)| (*at, *leaves))
+            .collect();
         for (index, leaves) in notices {
             let executor = self.executors.get(&index);
             let Some(executor) = executor.filter(|e| e.over.is_none()) else {
-                self.notices.0.remove(&index);
+                self.departures.0.remove(&index);
                 continue;
             };
             let id = executor.info.id.clone();
--- a/puffinknot-core/src/jobs/scheduler/ledger.rs
+++ b/puffinknot-core/src/jobs/scheduler/ledger.rs
@@ -288,13 +288,13 @@
     /// at most what executors hold that have not answered, and at most what
     /// may have been started.
     pub(super) fn count_unseen(&mut self) {
-        if self.unsettled.is_none() {
+        if self.takeover_deadline.is_none() {
             return self.ledger.settled();
         }
         if self.ledger.entries.is_empty() {
             return;
         }
-        let unseen = self.hidden.iter();
+        let unseen = self.unheard_executors.iter();
         let unseen = unseen.filter_map(|at| self.executors.get(at));
         let most = unseen.fold(Resources::default(), |sum, executor| {
             sum.plus(&executor.info.capacity)
@@ -331,7 +331,7 @@
         if fits && turns.admits(account, now + self.usual_run_time(key)) {
             return false;
         }
-        if !fits && step.gang && self.has(Mechanism::LimitForGangs) {
+        if !fits && step.gang && self.is_enabled(Mechanism::LimitForGangs) {
             let when = self.ledger.leaves_at(account, &needed, now);
             turns.wait(account, when);
         }
@@ -344,7 +344,7 @@
     /// started them: they count on until the takeover is settled.
     pub(super) fn keep_unseen(&mut self, job: JobId) {
         let Some(live) = self.jobs.get(&job) else { return };
-        if self.unsettled.is_none() || !live.inherited {
+        if self.takeover_deadline.is_none() || !live.inherited {
             return;
         }
         let amount = live.waits_for();
--- a/puffinknot-core/src/jobs/scheduler/lives.rs
+++ b/puffinknot-core/src/jobs/scheduler/lives.rs
@@ -37,11 +37,11 @@
             if executor.info.born != info.born {
                 return self.another_listed(index, info, now);
             }
-            self.stale |= executor.described != Described::ByEntry;
+            self.needs_placement |= executor.described != Described::ByEntry;
             executor.described = Described::ByEntry;
             if executor.info != info {
                 self.describe(index, info);
-                self.stale = true;
+                self.needs_placement = true;
             }
             return;
         }
@@ -52,7 +52,7 @@
         // Entries may outlive their executors, so that it is not known which
         // of two lives with one address is the newer.
         self.ask_others_at(&info.address, now);
-        self.commits.enrol(&info.id);
+        self.commits.executor_changed(&info.id);
         self.enrol(info, now);
     }
 
@@ -101,7 +101,7 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.probe = true;
         executor.next_hold = now;
-        self.due_holds.touch(index);
+        self.renewal_queue.touch(index);
     }
 
     /// Asks an executor then, also beside a hold that waits there.
@@ -109,7 +109,7 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.probe = true;
         executor.next_probe = executor.next_probe.max(at);
-        self.due_holds.at(at, index);
+        self.renewal_queue.at(at, index);
     }
 
     /// Takes an executor up, to be asked at once.
@@ -122,7 +122,7 @@
         let mut executor = Executor::new(info, now);
         executor.cordoned = self.cordons.covers(&executor.info.dc);
         let index = self.executors.add(executor);
-        self.due_holds.touch(index);
+        self.renewal_queue.touch(index);
         self.by_id.insert(id, index);
         index
     }
@@ -171,7 +171,7 @@
     /// Gives up the lives that are over, as far as it is confirmed that this
     /// node led by then.
     pub(super) fn give_up_lives(&mut self, now: Millis) {
-        let confirmed = self.confirmed;
+        let confirmed = self.leadership_confirmed_at;
         let over = self.executors.iter().filter_map(|(index, executor)| {
             let (why, at) = executor.over?;
             // Ends that it has told of may wait.
@@ -210,13 +210,13 @@
             self.suspect(crash, now);
         }
         // Nothing is left there that counts for an account.
-        self.hidden.remove(&index);
+        self.unheard_executors.remove(&index);
         if let Some(executor) = self.executors.remove(&index) {
             // Its name may be that of a life that follows it.
             if self.by_id.get(&executor.info.id) == Some(&index) {
                 self.by_id.remove(&executor.info.id);
             }
-            self.commits.enrol(&executor.info.id);
+            self.commits.executor_changed(&executor.info.id);
         }
         self.settle(now);
     }
@@ -246,7 +246,7 @@
     /// Gives up what has certainly lapsed on executors that are silent.
     pub(super) fn expire(&mut self, now: Millis) {
         let settled = self.settled();
-        let confirmed = self.confirmed;
+        let confirmed = self.leadership_confirmed_at;
         let lapsed = self.executors.iter().filter_map(|(index, executor)| {
             let known = || confirmed.min(self.news_until(executor, now));
             let why = match executor.contact {
--- a/puffinknot-core/src/jobs/scheduler/looked.rs
+++ b/puffinknot-core/src/jobs/scheduler/looked.rs
@@ -47,12 +47,13 @@
 impl Scheduler {
     /// How much the placing of tasks has looked through.
     pub fn looked(&self) -> Looked {
-        self.looked
+        self.placement_stats
     }
 
     /// Takes over the totals into the counters.
     pub(super) fn count_looked(&mut self) {
-        let Looked { rounds, put_off, steps, executors, runs } = self.looked;
+        let Looked { rounds, put_off, steps, executors, runs } =
+            self.placement_stats;
         let totals = [
             ("place_rounds", rounds),
             ("place_rounds_put_off", put_off),
--- a/puffinknot-core/src/jobs/scheduler/machines.rs
+++ b/puffinknot-core/src/jobs/scheduler/machines.rs
@@ -47,10 +47,10 @@
 
     /// Whether there are executors whose machines were not looked for.
     fn misses_machines(&self, now: Millis) -> bool {
-        if now < self.machines.asked_at + LEARN_EVERY {
+        if now < self.machines.list_requested_at + LEARN_EVERY {
             return false;
         }
-        let learnt = self.machines.answered_for;
+        let learnt = self.machines.answered_request_at;
         self.executors.values().any(|executor| {
             let due = executor.known_since + NAMED_AFTER;
             executor.machine.is_empty() && learnt < due && due <= now
@@ -66,7 +66,7 @@
         if machines.is_empty() {
             return;
         }
-        self.machines.answered_for = self.machines.asked_at;
+        self.machines.answered_request_at = self.machines.list_requested_at;
         self.learn_machines(machines);
         self.give_up_departed(machines, now);
     }
@@ -80,7 +80,7 @@
             };
             if executor.machine != info.machine {
                 executor.machine = info.machine.clone();
-                self.commits.enrol(&info.executor);
+                self.commits.executor_changed(&info.executor);
             }
         }
     }
@@ -90,7 +90,7 @@
     fn give_up_departed(&mut self, machines: &[MachineInfo], now: Millis) {
         let by_name: BTreeMap<&str, &MachineInfo> =
             machines.iter().map(|m| (m.machine.as_str(), m)).collect();
-        let asked_at = self.machines.asked_at;
+        let asked_at = self.machines.list_requested_at;
         let departed = self.executors.iter().filter(|(_, executor)| {
             executor.contact != Contact::Ready
                 && executor.silent_since + SILENT_FOR < asked_at
--- a/puffinknot-core/src/jobs/scheduler/waves.rs
+++ b/puffinknot-core/src/jobs/scheduler/maintenance.rs
@@ -89,10 +89,10 @@
     not_before: Millis,
     listing: bool,
     /// When the list was asked for last.
-    pub asked_at: Millis,
+    pub list_requested_at: Millis,
     listed_at: Option<Millis>,
     /// When the last list that was answered was asked for.
-    pub answered_for: Millis,
+    pub answered_request_at: Millis,
     /// Machines whose upkeep this wave has done, as written.
     pub finished: BTreeMap<u64, BTreeSet<String>>,
 }
@@ -116,7 +116,7 @@
     /// Whether the list has shown the machine of an executor down for its
     /// upkeep since that was heard last: a call of a predecessor may have been
     /// carried out.
-    pub fn was_taken_down(&self, executor: &Executor) -> bool {
+    pub fn was_in_maintenance(&self, executor: &Executor) -> bool {
         let seen = self.in_upkeep_at.get(&executor.machine);
         seen.is_some_and(|at| executor.heard_at() < Some(*at))
     }
@@ -180,7 +180,7 @@
         let mut done = Vec::new();
         let mut again = Vec::new();
         let wanted = self.machines.wanted();
-        let asked_at = self.machines.asked_at;
+        let asked_at = self.machines.list_requested_at;
         for (number, wave) in &mut self.machines.waves {
             for (machine, turn) in &mut wave.turns {
                 let Some(info) = self.machines.machines.get(machine) else {
@@ -297,11 +297,11 @@
             .collect();
         self.report_waves();
         let every = if open.is_empty() { LOOK_EVERY } else { LIST_EVERY };
-        let due = self.machines.asked_at + every <= now;
+        let due = self.machines.list_requested_at + every <= now;
         let wanted = !open.is_empty() || self.wants_machines(now);
         if wanted && due && !self.machines.listing {
             self.machines.listing = true;
-            self.machines.asked_at = now;
+            self.machines.list_requested_at = now;
             self.actions.push(Action::ListMachines);
         }
         if self.machines.listed_at.is_none() || now < self.machines.not_before
--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -17,14 +17,14 @@
 `alarm` connections that have fallen silent, `behind` how late the leader's
 news are, `judge` executors that fail what they run, `suspects` tasks that
 crash the executors that start them, `due`
-knows which executors to look at, `advise` spreads the calls for advice over
+knows which executors to look at, `advice` spreads the calls for advice over
 all nodes, which `advisors` knows, `commit` groups what has to be written,
-`outage` refuses what would wait in vain for the store,
+`store_outage` refuses what would wait in vain for the store,
 `leaving` moves what runs on executors that are about to go,
 `looked` counts what placing looks through, `rounds` bounds its part of the
 time,
 `records` knows what of it still matters, `pace` slows tasks that fill beside
-tasks that serve, `waves` takes machines down for their upkeep, and `restore`
+tasks that serve, `maintenance` takes machines down for their upkeep, and `restore`
 takes over from a predecessor.
 */
 
@@ -47,7 +47,7 @@
 
 mod admission;
 mod admit;
-mod advise;
+mod advice;
 mod advisors;
 mod alarm;
 mod behind;
@@ -70,8 +70,8 @@
 mod lives;
 mod looked;
 mod machines;
+mod maintenance;
 mod order;
-mod outage;
 mod pace;
 mod place;
 mod records;
@@ -82,12 +82,12 @@
 mod runs;
 mod shares;
 mod speeds;
+mod store_outage;
 mod suspects;
 mod urgent;
-mod waves;
 
 use self::admission::Admission;
-use self::advise::Call;
+use self::advice::Call;
 use self::advisors::Advisors;
 use self::alarm::Alarm;
 use self::behind::Behind;
@@ -101,13 +101,13 @@
 pub use self::ledger::Usage;
 use self::live::Live;
 pub use self::looked::Looked;
+use self::maintenance::Machines;
 use self::order::LateTurns;
-use self::outage::Outages;
 use self::rounds::Rounds;
 use self::shares::Shares;
 use self::speeds::Guesses;
+use self::store_outage::Outages;
 use self::urgent::UrgentRoom;
-use self::waves::Machines;
 
 /// What a scheduler is told once.
 #[derive(Clone, Debug)]
@@ -117,14 +117,14 @@
     /// The longest lease on an executor, in milliseconds.
     pub lease: Millis,
     /// How long ended jobs stay known, in milliseconds.
-    pub keep_ended: Millis,
+    pub ended_retention: Millis,
     /// For how long a predecessor's orders may be in force on executors
     /// that don't answer, in milliseconds.
-    pub inherited_for: Millis,
+    pub inherited_order_lifetime: Millis,
     /// Executors may be asked for advice in calls of at most this many.
-    pub advice_batch: usize,
+    pub max_advice_batch: usize,
     /// The least time between two writes to the store, in milliseconds.
-    pub commit_gap: Millis,
+    pub min_commit_interval: Millis,
     /// The mechanisms that are switched off.
     pub without: Without,
 }
@@ -171,11 +171,11 @@
     queues: BTreeMap<String, Arc<Queue>>,
     keys: KeyRing,
     ledger: Ledger,
-    shares_of_accounts: Shares,
-    guesses: Guesses,
-    urgent: UrgentRoom,
+    account_shares: Shares,
+    estimate_errors: Guesses,
+    urgent_headroom: UrgentRoom,
     admission: Admission,
-    buckets: Buckets,
+    token_buckets: Buckets,
     late_turns: LateTurns,
     jobs: BTreeMap<JobId, Live>,
     ended: Ended,
@@ -186,20 +186,20 @@
     in_flight: Vec<InFlight>,
     /// Executors not heard yet on which something that a predecessor ordered
     /// may run unseen.
-    hidden: BTreeSet<ExecutorIndex>,
+    unheard_executors: BTreeSet<ExecutorIndex>,
     /// Whether the entries of executors were read in this tenure.
     entries_read: bool,
     /// Executors that may be due for a hold.
-    due_holds: DueHolds,
+    renewal_queue: DueHolds,
     /// Steps with tasks that may be started.
     ready: BTreeSet<StepKey>,
     /// Whether something has changed that may let a task start.
-    stale: bool,
+    needs_placement: bool,
     /// When steps that are not urgent were looked at last.
-    placed_all: Millis,
-    rounds: Rounds,
+    last_full_round: Millis,
+    placement_rounds: Rounds,
     /// Steps that have room kept, and on which executors.
-    reserved: BTreeMap<StepKey, Vec<ExecutorIndex>>,
+    reservations: BTreeMap<StepKey, Vec<ExecutorIndex>>,
     next_run: u64,
     arrivals: u64,
     advisors: Advisors,
@@ -209,20 +209,20 @@
     shares: BTreeMap<String, f64>,
     commits: CommitQueue,
     outages: Outages,
-    notices: Notices,
+    departures: Notices,
     machines: Machines,
-    domains: Domains,
+    failure_domains: Domains,
     cordons: Cordons,
     crash_rate: CrashRate,
-    alarm: Alarm,
-    behind: Behind,
+    silence_alarm: Alarm,
+    event_lag: Behind,
     /// Until when what a predecessor ordered may be unknown, if it may.
-    unsettled: Option<Millis>,
+    takeover_deadline: Option<Millis>,
     /// When the store was last asked and confirmed that nobody else leads.
-    confirmed: Millis,
+    leadership_confirmed_at: Millis,
     /// Wall time less monotonic time, in milliseconds.
     wall_offset: i64,
-    looked: Looked,
+    placement_stats: Looked,
     counters: BTreeMap<&'static str, u64>,
     actions: Vec<Action>,
 }
@@ -238,46 +238,46 @@
             next_run: config.token * RUNS_PER_TOKEN,
             commits: CommitQueue::new(config.token),
             outages: Outages::default(),
-            notices: Notices::default(),
+            departures: Notices::default(),
             machines: Machines::default(),
-            domains: Domains::default(),
+            failure_domains: Domains::default(),
             cordons: Cordons::default(),
             crash_rate: CrashRate::default(),
-            alarm: Alarm::default(),
-            behind: Behind::default(),
+            silence_alarm: Alarm::default(),
+            event_lag: Behind::default(),
             config,
             policy: Arc::default(),
             queues: BTreeMap::new(),
             keys: KeyRing::default(),
             ledger: Ledger::default(),
-            shares_of_accounts: Shares::default(),
-            guesses: Guesses::default(),
-            urgent: UrgentRoom::default(),
+            account_shares: Shares::default(),
+            estimate_errors: Guesses::default(),
+            urgent_headroom: UrgentRoom::default(),
             admission: Admission::default(),
-            buckets: Buckets::default(),
+            token_buckets: Buckets::default(),
             late_turns: LateTurns::default(),
             jobs: BTreeMap::new(),
             ended: Ended::default(),
             executors: Executors::default(),
-            hidden: BTreeSet::new(),
+            unheard_executors: BTreeSet::new(),
             entries_read: false,
-            due_holds: DueHolds::default(),
+            renewal_queue: DueHolds::default(),
             by_id: BTreeMap::new(),
             in_flight: Vec::new(),
             ready: BTreeSet::new(),
-            stale: false,
-            placed_all: 0,
-            rounds: Rounds::default(),
-            reserved: BTreeMap::new(),
+            needs_placement: false,
+            last_full_round: 0,
+            placement_rounds: Rounds::default(),
+            reservations: BTreeMap::new(),
             arrivals: 0,
             advisors: Advisors::default(),
             calls: BTreeMap::new(),
             next_call: 0,
             shares: BTreeMap::new(),
-            unsettled: None,
-            confirmed: 0,
+            takeover_deadline: None,
+            leadership_confirmed_at: 0,
             wall_offset: 0,
-            looked: Looked::default(),
+            placement_stats: Looked::default(),
             counters: BTreeMap::new(),
             actions: Vec::new(),
         };
@@ -307,15 +307,15 @@
         self.keys = KeyRing::new(&policy);
         self.ledger.set_accounts(&policy);
         self.policy = policy;
-        self.stale = true;
+        self.needs_placement = true;
     }
 
     /// Sets when the store was last asked and confirmed that nobody else
     /// leads. Only leases that ran out before, and lives that were over
     /// before, are given up: a successor may have renewed them since, or
     /// heard what has ended there.
-    pub fn set_confirmed(&mut self, at: Millis) {
-        self.confirmed = self.confirmed.max(at);
+    pub fn confirm_leadership(&mut self, at: Millis) {
+        self.leadership_confirmed_at = self.leadership_confirmed_at.max(at);
     }
 
     /// Sets wall time less monotonic time, in milliseconds.
@@ -328,7 +328,7 @@
         self.handle_received(event, now, now)
     }
 
-    fn take(&mut self, event: Event, now: Millis) {
+    fn apply_event(&mut self, event: Event, now: Millis) {
         match event {
             Event::Request { id, caller, request } => {
                 self.request(id, &caller, request, now);
@@ -371,7 +371,7 @@
     /// Does what has become possible since the last time. To be called
     /// after a group of events.
     pub fn advance(&mut self, now: Millis) -> Vec<Action> {
-        if std::mem::take(&mut self.stale) {
+        if std::mem::take(&mut self.needs_placement) {
             self.place(now);
         }
         self.dispatch_advice(now);
@@ -383,9 +383,12 @@
     /// When [`Scheduler::advance`] has something to do at the latest, if
     /// nothing happens before.
     pub fn next_advance(&self) -> Option<Millis> {
-        let commit = self.commits.due(self.config.commit_gap);
-        let holds = self.due_holds.is_left().then_some(0);
-        [commit, holds, self.rounds.next()].into_iter().flatten().min()
+        let commit = self.commits.due(self.config.min_commit_interval);
+        let holds = self.renewal_queue.is_left().then_some(0);
+        [commit, holds, self.placement_rounds.next()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn tick(&mut self, now: Millis) {
@@ -403,7 +406,7 @@
         self.clear_leaving(now);
         self.advance_waves(now);
         self.refresh_speeds(now);
-        self.stale = true;
+        self.needs_placement = true;
     }
 
     /// The number of events of each kind so far.
@@ -412,7 +415,7 @@
     }
 
     /// The number of jobs that have not ended.
-    pub fn live(&self) -> usize {
+    pub fn live_jobs(&self) -> usize {
         self.jobs.len()
     }
 
@@ -422,7 +425,7 @@
     }
 
     /// The number of executors.
-    pub fn executors(&self) -> usize {
+    pub fn executor_count(&self) -> usize {
         self.by_id.len()
     }
 
@@ -436,7 +439,7 @@
     }
 
     /// Whether a mechanism is on.
-    fn has(&self, mechanism: Mechanism) -> bool {
+    fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.config.without.has(mechanism)
     }
 
--- a/puffinknot-core/src/jobs/scheduler/order.rs
+++ b/puffinknot-core/src/jobs/scheduler/order.rs
@@ -94,9 +94,9 @@
         let live = self.jobs.get(&key.job)?;
         let class = self.class(live);
         let arrival = live.arrival;
-        let (reach, by) = if !self.has(Mechanism::OrderByObjective) {
+        let (reach, by) = if !self.is_enabled(Mechanism::OrderByObjective) {
             (Reach::InTime, 0)
-        } else if self.has(Mechanism::LatestStart) {
+        } else if self.is_enabled(Mechanism::LatestStart) {
             self.reach(key, live, now)
         } else {
             (reach_by_deadline(live, now), live.deadline)
@@ -157,7 +157,7 @@
         if step.gang || step.count == 1 {
             return 0;
         }
-        let whole = self.shares_of_accounts.whole();
+        let whole = self.account_shares.whole();
         let room = whole.least(&self.ledger.most(live.account));
         let waiting = live.steps.get(&(key.time, key.step));
         let waiting = waiting.map_or(0, |run| run.waiting.len()) as u32;
@@ -174,7 +174,7 @@
         order: &mut [(Rank, StepKey)],
         now: Millis,
     ) {
-        if !self.has(Mechanism::LatestStart) {
+        if !self.is_enabled(Mechanism::LatestStart) {
             return;
         }
         let mut first: BTreeMap<Class, (u64, StepKey)> = BTreeMap::new();
--- a/puffinknot-core/src/jobs/scheduler/place.rs
+++ b/puffinknot-core/src/jobs/scheduler/place.rs
@@ -59,7 +59,7 @@
     /// unless placing rests, see [`super::rounds`]; while some others wait,
     /// those are looked at less often.
     pub(super) fn place(&mut self, now: Millis) {
-        self.looked.rounds += 1;
+        self.placement_stats.rounds += 1;
         self.place_round(now);
         self.count_looked();
     }
@@ -67,9 +67,11 @@
     fn place_round(&mut self, now: Millis) {
         let crowds = (self.ready.len() / CROWD) as Millis;
         let gap = PLACE_GAP * crowds;
-        if !self.rounds.may_begin(now) || now < self.placed_all + gap {
-            self.stale = true;
-            self.looked.put_off += 1;
+        if !self.placement_rounds.may_begin(now)
+            || now < self.last_full_round + gap
+        {
+            self.needs_placement = true;
+            self.placement_stats.put_off += 1;
             return;
         }
         self.weigh_shares(now);
@@ -79,11 +81,12 @@
         let mut order: Vec<(Rank, StepKey)> = ready.collect();
         self.give_turns(&mut order, now);
         let patient = order.iter().filter(|(rank, _)| !rank.urgent()).count();
-        let due = patient <= FEW_WAIT || now >= self.placed_all + PLACE_GAP;
-        let all = due && self.rounds.may_take_all(now);
-        self.rounds.begin(all);
+        let due =
+            patient <= FEW_WAIT || now >= self.last_full_round + PLACE_GAP;
+        let all = due && self.placement_rounds.may_take_all(now);
+        self.placement_rounds.begin(all);
         if all {
-            self.placed_all = now;
+            self.last_full_round = now;
         } else {
             order.retain(|(rank, _)| rank.urgent());
         }
@@ -96,7 +99,7 @@
         let mut turns = Turns::default();
         let mut kept = Kept::new();
         let mut plans = 0;
-        self.looked.steps += order.len() as u64;
+        self.placement_stats.steps += order.len() as u64;
         let mut order: BinaryHeap<Reverse<(Rank, StepKey)>> =
             order.into_iter().map(Reverse).collect();
         while let Some(Reverse((rank, key))) = order.pop() {
@@ -113,7 +116,7 @@
             let gang = self.step(key).is_some_and(|s| s.gang && s.count > 1);
             let keep = !urgent
                 && plans < MAX_PLANS
-                && self.has(Mechanism::RoomForGangs);
+                && self.is_enabled(Mechanism::RoomForGangs);
             if gang {
                 if !self.place_gang(key, &mut kept, keep, urgent, now) {
                     plans += 1;
@@ -149,7 +152,7 @@
             self.unreserve(key);
             return false;
         }
-        let unsettled = live.inherited && self.unsettled.is_some();
+        let unsettled = live.inherited && self.takeover_deadline.is_some();
         live.written && !unsettled
     }
 
@@ -205,7 +208,7 @@
         if state.advice.known {
             return false;
         }
-        self.ask_all(key, now);
+        self.request_more_advice(key, now);
         true
     }
 
@@ -222,13 +225,13 @@
         let live = self.jobs.get(&key.job)?;
         let step = live.job.steps[key.step as usize].clone();
         let state = live.steps.get(&(key.time, key.step))?;
-        let failed_on = if self.has(Mechanism::FailedThere) {
+        let failed_on = if self.is_enabled(Mechanism::FailedThere) {
             state.failed_on.clone()
         } else {
             BTreeSet::new()
         };
         let candidates = self.candidates(key, now);
-        self.looked.add_executors(candidates.len());
+        self.placement_stats.add_executors(candidates.len());
         let account = live.account;
         Some(Opening { key, step, failed_on, candidates, account })
     }
@@ -269,7 +272,7 @@
             if !self.ledger.left(account).fits(&step.need) {
                 break;
             }
-            self.looked.add_executors(open.len());
+            self.placement_stats.add_executors(open.len());
             let fits = open.iter().filter(|(at, _)| {
                 let Some(executor) = self.executors.get(at) else {
                     return false;
@@ -316,12 +319,12 @@
             self.unreserve(key);
             return true;
         }
-        self.widen(key, now);
+        self.widen_advice(key, now);
         if stale {
             // The room may be gone when the answer comes, and be elsewhere.
             let aged = candidates.iter().filter(|(_, holds)| !holds);
             let aged = aged.map(|(at, _)| *at).take(MOST_RENEWED).collect();
-            self.ask(key, aged, now);
+            self.request_advice(key, aged, now);
             return true;
         }
         self.note_full(key);
@@ -357,7 +360,7 @@
             self.keep_for(waiting, known, may_ask, kept, now);
         }
         if !self.advice_scarce() || !self.could_hold(waiting.step, known) {
-            self.ask_all(waiting.key, now);
+            self.request_more_advice(waiting.key, now);
         }
         keeps
     }
--- a/puffinknot-core/src/jobs/scheduler/requests.rs
+++ b/puffinknot-core/src/jobs/scheduler/requests.rs
@@ -118,9 +118,9 @@
         if let Some(live) = self.jobs.get_mut(&name) {
             live.submitters.push(id);
         }
-        self.commits.accept(name, now);
+        self.commits.job_accepted(name, now);
         self.release_due_of(name, now);
-        self.ask_ahead(name, now);
+        self.prefetch_advice(name, now);
     }
 
     /// Why no job can be taken now, if that is so, as a counter.
@@ -133,14 +133,14 @@
         if self.jobs.len() >= MAX_LIVE {
             return Some("refused_full");
         }
-        let hopeless = match self.has(Mechanism::AfterOutage) {
+        let hopeless = match self.is_enabled(Mechanism::AfterOutage) {
             true => !self.may_wait_for_store(job, queue, now),
-            false => self.commits.stuck(now),
+            false => self.commits.is_stalled(now),
         };
         if hopeless {
             return Some("refused_store_trouble");
         }
-        let cordoned = self.takes_nothing_new(&queue.service);
+        let cordoned = self.is_service_cordoned(&queue.service);
         (job.repeats.is_none() && cordoned).then_some("refused_cordoned")
     }
 
@@ -250,8 +250,8 @@
             self.stop(at, task, run);
         }
         self.drop_reservations(job);
-        self.drop_calls(job);
-        self.commits.end(job);
+        self.drop_advice_calls(job);
+        self.commits.job_ended(job);
     }
 
     /// Lets those steps begin whose turn has come.
@@ -293,7 +293,7 @@
         for number in live.release(time) {
             if live.written {
                 self.ready.insert(StepKey { job, time, step: number });
-                self.stale = true;
+                self.needs_placement = true;
             }
         }
     }
--- a/puffinknot-core/src/jobs/scheduler/restore.rs
+++ b/puffinknot-core/src/jobs/scheduler/restore.rs
@@ -22,7 +22,7 @@
     Record, RecordNumber, Shard, Shown, Stopping, ENDED, EXECUTORS, MACHINES,
     RECORD, SHARDS, STOPPING, WAVES,
 };
-use crate::jobs::scheduler::waves::Machines;
+use crate::jobs::scheduler::maintenance::Machines;
 use crate::jobs::scheduler::{Scheduler, SchedulerConfig};
 use crate::jobs::speed::Speed;
 
@@ -64,7 +64,7 @@
         }
         for kept in named(MACHINES) {
             scheduler.restore_machines(record::decode(&kept.value)?);
-            scheduler.commits.former_lists.push(kept.name.clone());
+            scheduler.commits.legacy_lists.push(kept.name.clone());
         }
         scheduler.machines = Machines::new(now);
         for kept in named(WAVES) {
@@ -78,13 +78,13 @@
         }
         // They are enrolled already, but what they are by now is unknown.
         for (index, executor) in scheduler.executors.iter_mut() {
-            scheduler.hidden.insert(*index);
+            scheduler.unheard_executors.insert(*index);
             executor.enrolled = true;
             executor.listed = false;
             executor.described = Described::ByPredecessor;
         }
-        let until = now + scheduler.config.inherited_for;
-        scheduler.unsettled = Some(until);
+        let until = now + scheduler.config.inherited_order_lifetime;
+        scheduler.takeover_deadline = Some(until);
         let jobs: Vec<JobId> = scheduler.jobs.keys().copied().collect();
         for job in jobs {
             scheduler.finish_if_complete(job);
@@ -94,7 +94,7 @@
     }
 
     fn restore_shard(&mut self, shard: Shard, now: Millis) {
-        let learns = self.has(Mechanism::Speeds);
+        let learns = self.is_enabled(Mechanism::Speeds);
         let speeds = shard.speeds.into_iter().chain(std::iter::repeat(0));
         for (enrolled, speed) in shard.executors.into_iter().zip(speeds) {
             let EnrolledExecutor { info, machine } = enrolled;
@@ -113,12 +113,12 @@
     /// in shards.
     fn restore_enrolled(&mut self, enrolled: Enrolled, now: Millis) {
         for info in enrolled.executors {
-            self.commits.enrol(&info.id);
+            self.commits.executor_changed(&info.id);
             if !self.by_id.contains_key(&info.id) {
                 self.enrol(info, now);
             }
         }
-        self.commits.former_lists.push(EXECUTORS.to_string());
+        self.commits.legacy_lists.push(EXECUTORS.to_string());
     }
 
     fn restore_machines(&mut self, shown: Shown) {
@@ -137,7 +137,7 @@
         now: Millis,
     ) -> Result<(), String> {
         let chunk: EndedChunk = record::decode(&kept.value)?;
-        let until = now + self.config.keep_ended;
+        let until = now + self.config.ended_retention;
         for ended in chunk.jobs {
             self.ended.insert(ended, until);
         }
@@ -207,19 +207,20 @@
 
     /// Whether everything that a predecessor ordered is known by now.
     pub(super) fn settle(&mut self, now: Millis) {
-        let Some(until) = self.unsettled else { return };
-        let unseen = self.hidden.len();
+        let Some(until) = self.takeover_deadline else { return };
+        let unseen = self.unheard_executors.len();
         let lapsed = |index| match self.executors.get(index) {
             Some(at) => {
-                let known = self.confirmed.min(self.news_until(at, now));
+                let known =
+                    self.leadership_confirmed_at.min(self.news_until(at, now));
                 until <= known && self.found_silent(at)
             }
             None => true,
         };
-        if !self.hidden.iter().all(lapsed) {
+        if !self.unheard_executors.iter().all(lapsed) {
             return;
         }
-        self.unsettled = None;
+        self.takeover_deadline = None;
         let name = if unseen > 0 { "settled_late" } else { "settled" };
         self.count(name);
         self.actions.push(Action::Settled { unseen: unseen as u32 });
@@ -242,11 +243,11 @@
             self.count("gangs_incomplete");
             self.break_gang(key);
         }
-        self.stale = true;
+        self.needs_placement = true;
     }
 
     /// Whether tasks of inherited jobs may be started.
     pub fn settled(&self) -> bool {
-        self.unsettled.is_none()
+        self.takeover_deadline.is_none()
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/rounds.rs
+++ b/puffinknot-core/src/jobs/scheduler/rounds.rs
@@ -78,8 +78,8 @@
     /// Tells how long the last call of [`Scheduler::advance`] took, and when
     /// it was over. A driver that doesn't has steps placed each time.
     pub fn advance_took(&mut self, took: Duration, now: Millis) {
-        if let Some(all) = self.rounds.last.take() {
-            self.rounds.end(all, took, now);
+        if let Some(all) = self.placement_rounds.last.take() {
+            self.placement_rounds.end(all, took, now);
         }
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/runs.rs
+++ b/puffinknot-core/src/jobs/scheduler/runs.rs
@@ -52,7 +52,7 @@
         executor.expiry = executor.expiry.max(expiry(now, lease));
         // Its end is wanted at once, also if it was idle and left alone.
         executor.next_hold = executor.next_hold.min(now);
-        self.due_holds.touch(index);
+        self.renewal_queue.touch(index);
         executor.health.started(now);
         self.actions.push(Action::Start {
             executor: index,
@@ -144,7 +144,7 @@
                     _ => "starts_not_sent",
                 });
                 if why == OrderFailure::Ticket {
-                    self.drop_ticket(task.step, index);
+                    self.invalidate_ticket(task.step, index);
                 }
                 self.vacate(index, task, run, None);
             }
@@ -157,7 +157,7 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.life_doubted = Some(now);
         executor.probe = true;
-        self.due_holds.touch(index);
+        self.renewal_queue.touch(index);
     }
 
     /// An executor has confirmed that a task runs, or has run. An order
@@ -183,7 +183,7 @@
         }
         on.phase = Phase::Stopping(false);
         on.stop_again = 0;
-        self.stale = true;
+        self.needs_placement = true;
         self.count("stops");
         self.actions.push(Action::Stop { executor: index, task, run });
     }
@@ -271,7 +271,7 @@
         run: u64,
         end: Option<&EndRow>,
     ) {
-        self.stale = true;
+        self.needs_placement = true;
         if self.has_run(index, task, run) {
             self.remove_run(index, &task);
         }
@@ -329,7 +329,7 @@
                     state.done.insert(task.index);
                     state.waiting.remove(&task.index);
                 }
-                self.commits.progress(key.job);
+                self.commits.job_progressed(key.job);
                 for (member, (at, run)) in needless {
                     self.count("runs_needless");
                     self.stop(at, key.task(member), run);
@@ -380,7 +380,7 @@
             state.breaking = false;
             state.waiting = (0..count).collect();
             self.ready.insert(key);
-            self.stale = true;
+            self.needs_placement = true;
             return;
         }
         let members: Vec<(u32, (ExecutorIndex, u64))> =
@@ -404,7 +404,7 @@
         runs.insert(run);
         let over = runs.len() >= most && !lasting;
         self.count("runs_failed");
-        self.commits.progress(key.job);
+        self.commits.job_progressed(key.job);
         if over {
             self.finish(key.job, JobState::Failed);
         }
--- a/puffinknot-core/src/jobs/scheduler/shares.rs
+++ b/puffinknot-core/src/jobs/scheduler/shares.rs
@@ -192,14 +192,14 @@
     fn is_over(&self, account: Option<AccountIndex>, kind: Kind) -> bool {
         let Some(at) = account else { return false };
         let Some(holding) = self.ledger.holding(at) else { return false };
-        let shares = &self.shares_of_accounts;
+        let shares = &self.account_shares;
         let held = dominant_share(&kind.of(&holding), &shares.whole);
         shares.is_over(at, kind, held)
     }
 
     /// Steps are about to be looked at: all of them, or the urgent ones.
     pub(super) fn begin_look(&mut self, all: bool) {
-        let shares = &mut self.shares_of_accounts;
+        let shares = &mut self.account_shares;
         shares.full &= !all;
         shares.full_of_urgent = false;
     }
@@ -208,7 +208,7 @@
     pub(super) fn note_full(&mut self, key: StepKey) {
         let live = self.jobs.get(&key.job);
         let urgent = live.is_some_and(|live| live.queue.priority == 0);
-        let shares = &mut self.shares_of_accounts;
+        let shares = &mut self.account_shares;
         shares.full = true;
         shares.full_of_urgent |= urgent;
     }
@@ -216,27 +216,29 @@
     /// Works out which accounts are over their shares, before steps are
     /// placed.
     pub(super) fn weigh_shares(&mut self, now: Millis) {
-        if now < self.shares_of_accounts.weighed + WEIGH_GAP {
+        if now < self.account_shares.weighed + WEIGH_GAP {
             return;
         }
-        self.shares_of_accounts.weighed = now;
+        self.account_shares.weighed = now;
         self.measure_room(now);
-        if !self.has(Mechanism::RoomShares) || !self.ledger.has_weights() {
+        if !self.is_enabled(Mechanism::RoomShares)
+            || !self.ledger.has_weights()
+        {
             return;
         }
         let periods = self.bearable();
         let accounts = self.ledger.accounts();
-        self.shares_of_accounts.pass(accounts, periods, now);
+        self.account_shares.pass(accounts, periods, now);
         let [all, urgent] = self.claims();
-        self.shares_of_accounts.weigh(&all, Kind::All);
-        self.shares_of_accounts.weigh(&urgent, Kind::Urgent);
+        self.account_shares.weigh(&all, Kind::All);
+        self.account_shares.weigh(&urgent, Kind::Urgent);
         self.tell_over_shares(&all, now);
     }
 
     /// Takes down what accounts hold after shares were worked out and steps
     /// were placed.
     pub(super) fn note_held(&mut self, now: Millis) {
-        let shares = &mut self.shares_of_accounts;
+        let shares = &mut self.account_shares;
         if shares.weighed != now {
             return;
         }
@@ -254,7 +256,7 @@
     /// now and then.
     fn measure_room(&mut self, now: Millis) {
         let known = self.by_id.len();
-        let shares = &mut self.shares_of_accounts;
+        let shares = &mut self.account_shares;
         if known == shares.known && now < shares.measured + MEASURE_GAP {
             return;
         }
@@ -295,7 +297,7 @@
                 *urgent = urgent.plus(&need);
             }
         }
-        let whole = &self.shares_of_accounts.whole;
+        let whole = &self.account_shares.whole;
         [Kind::All, Kind::Urgent].map(|kind| {
             let holdings = self.ledger.holdings().zip(&waiting);
             let claims = holdings.map(|(holding, waiting)| {
@@ -315,7 +317,7 @@
 
     fn tell_over_shares(&mut self, claims: &[Claim], now: Millis) {
         let mut told = Vec::new();
-        let shares = &mut self.shares_of_accounts.accounts;
+        let shares = &mut self.account_shares.accounts;
         for (at, share) in shares.iter_mut().enumerate() {
             let standing = share.standings[Kind::All as usize];
             let over = standing.is_over(claims[at].held);
--- a/puffinknot-core/src/jobs/scheduler/speeds.rs
+++ b/puffinknot-core/src/jobs/scheduler/speeds.rs
@@ -106,8 +106,11 @@
         now: Millis,
     ) {
         // Ends that wait for the store are heard of late.
-        let late = self.commits.stuck(now);
-        if end.how != EndKind::Done || late || !self.has(Mechanism::Speeds) {
+        let late = self.commits.is_stalled(now);
+        if end.how != EndKind::Done
+            || late
+            || !self.is_enabled(Mechanism::Speeds)
+        {
             return;
         }
         let key = end.task.step;
@@ -150,7 +153,7 @@
         if step.estimate == 0 {
             return;
         }
-        let error = self.guesses.of_mut(&live.job.queue, step);
+        let error = self.estimate_errors.of_mut(&live.job.queue, step);
         let expected = (step.estimate as f64).ln() + error.mean();
         let speed_of = |at: ExecutorIndex| {
             self.executors.get(&at).map(|e| e.speed).unwrap_or_default()
@@ -193,7 +196,7 @@
             _ => "executors_usual_again",
         });
         self.actions.push(Action::ExecutorSpeed { id, percent });
-        self.stale = true;
+        self.needs_placement = true;
     }
 
     /// Looks for runs on an executor that go on far beyond what they should.
@@ -203,7 +206,7 @@
         given: &Given,
         now: Millis,
     ) {
-        if !self.has(Mechanism::Speeds) {
+        if !self.is_enabled(Mechanism::Speeds) {
             return;
         }
         let Some(executor) = self.executors.get(&index) else { return };
@@ -252,7 +255,7 @@
         let Some(state) = live.steps.get(&(key.time, key.step)) else {
             return;
         };
-        let error = self.guesses.of(&live.job.queue, step);
+        let error = self.estimate_errors.of(&live.job.queue, step);
         let ended = state.times.len();
         // A gang waits for its slowest. While no other run of its step has
         // ended, the work may be hard, for all that are there.
@@ -271,15 +274,18 @@
     /// Lets what is known of executors fade, and has the store keep what has
     /// changed materially, a shard at a time.
     pub(super) fn refresh_speeds(&mut self, now: Millis) {
-        let due = now >= self.guesses.refreshed + REFRESH;
-        if !due || !self.has(Mechanism::Speeds) {
+        let due = now >= self.estimate_errors.refreshed + REFRESH;
+        if !due || !self.is_enabled(Mechanism::Speeds) {
             return;
         }
-        self.guesses.refreshed = now;
+        self.estimate_errors.refreshed = now;
         let queues = &self.queues;
-        self.guesses.by_queue.retain(|name, _| queues.contains_key(name));
-        self.guesses.shard = (self.guesses.shard + 1) % SHARD_COUNT;
-        let shard = self.guesses.shard;
+        self.estimate_errors
+            .by_queue
+            .retain(|name, _| queues.contains_key(name));
+        self.estimate_errors.shard =
+            (self.estimate_errors.shard + 1) % SHARD_COUNT;
+        let shard = self.estimate_errors.shard;
         let mut fades = Vec::new();
         let mut changed = None;
         for (at, executor) in self.executors.iter() {
@@ -296,7 +302,7 @@
             self.change_speed(at, |speed| speed.refresh(now));
         }
         if let Some(id) = changed {
-            self.commits.enrol(&id);
+            self.commits.executor_changed(&id);
             self.count("speeds_kept");
         }
     }
--- a/puffinknot-core/src/jobs/scheduler/outage.rs
+++ b/puffinknot-core/src/jobs/scheduler/store_outage.rs
@@ -111,7 +111,7 @@
             if self.is_hopeless(job, now) {
                 self.refuse_new(job, now);
             } else {
-                self.commits.accept(job, now);
+                self.commits.job_accepted(job, now);
             }
         }
     }
@@ -127,7 +127,7 @@
         let Some(live) = self.jobs.remove(&job) else { return };
         self.note_refused(job, live.since, now);
         self.drop_reservations(job);
-        self.drop_calls(job);
+        self.drop_advice_calls(job);
         for id in live.submitters.into_iter().chain(live.cancellers) {
             self.count("refused_store_trouble");
             self.reply(id, Outcome::Refused(COME_BACK));
@@ -143,7 +143,7 @@
     ) {
         let batch = self.commits.under_way();
         let Some((sent_at, number, accepted)) = batch else { return };
-        if !self.has(Mechanism::AfterOutage) {
+        if !self.is_enabled(Mechanism::AfterOutage) {
             return self.actions.push(Action::Commit(changes));
         }
         if self.outages.begin(sent_at) {
--- a/puffinknot-core/src/jobs/scheduler/suspects.rs
+++ b/puffinknot-core/src/jobs/scheduler/suspects.rs
@@ -83,8 +83,10 @@
         why: LifeOver,
     ) -> Option<Crash> {
         let executor = self.executors.get(&index)?;
-        let down = self.machines.was_taken_down(executor);
-        if !self.has(Mechanism::Trials) || down || !has_crashed(executor, why)
+        let down = self.machines.was_in_maintenance(executor);
+        if !self.is_enabled(Mechanism::Trials)
+            || down
+            || !has_crashed(executor, why)
         {
             return None;
         }
@@ -196,7 +198,7 @@
             state.losses.remove(&counted);
         }
         if known || recorded.is_some() {
-            self.commits.progress(task.step.job);
+            self.commits.job_progressed(task.step.job);
         }
         recorded
     }
@@ -449,7 +451,7 @@
         }
         executor.trial = None;
         let executor = executor.info.id.clone();
-        self.stale = true;
+        self.needs_placement = true;
         self.count("tasks_cleared");
         let task = trial.task;
         self.actions.push(Action::TaskCleared { task, run, executor });
--- a/puffinknot-core/src/jobs/scheduler/urgent.rs
+++ b/puffinknot-core/src/jobs/scheduler/urgent.rs
@@ -60,28 +60,28 @@
         order: &[(Rank, StepKey)],
         now: Millis,
     ) {
-        if now < self.urgent.counted_at + COUNT_GAP {
+        if now < self.urgent_headroom.counted_at + COUNT_GAP {
             return;
         }
-        self.urgent.counted_at = now;
-        self.urgent.spare = None;
-        if !self.has(Mechanism::UrgentRoom) || !self.has_both_kinds() {
+        self.urgent_headroom.counted_at = now;
+        self.urgent_headroom.spare = None;
+        if !self.is_enabled(Mechanism::UrgentRoom) || !self.has_both_kinds() {
             return;
         }
         let demands = self.urgent_demands(order);
         let demand = demands.values().fold(Demand::default(), Demand::plus);
-        self.urgent.headroom.observe(&demand, now);
-        let Some(slot) = self.urgent.headroom.slot() else { return };
+        self.urgent_headroom.headroom.observe(&demand, now);
+        let Some(slot) = self.urgent_headroom.headroom.slot() else { return };
         let usable = self.executors.values().filter(|e| e.usable());
         let (mut free, mut whole) = (0, 0);
         for executor in usable {
             free += u64::from(times(&executor.free, &slot));
             whole += u64::from(times(&executor.info.capacity, &slot));
         }
-        let wanted = self.urgent.headroom.wanted(&demand, whole);
+        let wanted = self.urgent_headroom.headroom.wanted(&demand, whole);
         let wanted = wanted.min(self.wanted_within(&demands, whole, now));
-        self.urgent.slot = slot;
-        self.urgent.spare = Some(free.saturating_sub(wanted));
+        self.urgent_headroom.slot = slot;
+        self.urgent_headroom.spare = Some(free.saturating_sub(wanted));
     }
 
     /// Whether some queues are urgent and others are not.
@@ -98,9 +98,10 @@
         now: Millis,
     ) -> u64 {
         for account in demands.keys() {
-            self.urgent.by_account.entry(*account).or_default();
+            self.urgent_headroom.by_account.entry(*account).or_default();
         }
-        let mut by_account = std::mem::take(&mut self.urgent.by_account);
+        let mut by_account =
+            std::mem::take(&mut self.urgent_headroom.by_account);
         let mut wanted = 0;
         for (account, headroom) in &mut by_account {
             let demand = demands.get(account).copied().unwrap_or_default();
@@ -109,7 +110,7 @@
                 wanted += headroom.wanted(&demand, whole);
             }
         }
-        self.urgent.by_account = by_account;
+        self.urgent_headroom.by_account = by_account;
         wanted.min(whole / MOST_KEPT)
     }
 
@@ -156,7 +157,7 @@
 
     /// Whether a step has to leave free what is kept for urgent tasks.
     pub(super) fn heeds_slots(&self, key: StepKey, now: Millis) -> bool {
-        if self.urgent.spare.is_none() {
+        if self.urgent_headroom.spare.is_none() {
             return false;
         }
         let Some(live) = self.jobs.get(&key.job) else { return false };
@@ -171,13 +172,13 @@
         at: ExecutorIndex,
         need: &Resources,
     ) -> bool {
-        let Some(spare) = self.urgent.spare else { return true };
+        let Some(spare) = self.urgent_headroom.spare else { return true };
         let executor = self.executors.get(&at);
         executor.is_some_and(|e| spare >= self.slots_taken(e, need))
     }
 
     fn slots_taken(&self, executor: &Executor, need: &Resources) -> u64 {
-        let slots = |room| u64::from(times(room, &self.urgent.slot));
+        let slots = |room| u64::from(times(room, &self.urgent_headroom.slot));
         let left = executor.free.minus(need);
         slots(&executor.free).saturating_sub(slots(&left))
     }
@@ -185,7 +186,7 @@
     /// A task of a step is about to start on an executor. What urgent ones
     /// take is what the slots are kept for.
     pub(super) fn take_slots(&mut self, key: StepKey, at: ExecutorIndex) {
-        let Some(spare) = self.urgent.spare else { return };
+        let Some(spare) = self.urgent_headroom.spare else { return };
         let live = self.jobs.get(&key.job);
         if live.is_none_or(|live| live.is_urgent()) {
             return;
@@ -196,7 +197,7 @@
             return;
         };
         let taken = self.slots_taken(executor, &step.room());
-        self.urgent.spare = Some(spare.saturating_sub(taken));
+        self.urgent_headroom.spare = Some(spare.saturating_sub(taken));
     }
 
     /// A task was not started for the sake of the slots.
@@ -211,13 +212,13 @@
     }
 
     pub(super) fn begin_looks(&mut self) {
-        self.urgent.looks = 0;
+        self.urgent_headroom.looks = 0;
     }
 
     /// Whether others may be looked at that could give way to an urgent step.
     pub(super) fn may_look(&mut self) -> bool {
-        let may = self.urgent.looks < MOST_LOOKS;
-        self.urgent.looks += u32::from(may);
+        let may = self.urgent_headroom.looks < MOST_LOOKS;
+        self.urgent_headroom.looks += u32::from(may);
         may
     }
 }
--- a/puffinknot-measure/src/leader.rs
+++ b/puffinknot-measure/src/leader.rs
@@ -122,10 +122,10 @@
     SchedulerConfig {
         token,
         lease: 10_000,
-        keep_ended: 120_000,
-        inherited_for: 16_700,
-        advice_batch: 100,
-        commit_gap: 25,
+        ended_retention: 120_000,
+        inherited_order_lifetime: 16_700,
+        max_advice_batch: 100,
+        min_commit_interval: 25,
         without: Without::default(),
     }
 }
@@ -415,7 +415,7 @@
             }
             if self.now >= next_tick {
                 next_tick = self.now + TICK;
-                self.scheduler.set_confirmed(self.now);
+                self.scheduler.confirm_leadership(self.now);
                 events.push(Event::Tick);
             }
             if !events.is_empty() {
@@ -505,7 +505,7 @@
             self.turns.max() as f64 / 1e6,
             self.late as f64,
             self.heard_after.value_at_quantile(0.99) as f64,
-            self.scheduler.live() as f64,
+            self.scheduler.live_jobs() as f64,
             self.starts as f64 * 1_000.0 / over as f64,
             (self.decided.finish() % DIGEST) as f64,
             settled,
--- a/src/cell/decisions.rs
+++ b/src/cell/decisions.rs
@@ -28,7 +28,7 @@
         steps = took.looked.steps,
         executors = took.looked.executors,
         runs = took.looked.runs,
-        jobs = scheduler.live(),
+        jobs = scheduler.live_jobs(),
         slow,
         token,
         "turn_slow"
--- a/src/cell/lead.rs
+++ b/src/cell/lead.rs
@@ -413,13 +413,13 @@
                 } else {
                     self.make_way(now);
                 }
-                scheduler.set_confirmed(self.confirmed.get());
+                scheduler.confirm_leadership(self.confirmed.get());
                 let actions = scheduler.handle(Event::Tick, now);
                 if self.perform(&scheduler, actions) {
                     return "fenced";
                 }
             }
-            if scheduler.executors() != self.ways.executors() {
+            if scheduler.executor_count() != self.ways.executors() {
                 self.ways.set_executors(scheduler.executors_by_dc());
             }
             let since = clock::mono_micros();
--- a/src/cell/lead/takeover.rs
+++ b/src/cell/lead/takeover.rs
@@ -95,10 +95,10 @@
         let config = SchedulerConfig {
             token: self.token,
             lease: settings.executor_lease,
-            keep_ended: settings.keep_ended,
-            inherited_for,
-            advice_batch: ADVICE_BATCH,
-            commit_gap: COMMIT_GAP,
+            ended_retention: settings.keep_ended,
+            inherited_order_lifetime: inherited_for,
+            max_advice_batch: ADVICE_BATCH,
+            min_commit_interval: COMMIT_GAP,
             without: affordable(settings.without, settings.link_bytes_per_ms),
         };
         if !self.read_wishes(started).await {
@@ -112,8 +112,8 @@
                 info!(
                     token = self.token,
                     items = kept.len(),
-                    jobs = scheduler.live(),
-                    executors = scheduler.executors(),
+                    jobs = scheduler.live_jobs(),
+                    executors = scheduler.executor_count(),
                     ms = now - started,
                     "taken_over"
                 );
--- a/tests/jobs/absence.rs
+++ b/tests/jobs/absence.rs
@@ -318,10 +318,10 @@
     let config = SchedulerConfig {
         token: 2,
         lease: LEASE,
-        keep_ended: 120_000,
-        inherited_for: 2 * LEASE,
-        advice_batch: 100,
-        commit_gap: 20,
+        ended_retention: 120_000,
+        inherited_order_lifetime: 2 * LEASE,
+        max_advice_batch: 100,
+        min_commit_interval: 20,
         without: Without::default(),
     };
     let restored =
--- a/tests/jobs/reborn.rs
+++ b/tests/jobs/reborn.rs
@@ -399,7 +399,7 @@
     other.service = "other".into();
     world.event(Event::Listed(other));
     world.run(1_000);
-    assert_eq!(world.scheduler.executors(), 1);
+    assert_eq!(world.scheduler.executor_count(), 1);
 }
 
 /// An executor whose lives are not told apart, and of which an entry by
--- a/tests/jobs/size.rs
+++ b/tests/jobs/size.rs
@@ -49,7 +49,7 @@
     world.submit(job(1, "batch", vec![wide]));
     world.run(100);
     world.take_over();
-    assert_eq!(world.scheduler.executors(), EXECUTORS);
+    assert_eq!(world.scheduler.executor_count(), EXECUTORS);
     world.tell_all();
     world.run(4 * WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
@@ -74,7 +74,7 @@
     let whole = record::encode(&Enrolled { executors });
     world.store.insert(record::EXECUTORS.into(), whole);
     world.replace_leader();
-    assert_eq!(world.scheduler.executors(), 8);
+    assert_eq!(world.scheduler.executor_count(), 8);
     world.run(LEASE);
     assert!(!world.store.contains_key(record::EXECUTORS));
     let kept = shards(&world);
--- a/tests/jobs/speeds.rs
+++ b/tests/jobs/speeds.rs
@@ -219,7 +219,7 @@
         world.store.insert(name, former);
     }
     world.replace_leader();
-    assert_eq!(world.scheduler.executors(), 4);
+    assert_eq!(world.scheduler.executor_count(), 4);
 }
 
 /// What callers get: urgent work beside patient work on executors of which a
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -404,10 +404,10 @@
     SchedulerConfig {
         token,
         lease: LEASE,
-        keep_ended: 120_000,
-        inherited_for: INHERITED,
-        advice_batch: ADVICE_BATCH,
-        commit_gap: 20,
+        ended_retention: 120_000,
+        inherited_order_lifetime: INHERITED,
+        max_advice_batch: ADVICE_BATCH,
+        min_commit_interval: 20,
         without,
     }
 }
@@ -993,7 +993,7 @@
                 for token in former {
                     self.tell(token, Event::Tick);
                 }
-                self.scheduler.set_confirmed(self.now);
+                self.scheduler.confirm_leadership(self.now);
                 self.event(Event::Tick);
             } else if self
                 .scheduler
