--- a/puffinknot-core/src/jobs/scheduler/judge.rs
+++ b/puffinknot-core/src/jobs/scheduler/judge.rs
@@ -20,7 +20,7 @@
         end: &EndReport,
         now: Millis,
     ) {
-        if !self.has(Mechanism::Breaker) {
+        if !self.is_enabled(Mechanism::Breaker) {
             return;
         }
         match end.how {
