--- a/puffinknot-core/src/jobs/scheduler/advise.rs
+++ b/puffinknot-core/src/jobs/scheduler/advise.rs
@@ -273,7 +273,7 @@
     /// Gives up calls whose answers have not come in time, and has other
     /// nodes make them: a node may be out of reach, or have lost its link.
     pub(super) fn expire_advice(&mut self, now: Millis) {
-        let known = self.known_until(now);
+        let known = self.processed_until(now);
         let over = self.calls.iter().filter(|(_, call)| {
             call.advisor.is_some() && call.overdue < known
         });
--- a/puffinknot-core/src/jobs/scheduler/leaving.rs
+++ b/puffinknot-core/src/jobs/scheduler/departures.rs
@@ -33,11 +33,11 @@
 
 /// The executors that have given notice, and until when they surely stay.
 #[derive(Debug, Default)]
-pub(super) struct Notices(BTreeMap<ExecutorIndex, Millis>);
+pub(super) struct Departures(BTreeMap<ExecutorIndex, Millis>);
 
 impl Scheduler {
     /// Takes in what an executor's entry says of its leaving.
-    pub(super) fn note_notice(&mut self, id: &str, now: Millis) {
+    pub(super) fn record_departure(&mut self, id: &str, now: Millis) {
         let Some(index) = self.by_id.get(id).copied() else { return };
         let Some(executor) = self.executors.get(&index) else { return };
         let info = &executor.info;
@@ -51,7 +51,7 @@
     }
 
     /// Stops what would die on executors that leave.
-    pub(super) fn clear_leaving(&mut self, now: Millis) {
+    pub(super) fn stop_runs_on_departing(&mut self, now: Millis) {
         if !self.has(Mechanism::Leaving) {
             return;
         }
--- a/puffinknot-core/src/jobs/scheduler/behind.rs
+++ b/puffinknot-core/src/jobs/scheduler/event_lag.rs
@@ -16,7 +16,7 @@
 use crate::ids::Millis;
 use crate::jobs::executor::{Executor, RunOn};
 use crate::jobs::message::{Action, Event, ExecutorIndex};
-use crate::jobs::scheduler::holds::FAILURES;
+use crate::jobs::scheduler::renewals::FAILURES;
 use crate::jobs::scheduler::Scheduler;
 
 /// One account counts for one part in so many of how late they are.
@@ -33,7 +33,7 @@
 
 /// An account, as far as it tells when something happened.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Given {
+pub(super) struct ReportTiming {
     /// What its executor's clock showed.
     clock: Millis,
     /// When it was given at the latest.
@@ -43,10 +43,14 @@
     unwatched: Millis,
 }
 
-impl Given {
+impl ReportTiming {
     /// An account that was received then, before anything else of it is taken
     /// in.
-    pub fn new(executor: &Executor, clock: Millis, received: Millis) -> Given {
+    pub fn new(
+        executor: &Executor,
+        clock: Millis,
+        received: Millis,
+    ) -> ReportTiming {
         let least = executor.least_clock.at(received).unwrap_or(0);
         let at = received.saturating_sub(least.saturating_sub(clock));
         let unwatched = match (executor.given, executor.clock) {
@@ -57,16 +61,16 @@
             }
             _ => Millis::MAX,
         };
-        Given { clock, at, unwatched }
+        ReportTiming { clock, at, unwatched }
     }
 
     /// When it was given at the latest.
-    pub fn at(&self) -> Millis {
+    pub fn made_at(&self) -> Millis {
         self.at
     }
 
     /// How long a run had been there, in milliseconds.
-    pub fn ran(&self, on: &RunOn) -> Millis {
+    pub fn elapsed(&self, on: &RunOn) -> Millis {
         match on.began {
             Some(began) => self.clock.saturating_sub(began),
             None => self.at.saturating_sub(on.since),
@@ -76,16 +80,16 @@
     /// How long a run took that it tells the end of, in milliseconds, if that
     /// is known. It is by how long the run should take, so that short runs are
     /// not left out where long ones count.
-    pub fn took(&self, on: &RunOn) -> Option<Millis> {
+    pub fn duration(&self, on: &RunOn) -> Option<Millis> {
         let should = on.ends.saturating_sub(on.since);
         let known = should >= self.unwatched.saturating_mul(WATCHED);
-        known.then(|| self.ran(on))
+        known.then(|| self.elapsed(on))
     }
 }
 
 /// How far the leader is behind.
 #[derive(Debug, Default)]
-pub(super) struct Behind {
+pub(super) struct EventLag {
     /// When what is taken in now was received.
     received: Millis,
     /// How late accounts are taken in, smoothed, in milliseconds.
@@ -98,7 +102,7 @@
     resumed: Millis,
 }
 
-impl Behind {
+impl EventLag {
     /// When what is taken in now was received.
     pub fn received(&self) -> Millis {
         self.received
@@ -165,14 +169,14 @@
 
     /// Until when the leader has probably taken in what was to be heard.
     /// Silence counts until then, and no longer.
-    pub(super) fn known_until(&self, now: Millis) -> Millis {
+    pub(super) fn processed_until(&self, now: Millis) -> Millis {
         now.saturating_sub(self.behind.late(now))
     }
 
     /// The same of one executor.
     pub(super) fn news_until(&self, at: &Executor, now: Millis) -> Millis {
         let own = now.saturating_sub(at.age.min(self.config.lease));
-        own.min(self.known_until(now))
+        own.min(self.processed_until(now))
     }
 
     /// Whether an executor has left unanswered what was asked of it last, and
--- a/puffinknot-core/src/jobs/scheduler/gangs.rs
+++ b/puffinknot-core/src/jobs/scheduler/gangs.rs
@@ -270,7 +270,7 @@
     }
 
     fn start_gang(&mut self, key: StepKey, plan: &Plan, now: Millis) {
-        let run = self.new_run();
+        let run = self.new_run_number();
         let mut index = 0;
         // Ends are reckoned by the slowest: it comes first.
         let mut plan = plan.clone();
--- a/puffinknot-core/src/jobs/scheduler/in_flight.rs
+++ b/puffinknot-core/src/jobs/scheduler/in_flight.rs
@@ -21,7 +21,7 @@
 
 /// An order to start that may be carried out yet.
 #[derive(Clone, Debug)]
-pub(super) struct InFlight {
+pub(super) struct InFlightStart {
     /// The name of the executor that it was for.
     name: String,
     /// Where that one listened.
@@ -32,7 +32,7 @@
     on: RunOn,
 }
 
-impl InFlight {
+impl InFlightStart {
     /// Whether it may still come.
     fn may_come(&self, now: Millis) -> bool {
         now < self.on.since + LATEST
@@ -55,7 +55,7 @@
         }
         let Some(executor) = self.executors.get(&index) else { return };
         let open = executor.runs.iter().filter(|(_, on)| !on.begun);
-        let orders = open.map(|(task, on)| InFlight {
+        let orders = open.map(|(task, on)| InFlightStart {
             name: executor.info.id.clone(),
             address: executor.info.address.clone(),
             from: index,
@@ -63,7 +63,7 @@
             on: on.clone(),
         });
         let orders = orders.filter(|order| order.may_come(now));
-        let orders: Vec<InFlight> = orders.collect();
+        let orders: Vec<InFlightStart> = orders.collect();
         for order in orders {
             self.remove_run(index, &order.task);
             self.count("orders_in_flight");
@@ -83,13 +83,13 @@
     pub(super) fn meet_in_flight(&mut self, next: ExecutorIndex, now: Millis) {
         let Some(executor) = self.executors.get(&next) else { return };
         let (name, address) = (&executor.info.id, &executor.info.address);
-        let (caught, left): (Vec<InFlight>, Vec<InFlight>) =
+        let (caught, left): (Vec<InFlightStart>, Vec<InFlightStart>) =
             std::mem::take(&mut self.in_flight).into_iter().partition(
                 |order| order.name == *name || order.address == *address,
             );
         let name = name.clone();
         self.in_flight = left;
-        for InFlight { name: meant, from, task, on, .. } in caught {
+        for InFlightStart { name: meant, from, task, on, .. } in caught {
             if meant == name {
                 self.count_on_next(from, next, task, on, now);
             } else {
@@ -100,14 +100,14 @@
     }
 
     /// Gives up the orders that come no more.
-    pub(super) fn expire_in_flight(&mut self, now: Millis) {
-        let known = self.known_until(now);
-        let (open, over): (Vec<InFlight>, Vec<InFlight>) =
+    pub(super) fn expire_in_flight_starts(&mut self, now: Millis) {
+        let known = self.processed_until(now);
+        let (open, over): (Vec<InFlightStart>, Vec<InFlightStart>) =
             std::mem::take(&mut self.in_flight)
                 .into_iter()
                 .partition(|order| order.may_come(known));
         self.in_flight = open;
-        for InFlight { from, task, on, .. } in over {
+        for InFlightStart { from, task, on, .. } in over {
             self.vacate(from, task, on.run, None);
         }
     }
--- a/puffinknot-core/src/jobs/scheduler/followers.rs
+++ b/puffinknot-core/src/jobs/scheduler/incarnations.rs
@@ -24,7 +24,7 @@
 use crate::jobs::executor::{Described, ExecutorInfo, RunOn};
 use crate::jobs::message::{ExecutorIndex, HoldAnswer, LifeOver};
 use crate::jobs::model::TaskKey;
-use crate::jobs::scheduler::holds::RETRY;
+use crate::jobs::scheduler::renewals::RETRY;
 use crate::jobs::scheduler::Scheduler;
 use crate::jobs::speed::Speed;
 
@@ -103,7 +103,7 @@
     fn ask_again(&mut self, index: ExecutorIndex, now: Millis) {
         self.count("lives_unclear");
         self.doubted(index, now);
-        self.ask_at(index, now + RETRY);
+        self.probe_at(index, now + RETRY);
     }
 
     /// A life of which only the entry was known, or the name in the store, is
@@ -184,7 +184,7 @@
             }
             self.count_on_next(former, next, task, on, now);
         }
-        self.ask_at_once(next, now);
+        self.probe_now(next, now);
     }
 
     /// What was carried over and is at work on the next life was never on the
@@ -213,6 +213,6 @@
         self.count("entries_of_other_lives");
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.other = Some(info);
-        self.ask_at_once(index, now);
+        self.probe_now(index, now);
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/machines.rs
+++ b/puffinknot-core/src/jobs/scheduler/machine_list.rs
@@ -32,7 +32,7 @@
 
 impl Scheduler {
     /// Whether the list of machines may tell what has to be known.
-    pub(super) fn wants_machines(&self, now: Millis) -> bool {
+    pub(super) fn needs_machine_list(&self, now: Millis) -> bool {
         self.misses_executors(now) || self.misses_machines(now)
     }
 
@@ -41,7 +41,7 @@
         self.executors.values().any(|executor| {
             let silent = executor.contact != Contact::Ready
                 && executor.silent_since + SILENT_FOR < now;
-            silent && (!executor.runs.is_empty() || !self.settled())
+            silent && (!executor.runs.is_empty() || !self.takeover_complete())
         })
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// The list of machines has come.
-    pub(super) fn machines_told(
+    pub(super) fn machine_list_received(
         &mut self,
         machines: &[MachineInfo],
         now: Millis,
--- a/puffinknot-core/src/jobs/scheduler/lives.rs
+++ b/puffinknot-core/src/jobs/scheduler/membership.rs
@@ -27,7 +27,7 @@
 
 impl Scheduler {
     /// The store lists an executor.
-    pub(super) fn listed(&mut self, info: ExecutorInfo, now: Millis) {
+    pub(super) fn executor_listed(&mut self, info: ExecutorInfo, now: Millis) {
         if let Some(index) = self.by_id.get(&info.id).copied() {
             let Some(executor) = self.executors.get_mut(&index) else {
                 return;
@@ -91,13 +91,13 @@
     fn ask_others_at(&mut self, address: &str, now: Millis) {
         let there = self.lives_at(address).map(|(index, _)| index);
         for index in there.collect::<Vec<_>>() {
-            self.ask_at_once(index, now);
+            self.probe_now(index, now);
         }
     }
 
     /// Asks an executor without waiting for its turn, also beside a hold
     /// that waits there.
-    pub(super) fn ask_at_once(&mut self, index: ExecutorIndex, now: Millis) {
+    pub(super) fn probe_now(&mut self, index: ExecutorIndex, now: Millis) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.probe = true;
         executor.next_hold = now;
@@ -105,7 +105,7 @@
     }
 
     /// Asks an executor then, also beside a hold that waits there.
-    pub(super) fn ask_at(&mut self, index: ExecutorIndex, at: Millis) {
+    pub(super) fn probe_at(&mut self, index: ExecutorIndex, at: Millis) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.probe = true;
         executor.next_probe = executor.next_probe.max(at);
@@ -140,7 +140,7 @@
 
     /// The store lists an executor no more. Its entry may have lapsed while
     /// it lives on.
-    pub(super) fn unlisted(&mut self, id: &str, now: Millis) {
+    pub(super) fn executor_unlisted(&mut self, id: &str, now: Millis) {
         let index = self.by_id.get(id);
         let executor = index.and_then(|i| self.executors.get_mut(i));
         if let Some(executor) = executor {
@@ -170,7 +170,7 @@
 
     /// Gives up the lives that are over, as far as it is confirmed that this
     /// node led by then.
-    pub(super) fn give_up_lives(&mut self, now: Millis) {
+    pub(super) fn give_up_incarnations(&mut self, now: Millis) {
         let confirmed = self.confirmed;
         let over = self.executors.iter().filter_map(|(index, executor)| {
             let (why, at) = executor.over?;
@@ -218,7 +218,7 @@
             }
             self.commits.enrol(&executor.info.id);
         }
-        self.settle(now);
+        self.check_takeover(now);
     }
 
     /// What runs on an executor is lost.
@@ -244,8 +244,8 @@
     }
 
     /// Gives up what has certainly lapsed on executors that are silent.
-    pub(super) fn expire(&mut self, now: Millis) {
-        let settled = self.settled();
+    pub(super) fn expire_leases(&mut self, now: Millis) {
+        let settled = self.takeover_complete();
         let confirmed = self.confirmed;
         let lapsed = self.executors.iter().filter_map(|(index, executor)| {
             let known = || confirmed.min(self.news_until(executor, now));
--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -3,10 +3,10 @@
 
 What is done with it has modules of its own: `admit` knows who may call,
 `requests` answers clients, `ledger` counts what client accounts have running,
-`holds` takes in what executors report, `runs` follows single runs to their
-ends, `lives` knows when an executor's life is over, `followers` which life
+`renewals` takes in what executors report, `runs` follows single runs to their
+ends, `membership` knows when an executor's life is over, `incarnations` which life
 follows it under its name, `in_flight` which orders that one may carry out,
-`machines` what the list of machines tells of lives, `order` says what
+`machine_list` what the list of machines tells of lives, `order` says what
 comes first, `estimate` how long runs take, `fit` where a task fits, `place`
 chooses what starts where, `gangs` does so for gangs, `urgent` keeps room free
 for urgent tasks, `displace` has others give way to them and to gangs, `shares`
@@ -14,13 +14,13 @@
 account's due, `speeds` learns how long runs take,
 `domains` finds data centres that are out of reach, `cordons` knows those that
 take no new work, `admission` refuses what can't be done in time,
-`alarm` connections that have fallen silent, `behind` how late the leader's
-news are, `judge` executors that fail what they run, `suspects` tasks that
+`alarm` connections that have fallen silent, `event_lag` how late the leader's
+news are, `breakers` executors that fail what they run, `suspects` tasks that
 crash the executors that start them, `due`
 knows which executors to look at, `advise` spreads the calls for advice over
 all nodes, which `advisors` knows, `commit` groups what has to be written,
 `outage` refuses what would wait in vain for the store,
-`leaving` moves what runs on executors that are about to go,
+`departures` moves what runs on executors that are about to go,
 `looked` counts what placing looks through, `rounds` bounds its part of the
 time,
 `records` knows what of it still matters, `pace` slows tasks that fill beside
@@ -50,31 +50,31 @@
 mod advise;
 mod advisors;
 mod alarm;
-mod behind;
+mod breakers;
 mod buckets;
 mod commit;
 mod cordons;
+mod departures;
 mod displace;
 mod domains;
 mod due;
 mod estimate;
+mod event_lag;
 mod fit;
-mod followers;
 mod gangs;
-mod holds;
 mod in_flight;
-mod judge;
-mod leaving;
+mod incarnations;
 mod ledger;
 mod live;
-mod lives;
 mod looked;
-mod machines;
+mod machine_list;
+mod membership;
 mod order;
 mod outage;
 mod pace;
 mod place;
 mod records;
+mod renewals;
 mod requests;
 mod restore;
 mod returns;
@@ -90,13 +90,13 @@
 use self::advise::Call;
 use self::advisors::Advisors;
 use self::alarm::Alarm;
-use self::behind::Behind;
 use self::buckets::Buckets;
 use self::commit::CommitQueue;
+use self::departures::Departures;
 use self::domains::Domains;
 use self::due::DueHolds;
-use self::in_flight::InFlight;
-use self::leaving::Notices;
+use self::event_lag::EventLag;
+use self::in_flight::InFlightStart;
 use self::ledger::Ledger;
 pub use self::ledger::Usage;
 use self::live::Live;
@@ -183,7 +183,7 @@
     /// The newest life of each name.
     by_id: BTreeMap<String, ExecutorIndex>,
     /// Orders that a life which is not known yet may carry out.
-    in_flight: Vec<InFlight>,
+    in_flight: Vec<InFlightStart>,
     /// Executors not heard yet on which something that a predecessor ordered
     /// may run unseen.
     hidden: BTreeSet<ExecutorIndex>,
@@ -209,13 +209,13 @@
     shares: BTreeMap<String, f64>,
     commits: CommitQueue,
     outages: Outages,
-    notices: Notices,
+    notices: Departures,
     machines: Machines,
     domains: Domains,
     cordons: Cordons,
     crash_rate: CrashRate,
     alarm: Alarm,
-    behind: Behind,
+    behind: EventLag,
     /// Until when what a predecessor ordered may be unknown, if it may.
     unsettled: Option<Millis>,
     /// When the store was last asked and confirmed that nobody else leads.
@@ -238,13 +238,13 @@
             next_run: config.token * RUNS_PER_TOKEN,
             commits: CommitQueue::new(config.token),
             outages: Outages::default(),
-            notices: Notices::default(),
+            notices: Departures::default(),
             machines: Machines::default(),
             domains: Domains::default(),
             cordons: Cordons::default(),
             crash_rate: CrashRate::default(),
             alarm: Alarm::default(),
-            behind: Behind::default(),
+            behind: EventLag::default(),
             config,
             policy: Arc::default(),
             queues: BTreeMap::new(),
@@ -335,20 +335,20 @@
             }
             Event::Listed(info) => {
                 let id = info.id.clone();
-                self.listed(info, now);
-                self.note_notice(&id, now);
+                self.executor_listed(info, now);
+                self.record_departure(&id, now);
             }
-            Event::Unlisted(id) => self.unlisted(&id, now),
+            Event::Unlisted(id) => self.executor_unlisted(&id, now),
             Event::EntryUnreadable(id) => self.entry_unreadable(&id),
             Event::EntriesRead => self.entries_read = true,
             Event::Held { executor, sent_at, answer } => {
-                self.held(executor, sent_at, answer, now);
+                self.renewal_answered(executor, sent_at, answer, now);
             }
             Event::Started { executor, task, run, answer } => {
-                self.started(executor, task, run, answer, now);
+                self.start_answered(executor, task, run, answer, now);
             }
             Event::Stopped { executor, task, run, answer } => {
-                self.stopped(executor, task, run, answer, now);
+                self.stop_answered(executor, task, run, answer, now);
             }
             Event::Advised { call, answer } => self.advised(call, answer, now),
             Event::Advisors(names) => self.set_advisors(names),
@@ -375,7 +375,7 @@
             self.place(now);
         }
         self.dispatch_advice(now);
-        self.send_holds(now);
+        self.send_renewals(now);
         self.send_commit(now);
         std::mem::take(&mut self.actions)
     }
@@ -392,15 +392,15 @@
         self.watch_for_crashes(now);
         self.ended.forget(now);
         self.forget_refused(now);
-        self.give_up_lives(now);
-        self.expire(now);
-        self.expire_in_flight(now);
+        self.give_up_incarnations(now);
+        self.expire_leases(now);
+        self.expire_in_flight_starts(now);
         self.expire_advice(now);
-        self.repeat_stops(now);
+        self.resend_stops(now);
         self.release_due(now);
-        self.settle(now);
+        self.check_takeover(now);
         self.refuse_waiting(now);
-        self.clear_leaving(now);
+        self.stop_runs_on_departing(now);
         self.advance_waves(now);
         self.refresh_speeds(now);
         self.stale = true;
--- a/puffinknot-core/src/jobs/scheduler/place.rs
+++ b/puffinknot-core/src/jobs/scheduler/place.rs
@@ -300,7 +300,7 @@
                 }
             }
             let Some((_, at)) = best else { break };
-            let run = self.new_run();
+            let run = self.new_run_number();
             let ticket = self.ticket(key, at);
             *on.entry(at).or_default() += 1;
             self.unreserve_one(key, at, &step);
--- a/puffinknot-core/src/jobs/scheduler/holds.rs
+++ b/puffinknot-core/src/jobs/scheduler/renewals.rs
@@ -11,8 +11,8 @@
     OrderFailure, RunRow,
 };
 use crate::jobs::model::{JobId, TaskKey};
-use crate::jobs::scheduler::behind::Given;
-use crate::jobs::scheduler::followers::Answerer;
+use crate::jobs::scheduler::event_lag::ReportTiming;
+use crate::jobs::scheduler::incarnations::Answerer;
 use crate::jobs::scheduler::Scheduler;
 
 /// How long an executor may wait for an end before it answers a hold.
@@ -43,7 +43,7 @@
 impl Scheduler {
     /// Sends the holds that are due, to some executors at a time, so that a
     /// takeover of many holds nothing else up for long.
-    pub(super) fn send_holds(&mut self, now: Millis) {
+    pub(super) fn send_renewals(&mut self, now: Millis) {
         let idle = self.nothing_to_write();
         for index in self.due_holds.take(now, AT_ONCE) {
             self.send_hold(index, idle, now);
@@ -124,7 +124,7 @@
         turn.saturating_sub(WAIT).min(LONGEST_PAUSE)
     }
 
-    pub(super) fn held(
+    pub(super) fn renewal_answered(
         &mut self,
         index: ExecutorIndex,
         sent_at: Millis,
@@ -214,8 +214,8 @@
         }
         let received = self.behind.received();
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        let given = Given::new(executor, answer.clock, received);
-        executor.age = now.saturating_sub(given.at());
+        let given = ReportTiming::new(executor, answer.clock, received);
+        executor.age = now.saturating_sub(given.made_at());
         executor.least_clock.take(answer.clock, received);
         executor.missed_hold = None;
         // An answer that was held up may be older than one that came before
@@ -226,7 +226,7 @@
         if !outdated {
             executor.clock = Some((answer.clock, received));
             executor.clock_asked = sent_at;
-            executor.given = executor.given.max(Some(given.at()));
+            executor.given = executor.given.max(Some(given.made_at()));
         }
         self.note_late(index, first, sent_at, now);
         let Some(executor) = self.executors.get_mut(&index) else { return };
@@ -286,7 +286,7 @@
         }
         self.follow_trial(index, now);
         if first {
-            self.settle(now);
+            self.check_takeover(now);
         }
     }
 
@@ -416,7 +416,7 @@
         &mut self,
         index: ExecutorIndex,
         end: EndRow,
-        given: &Given,
+        given: &ReportTiming,
         now: Millis,
     ) {
         self.begun(end.task);
@@ -425,7 +425,7 @@
         self.vacate(index, end.task, end.run, Some(&end));
     }
 
-    pub(super) fn deposed(&mut self) {
+    pub(super) fn superseded(&mut self) {
         self.count("deposed");
         self.actions.push(Action::Deposed);
     }
--- a/puffinknot-core/src/jobs/scheduler/restore.rs
+++ b/puffinknot-core/src/jobs/scheduler/restore.rs
@@ -89,7 +89,7 @@
         for job in jobs {
             scheduler.finish_if_complete(job);
         }
-        scheduler.settle(now);
+        scheduler.check_takeover(now);
         Ok(scheduler)
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Whether everything that a predecessor ordered is known by now.
-    pub(super) fn settle(&mut self, now: Millis) {
+    pub(super) fn check_takeover(&mut self, now: Millis) {
         let Some(until) = self.unsettled else { return };
         let unseen = self.hidden.len();
         let lapsed = |index| match self.executors.get(index) {
@@ -246,7 +246,7 @@
     }
 
     /// Whether tasks of inherited jobs may be started.
-    pub fn settled(&self) -> bool {
+    pub fn takeover_complete(&self) -> bool {
         self.unsettled.is_none()
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/runs.rs
+++ b/puffinknot-core/src/jobs/scheduler/runs.rs
@@ -8,7 +8,7 @@
     Action, EndKind, EndRow, ExecutorIndex, LifeOver, OrderFailure,
 };
 use crate::jobs::model::{JobId, JobState, StepKey, TaskKey};
-use crate::jobs::scheduler::holds::expiry;
+use crate::jobs::scheduler::renewals::expiry;
 use crate::jobs::scheduler::speeds::tells;
 use crate::jobs::scheduler::Scheduler;
 
@@ -86,12 +86,12 @@
     }
 
     /// A number for the next run.
-    pub(super) fn new_run(&mut self) -> u64 {
+    pub(super) fn new_run_number(&mut self) -> u64 {
         self.next_run += 1;
         self.next_run
     }
 
-    pub(super) fn started(
+    pub(super) fn start_answered(
         &mut self,
         index: ExecutorIndex,
         task: TaskKey,
@@ -188,7 +188,7 @@
         self.actions.push(Action::Stop { executor: index, task, run });
     }
 
-    pub(super) fn stopped(
+    pub(super) fn stop_answered(
         &mut self,
         index: ExecutorIndex,
         task: TaskKey,
@@ -208,7 +208,7 @@
                 if on.unsure.is_some() {
                     // It may never have been there: an account that is asked
                     // for from now on shows it.
-                    self.ask_at(index, now + 1);
+                    self.probe_at(index, now + 1);
                 }
             }
             Err(why) => {
@@ -236,7 +236,7 @@
         now: Millis,
     ) -> bool {
         match answer {
-            Err(OrderFailure::Fenced) => self.deposed(),
+            Err(OrderFailure::Fenced) => self.superseded(),
             Err(OrderFailure::Gone) => {
                 self.executor_over(index, LifeOver::AnotherAnswers, now);
             }
@@ -246,7 +246,7 @@
     }
 
     /// Sends stops again that were not confirmed.
-    pub(super) fn repeat_stops(&mut self, now: Millis) {
+    pub(super) fn resend_stops(&mut self, now: Millis) {
         for (&index, executor) in self.executors.iter_mut() {
             for (task, on) in &mut executor.runs {
                 let due = on.stop_again != 0 && on.stop_again <= now;
--- a/puffinknot-core/src/jobs/scheduler/speeds.rs
+++ b/puffinknot-core/src/jobs/scheduler/speeds.rs
@@ -16,7 +16,7 @@
 use crate::jobs::message::{Action, EndKind, EndRow, ExecutorIndex};
 use crate::jobs::model::{Step, StepKey, TaskKey};
 use crate::jobs::record::SHARD_COUNT;
-use crate::jobs::scheduler::behind::Given;
+use crate::jobs::scheduler::event_lag::ReportTiming;
 use crate::jobs::scheduler::gangs::Room;
 use crate::jobs::scheduler::live::StepRun;
 use crate::jobs::scheduler::order::Class;
@@ -102,7 +102,7 @@
         &mut self,
         index: ExecutorIndex,
         end: &EndRow,
-        given: &Given,
+        given: &ReportTiming,
         now: Millis,
     ) {
         // Ends that wait for the store are heard of late.
@@ -116,7 +116,7 @@
         if on.run != end.run {
             return;
         }
-        let time = given.took(on).filter(|_| on.tells);
+        let time = given.duration(on).filter(|_| on.tells);
         let gang = self.step(key).is_some_and(|step| step.gang);
         let done = |run: &StepRun| run.done.contains(&end.task.index);
         if self.step_run(key).is_some_and(done) {
@@ -200,7 +200,7 @@
     pub(super) fn note_overdue(
         &mut self,
         index: ExecutorIndex,
-        given: &Given,
+        given: &ReportTiming,
         now: Millis,
     ) {
         if !self.has(Mechanism::Speeds) {
@@ -212,9 +212,9 @@
             on.tells
                 && on.phase == Phase::Running
                 && should > 0
-                && given.ran(on) > OVERDUE * should
+                && given.elapsed(on) > OVERDUE * should
         });
-        let overdue = overdue.map(|(task, on)| (*task, given.ran(on)));
+        let overdue = overdue.map(|(task, on)| (*task, given.elapsed(on)));
         let overdue: Vec<(TaskKey, Millis)> = overdue.collect();
         let mut noted: Option<StepKey> = None;
         for (task, ran) in overdue {
--- a/puffinknot-core/src/jobs/scheduler/suspects.rs
+++ b/puffinknot-core/src/jobs/scheduler/suspects.rs
@@ -263,7 +263,7 @@
                 self.keep_for_trial(place.at, task, now);
                 continue;
             }
-            let run = self.new_run();
+            let run = self.new_run_number();
             let ticket = self.ticket(key, place.at);
             self.start(place.at, task, run, ticket, now);
         }
@@ -367,7 +367,7 @@
         for at in others {
             let Some(executor) = self.executors.get(&at) else { continue };
             if !executor.probe {
-                self.ask_at(at, executor.harmless_from().max(now));
+                self.probe_at(at, executor.harmless_from().max(now));
             }
         }
         ready
@@ -414,7 +414,7 @@
         let until = harmless + KEPT_FOR;
         executor.trial =
             Some(Trial { task, run: None, until, weighty: false });
-        self.ask_at(at, harmless);
+        self.probe_at(at, harmless);
     }
 
     /// A suspect was started: its executor takes nothing more until it is
@@ -432,7 +432,7 @@
         let Some(executor) = self.executors.get_mut(&at) else { return };
         let run = Some(run);
         executor.trial = Some(Trial { task, run, until, weighty });
-        self.ask_at(at, first);
+        self.probe_at(at, first);
         self.count("trials");
     }
 
@@ -445,7 +445,7 @@
         if let Some(on) = tried.find(|on| !executor.is_harmless(on)) {
             let twice = now + now.saturating_sub(on.since);
             let next = trial.until.min(twice).max(now);
-            return self.ask_at(at, next);
+            return self.probe_at(at, next);
         }
         executor.trial = None;
         let executor = executor.info.id.clone();
--- a/puffinknot-core/src/jobs/scheduler/waves.rs
+++ b/puffinknot-core/src/jobs/scheduler/waves.rs
@@ -167,7 +167,7 @@
     ) {
         self.machines.listing = false;
         let Some(machines) = machines else { return };
-        self.machines_told(&machines, now);
+        self.machine_list_received(&machines, now);
         self.machines.listed_at = Some(now);
         let down = machines.iter();
         let down = down.filter(|m| m.state == MachineState::Upkeep);
@@ -259,11 +259,11 @@
             Ok(()) => {
                 *turn = Turn::Down(now);
                 if let Some(index) = self.executor_of(machine) {
-                    self.ask_at_once(index, now);
+                    self.probe_now(index, now);
                 }
             }
             // Another leader orders.
-            Err(UpkeepFailure::Fenced) => self.deposed(),
+            Err(UpkeepFailure::Fenced) => self.superseded(),
             Err(UpkeepFailure::Refused) => {
                 *turn = Turn::Waiting;
                 wave.lives.remove(machine);
@@ -298,7 +298,7 @@
         self.report_waves();
         let every = if open.is_empty() { LOOK_EVERY } else { LIST_EVERY };
         let due = self.machines.asked_at + every <= now;
-        let wanted = !open.is_empty() || self.wants_machines(now);
+        let wanted = !open.is_empty() || self.needs_machine_list(now);
         if wanted && due && !self.machines.listing {
             self.machines.listing = true;
             self.machines.asked_at = now;
--- a/puffinknot-measure/src/leader.rs
+++ b/puffinknot-measure/src/leader.rs
@@ -559,7 +559,7 @@
         while cell.now < begun + AFTER {
             let now = cell.now;
             cell.run(now + TICK, per_second);
-            if settled.is_nan() && cell.scheduler.settled() {
+            if settled.is_nan() && cell.scheduler.takeover_complete() {
                 settled = (cell.now - begun) as f64;
             }
         }
--- a/tests/jobs/reborn.rs
+++ b/tests/jobs/reborn.rs
@@ -433,7 +433,7 @@
     world.run(30);
     world.replace_leader();
     world.run(SOON);
-    assert!(world.scheduler.settled());
+    assert!(world.scheduler.takeover_complete());
     ends(world);
 }
 
@@ -548,7 +548,7 @@
     }
     world.replace_leader();
     world.run(SOON);
-    assert!(world.scheduler.settled());
+    assert!(world.scheduler.takeover_complete());
     ends(world);
 }
 
