--- a/puffinknot-core/src/jobs/scheduler/maintenance.rs
+++ b/puffinknot-core/src/jobs/scheduler/maintenance.rs
@@ -168,7 +168,7 @@
     ) {
         self.machines.listing = false;
         let Some(machines) = machines else { return };
-        self.machines_told(&machines, now);
+        self.machine_list_received(&machines, now);
         self.machines.listed_at = Some(now);
         let down = machines.iter();
         let down = down.filter(|m| m.state == MachineState::Maintenance);
@@ -260,11 +260,11 @@
             Ok(()) => {
                 *turn = Turn::Down(now);
                 if let Some(index) = self.executor_of(machine) {
-                    self.ask_at_once(index, now);
+                    self.probe_now(index, now);
                 }
             }
             // Another leader orders.
-            Err(MaintenanceFailure::Fenced) => self.deposed(),
+            Err(MaintenanceFailure::Fenced) => self.superseded(),
             Err(MaintenanceFailure::Refused) => {
                 *turn = Turn::Waiting;
                 wave.lives.remove(machine);
@@ -299,7 +299,7 @@
         self.report_waves();
         let every = if open.is_empty() { LOOK_EVERY } else { LIST_EVERY };
         let due = self.machines.list_requested_at + every <= now;
-        let wanted = !open.is_empty() || self.wants_machines(now);
+        let wanted = !open.is_empty() || self.needs_machine_list(now);
         if wanted && due && !self.machines.listing {
             self.machines.listing = true;
             self.machines.list_requested_at = now;
