--- a/puffinknot-core/src/jobs/scheduler/shares.rs
+++ b/puffinknot-core/src/jobs/scheduler/account_shares.rs
@@ -103,7 +103,7 @@
 
 /// The shares of all accounts.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Shares {
+pub(super) struct FairShares {
     accounts: Vec<AccountShare>,
     /// The room of all executors together.
     whole: Resources,
@@ -118,9 +118,9 @@
     full_of_urgent: bool,
 }
 
-impl Shares {
+impl FairShares {
     /// The room of all executors together, as it was added up last.
-    pub fn whole(&self) -> &Resources {
+    pub fn total_capacity(&self) -> &Resources {
         &self.whole
     }
 
@@ -185,7 +185,10 @@
 
     /// Whether an account's urgent work alone holds more than the account's
     /// share of a full cell.
-    pub(super) fn floods(&self, account: Option<AccountIndex>) -> bool {
+    pub(super) fn urgent_over_total_share(
+        &self,
+        account: Option<AccountIndex>,
+    ) -> bool {
         self.is_over(account, Kind::UrgentOfAll)
     }
 
@@ -198,14 +201,14 @@
     }
 
     /// Steps are about to be looked at: all of them, or the urgent ones.
-    pub(super) fn begin_look(&mut self, all: bool) {
+    pub(super) fn begin_placement_pass(&mut self, all: bool) {
         let shares = &mut self.shares_of_accounts;
         shares.full &= !all;
         shares.full_of_urgent = false;
     }
 
     /// A step has tasks that find no room.
-    pub(super) fn note_full(&mut self, key: StepKey) {
+    pub(super) fn note_no_capacity(&mut self, key: StepKey) {
         let live = self.jobs.get(&key.job);
         let urgent = live.is_some_and(|live| live.queue.priority == 0);
         let shares = &mut self.shares_of_accounts;
@@ -215,7 +218,7 @@
 
     /// Works out which accounts are over their shares, before steps are
     /// placed.
-    pub(super) fn weigh_shares(&mut self, now: Millis) {
+    pub(super) fn update_fair_shares(&mut self, now: Millis) {
         if now < self.shares_of_accounts.weighed + WEIGH_GAP {
             return;
         }
@@ -235,7 +238,7 @@
 
     /// Takes down what accounts hold after shares were worked out and steps
     /// were placed.
-    pub(super) fn note_held(&mut self, now: Millis) {
+    pub(super) fn record_holdings(&mut self, now: Millis) {
         let shares = &mut self.shares_of_accounts;
         if shares.weighed != now {
             return;
--- a/puffinknot-core/src/jobs/scheduler/admission.rs
+++ b/puffinknot-core/src/jobs/scheduler/admission.rs
@@ -24,10 +24,10 @@
 use crate::jobs::model::{Job, JobId, Step, StepKey};
 use crate::jobs::policy::Queue;
 use crate::jobs::scheduler::estimate::expected_end;
-use crate::jobs::scheduler::live::Live;
+use crate::jobs::scheduler::live_job::LiveJob;
 use crate::jobs::scheduler::order::{Class, Rank, Reach};
-use crate::jobs::scheduler::requests::COME_BACK;
-use crate::jobs::scheduler::returns::Returns;
+use crate::jobs::scheduler::requests::RETRY_AFTER;
+use crate::jobs::scheduler::retry_schedule::Returns;
 use crate::jobs::scheduler::Scheduler;
 
 /// A job that takes longer than so many times its objective is of no use.
@@ -116,10 +116,15 @@
             of_use_for: refusal.of_use.saturating_sub(now),
             over_share,
         });
-        Some(turn.saturating_sub(now).max(COME_BACK))
+        Some(turn.saturating_sub(now).max(RETRY_AFTER))
     }
 
-    fn refusal(&self, id: JobId, live: &Live, now: Millis) -> Option<Refusal> {
+    fn refusal(
+        &self,
+        id: JobId,
+        live: &LiveJob,
+        now: Millis,
+    ) -> Option<Refusal> {
         let backlog = self.admission.backlogs.get(&live.queue.service)?;
         let rank = self.rank(StepKey { job: id, time: 0, step: 0 }, now)?;
         let room = backlog.room();
@@ -131,7 +136,8 @@
         if wait.least() == 0 {
             return None;
         }
-        let of_use = live.since + OF_USE * (live.deadline - live.since);
+        let of_use =
+            live.arrived_at + OF_USE * (live.deadline - live.arrived_at);
         let ends = now + wait.least() + self.whole_chain(id, live);
         let part = own.map_or(1.0, |(_, part)| part);
         let takes = room.busy_with(&self.work_of(id, live, |_| true), part);
@@ -227,7 +233,7 @@
         &self,
         backlog: &mut Backlog<Place>,
         id: JobId,
-        live: &Live,
+        live: &LiveJob,
         now: Millis,
     ) {
         for (&(time, number), run) in &live.steps {
@@ -264,7 +270,7 @@
     fn work_of(
         &self,
         job: JobId,
-        live: &Live,
+        live: &LiveJob,
         which: impl Fn(&Step) -> bool,
     ) -> Work {
         let steps = (0..).zip(&live.job.steps);
@@ -277,7 +283,7 @@
     }
 
     /// How long a job should take from its start on, in milliseconds.
-    fn whole_chain(&self, job: JobId, live: &Live) -> Millis {
+    fn whole_chain(&self, job: JobId, live: &LiveJob) -> Millis {
         let steps = (0..).zip(&live.job.steps);
         let first = steps.filter(|(_, step)| step.after.is_empty());
         let chains = first.map(|(number, _)| {
@@ -295,19 +301,19 @@
         now: Millis,
     ) -> Millis {
         if !self.has(Mechanism::ReturnTimes) {
-            return now + COME_BACK;
+            return now + RETRY_AFTER;
         }
-        let Some(live) = self.jobs.get(&id) else { return now + COME_BACK };
+        let Some(live) = self.jobs.get(&id) else { return now + RETRY_AFTER };
         let line = (live.account, live.job.queue.clone());
         let returns = &mut self.admission.returns;
         let turn = returns.turn(id, line, from, takes, now);
-        returns.refused(id, live.since, true, turn);
+        returns.refused(id, live.arrived_at, true, turn);
         turn
     }
 
     /// A job is refused for another reason than want of room; its client is
-    /// to come back after [`COME_BACK`].
-    pub(super) fn note_refused(
+    /// to come back after [`RETRY_AFTER`].
+    pub(super) fn record_refusal(
         &mut self,
         id: JobId,
         first: Millis,
@@ -316,7 +322,7 @@
         if self.has(Mechanism::ReturnTimes) {
             let returns = &mut self.admission.returns;
             let first = returns.first(id).map_or(first, |(first, _)| first);
-            returns.refused(id, first, false, now + COME_BACK);
+            returns.refused(id, first, false, now + RETRY_AFTER);
         }
     }
 
@@ -349,7 +355,7 @@
     }
 
     /// Forgets refused clients that should have come back.
-    pub(super) fn forget_refused(&mut self, now: Millis) {
+    pub(super) fn forget_refusals(&mut self, now: Millis) {
         self.admission.returns.forget(now);
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/advise.rs
+++ b/puffinknot-core/src/jobs/scheduler/advise.rs
@@ -21,7 +21,7 @@
 use crate::jobs::model::{JobId, Step, StepKey};
 use crate::jobs::policy::AdviceCost;
 use crate::jobs::scheduler::fit::times;
-use crate::jobs::scheduler::live::{Advice, Ticket};
+use crate::jobs::scheduler::live_job::{Advice, Ticket};
 use crate::jobs::scheduler::Scheduler;
 
 /// A long call is made in so many parts by several nodes at one time, while
@@ -150,7 +150,7 @@
         };
         // Steps that wait come here again and again.
         if live.queue.advice.is_none()
-            || !state.advice.open.is_empty()
+            || !state.advice.open_calls.is_empty()
             || state.advice.all_asked == Some(self.executors.described())
         {
             return;
@@ -191,7 +191,7 @@
             ranked.into_iter().map(|(_, index)| index).collect();
         if !indices.is_empty() {
             self.ask(key, indices, now);
-            self.change_advice(key, |advice| advice.widened = now);
+            self.change_advice(key, |advice| advice.widened_at = now);
             return;
         }
         let described = self.executors.described();
@@ -215,7 +215,7 @@
     /// again while there is no room, would leave no turn to this.
     pub(super) fn widen(&mut self, key: StepKey, now: Millis) {
         let state = self.step_run(key);
-        if state.is_some_and(|s| now >= s.advice.widened + WIDEN_AFTER) {
+        if state.is_some_and(|s| now >= s.advice.widened_at + WIDEN_AFTER) {
             self.ask_all(key, now);
         }
     }
@@ -238,12 +238,12 @@
         let place = (key.time, key.step);
         let Some(state) = live.steps.get_mut(&place) else { return };
         let advice = &mut state.advice;
-        if !advice.open.is_empty() {
+        if !advice.open_calls.is_empty() {
             return;
         }
         for part in executors.chunks(part) {
             self.next_call += 1;
-            advice.open.insert(self.next_call);
+            advice.open_calls.insert(self.next_call);
             let call = Call {
                 step: key,
                 cost,
@@ -472,21 +472,21 @@
             }
         };
         self.advisors.in_time();
-        advice.open.remove(&id);
-        advice.known = true;
+        advice.open_calls.remove(&id);
+        advice.answered = true;
         let until = now + call.cost.valid.saturating_sub(TICKET_MARGIN);
         let asked = call.executors.len().max(1) as f64;
         let found = rows.len() as f64 / asked;
-        let first = advice.good.is_empty();
+        let first = advice.tickets.is_empty();
         for index in &call.executors {
-            advice.good.remove(index);
+            advice.tickets.remove(index);
         }
         for row in rows {
             let index = self.by_id.get(&row.executor);
             // Of a life that has followed since, nothing is said.
             if let Some(index) = index.filter(|i| call.executors.contains(i)) {
-                let ticket = Ticket { text: row.ticket, until };
-                advice.good.insert(*index, ticket);
+                let ticket = Ticket { text: row.ticket, valid_until: until };
+                advice.tickets.insert(*index, ticket);
             }
         }
         if first {
@@ -503,8 +503,8 @@
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
         let place = (key.time, key.step);
         let Some(state) = live.steps.get_mut(&place) else { return };
-        if let Some(ticket) = state.advice.good.get_mut(&index) {
-            ticket.until = 0;
+        if let Some(ticket) = state.advice.tickets.get_mut(&index) {
+            ticket.valid_until = 0;
         }
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/commit.rs
+++ b/puffinknot-core/src/jobs/scheduler/commit.rs
@@ -247,7 +247,7 @@
         for job in &jobs {
             let Some(live) = self.jobs.get(job) else { continue };
             // What is only written again can wait for another commit.
-            bytes += live.bytes();
+            bytes += live.encoded_size();
             let due = batch.accepted.contains(job) || bytes <= MAX_BYTES;
             if live.ended.is_none() && due {
                 let queue = (*live.queue).clone();
@@ -283,7 +283,7 @@
         let mut bytes = 0;
         let mut kept = BTreeSet::new();
         for job in std::mem::take(&mut batch.accepted) {
-            bytes += self.jobs.get(&job).map_or(0, |live| live.bytes());
+            bytes += self.jobs.get(&job).map_or(0, |live| live.encoded_size());
             if kept.is_empty() || bytes <= MAX_BYTES {
                 kept.insert(job);
             } else {
@@ -427,7 +427,7 @@
             job,
             account: live.job.account,
             state,
-            after: now.saturating_sub(live.since),
+            after: now.saturating_sub(live.arrived_at),
             in_time: now <= live.deadline,
         });
         self.count(match state {
--- a/puffinknot-core/src/jobs/scheduler/suspects.rs
+++ b/puffinknot-core/src/jobs/scheduler/crash_suspects.rs
@@ -77,7 +77,7 @@
 impl Scheduler {
     /// How runs were lost with an executor whose life is over, if it has
     /// crashed.
-    pub(super) fn crash_of(
+    pub(super) fn assess_crash(
         &self,
         index: ExecutorIndex,
         why: LifeOver,
@@ -130,14 +130,14 @@
     fn spread(&self, key: StepKey) -> u32 {
         let gang = self.step(key).is_some_and(|step| step.gang);
         match self.step_run(key) {
-            Some(state) if gang => state.spread,
+            Some(state) if gang => state.executor_count,
             _ => 1,
         }
     }
 
     /// Takes down what a crash tells, and gives up those tasks of which it
     /// leaves no doubt.
-    pub(super) fn suspect(&mut self, crash: Crash, now: Millis) {
+    pub(super) fn record_crash(&mut self, crash: Crash, now: Millis) {
         self.crash_rate.crashed(crash.suspects, now);
         for Suspicion { task, executor, loss } in crash.suspicions {
             let rate = self.crash_rate.without(self.counted(task), now);
@@ -160,7 +160,7 @@
     }
 
     /// Counts the executors that may crash, now and then.
-    pub(super) fn watch_for_crashes(&mut self, now: Millis) {
+    pub(super) fn count_live_executors(&mut self, now: Millis) {
         if self.crash_rate.is_due(now) {
             let executors = self.executors.values();
             let living = executors.filter(|e| {
@@ -181,7 +181,7 @@
         let key = self.counted(task);
         let counted = key.index;
         let live = self.jobs.get_mut(&task.step.job)?;
-        let state = live.step_run(task.step.time, task.step.step)?;
+        let state = live.step_state(task.step.time, task.step.step)?;
         if state.done.contains(&task.index) {
             return None;
         }
@@ -191,7 +191,7 @@
         losses.weigh(|at| self.crash_rate.known_without(key, at, now));
         let recorded = suspected.then(|| losses.clone());
         let waits = GANG_WAITS << losses.runs.min(MOST_DOUBLED);
-        state.tries_until = now + waits;
+        state.trial_wait_until = now + waits;
         if recorded.is_none() {
             state.losses.remove(&counted);
         }
@@ -220,9 +220,9 @@
     }
 
     /// The losses of a task, if it needs a trial.
-    pub(super) fn suspected(&self, task: TaskKey) -> Option<&Losses> {
+    pub(super) fn suspected_losses(&self, task: TaskKey) -> Option<&Losses> {
         let counted = self.step(task.step)?.counted(task.index);
-        self.step_run(task.step)?.suspected(counted)
+        self.step_run(task.step)?.suspected_losses(counted)
     }
 
     /// Starts those tasks of a step that need a trial, each where nothing
@@ -238,15 +238,18 @@
         let mut stale = false;
         for index in suspects {
             let task = key.task(index);
-            let Some(losses) = self.suspected(task).cloned() else { continue };
-            if !self.ledger.left(opening.account).fits(&opening.step.need) {
+            let Some(losses) = self.suspected_losses(task).cloned() else {
+                continue;
+            };
+            if !self.ledger.remaining(opening.account).fits(&opening.step.need)
+            {
                 break;
             }
             if losses.weight > 0 && self.risks_enough(key, now) {
                 self.count("trials_put_off");
                 continue;
             }
-            if self.awaits_calm(task, now) {
+            if self.postpone_trial(task, now) {
                 continue;
             }
             let fits = opening.candidates.iter().copied().filter(|(at, _)| {
@@ -272,8 +275,12 @@
 
     /// Whether the next trial of a task is put off, since executors crash too
     /// often for it to tell anything.
-    pub(super) fn awaits_calm(&mut self, task: TaskKey, now: Millis) -> bool {
-        if !self.suspected(task).is_some_and(Losses::may_settle) {
+    pub(super) fn postpone_trial(
+        &mut self,
+        task: TaskKey,
+        now: Millis,
+    ) -> bool {
+        if !self.suspected_losses(task).is_some_and(Losses::may_settle) {
             return false;
         }
         let counted = self.counted(task);
@@ -281,7 +288,7 @@
         let Some(live) = self.jobs.get_mut(&task.step.job) else {
             return false;
         };
-        let state = live.step_run(task.step.time, task.step.step);
+        let state = live.step_state(task.step.time, task.step.step);
         let losses = state.and_then(|s| s.losses.get_mut(&counted.index));
         let awaits = losses.is_some_and(|l| l.puts_off(rate, now));
         if awaits {
@@ -329,14 +336,18 @@
     }
 
     /// Whether a trial keeps others from being started on an executor.
-    pub(super) fn is_closed(&self, at: ExecutorIndex, now: Millis) -> bool {
+    pub(super) fn is_closed_by_trial(
+        &self,
+        at: ExecutorIndex,
+        now: Millis,
+    ) -> bool {
         self.executors.get(&at).is_some_and(|e| e.is_closed(now))
     }
 
     /// Whether a crash of an executor would tell nothing of a gang that may
     /// have crashed others: something else there is under suspicion, or it
     /// was there before. A gang can't wait until it finds others.
-    pub(super) fn is_no_trial(
+    pub(super) fn is_inconclusive_trial(
         &self,
         at: ExecutorIndex,
         gang: Option<&Losses>,
@@ -350,14 +361,15 @@
 
     /// Of the executors that a gang may use, those on which it is tried alone
     /// if it may have crashed others. The rest is asked, so that it will do.
-    pub(super) fn ready_for_trial(
+    pub(super) fn trial_candidates(
         &mut self,
         key: StepKey,
         open: Vec<ExecutorIndex>,
         now: Millis,
     ) -> Vec<ExecutorIndex> {
-        let waits = self.step_run(key).is_some_and(|s| now < s.tries_until);
-        if !waits || self.suspected(key.task(0)).is_none() {
+        let waits =
+            self.step_run(key).is_some_and(|s| now < s.trial_wait_until);
+        if !waits || self.suspected_losses(key.task(0)).is_none() {
             return open;
         }
         let (ready, others): (Vec<_>, Vec<_>) =
@@ -377,7 +389,7 @@
     fn has_place(&self, key: StepKey, step: &Step, at: ExecutorIndex) -> bool {
         let most = step.max_per_executor;
         let Some(state) = self.step_run(key) else { return false };
-        let there = state.places.values().filter(|(on, _)| *on == at);
+        let there = state.placements.values().filter(|(on, _)| *on == at);
         most == 0 || there.count() < most as usize
     }
 
@@ -419,14 +431,14 @@
 
     /// A suspect was started: its executor takes nothing more until it is
     /// known to have survived that.
-    pub(super) fn begin_trial(
+    pub(super) fn start_trial(
         &mut self,
         at: ExecutorIndex,
         task: TaskKey,
         run: u64,
         now: Millis,
     ) {
-        let Some(losses) = self.suspected(task) else { return };
+        let Some(losses) = self.suspected_losses(task) else { return };
         let (until, weighty) = (now + losses.window(), losses.weight > 0);
         let first = until.min(now + FIRST_LOOK);
         let Some(executor) = self.executors.get_mut(&at) else { return };
@@ -437,7 +449,7 @@
     }
 
     /// An executor has given account: has it survived its trial?
-    pub(super) fn follow_trial(&mut self, at: ExecutorIndex, now: Millis) {
+    pub(super) fn check_trial(&mut self, at: ExecutorIndex, now: Millis) {
         let Some(executor) = self.executors.get_mut(&at) else { return };
         let Some(trial) = executor.trial.clone() else { return };
         let Some(run) = trial.run else { return };
--- a/puffinknot-core/src/jobs/scheduler/displace.rs
+++ b/puffinknot-core/src/jobs/scheduler/displace.rs
@@ -144,7 +144,7 @@
 impl Scheduler {
     /// Whether room that was bought for a step is kept while others stop.
     pub(super) fn is_displacing(&self, key: StepKey, now: Millis) -> bool {
-        self.step_run(key).is_some_and(|state| now < state.displacing_until)
+        self.step_run(key).is_some_and(|state| now < state.preempting_until)
     }
 
     /// Has others give way to a gang that has no room on these executors, if
@@ -246,14 +246,14 @@
     /// has waited for long enough.
     fn may_displace(&self, key: StepKey, now: Millis) -> bool {
         let Some(live) = self.jobs.get(&key.job) else { return false };
-        let tried = self.step_run(key).map(|state| state.displace_from);
+        let tried = self.step_run(key).map(|state| state.preempt_from);
         if self.rank(key, now).is_none_or(|rank| rank.beyond()) {
             return false;
         }
         if live.job.repeats.is_some() || tried.is_none_or(|from| now < from) {
             return false;
         }
-        let whole = live.deadline.saturating_sub(live.since);
+        let whole = live.deadline.saturating_sub(live.arrived_at);
         let slack = whole.saturating_sub(live.job.chain());
         let latest = live.deadline.saturating_sub(self.chain_left(key));
         let unused = slack as f64 * (1.0 - SLACK_USED);
@@ -262,9 +262,9 @@
 
     fn try_displacing(&mut self, key: StepKey, until: Millis, from: Millis) {
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
-        if let Some(state) = live.step_run(key.time, key.step) {
-            state.displacing_until = until;
-            state.displace_from = from;
+        if let Some(state) = live.step_state(key.time, key.step) {
+            state.preempting_until = until;
+            state.preempt_from = from;
         }
     }
 
@@ -285,7 +285,7 @@
         others.sort_by_key(|victim| (victim.over_share, victim.slack));
         let room = self.room_to_come(executor);
         let taken = self.step_run(key).is_some_and(|state| {
-            let mut places = state.places.values();
+            let mut places = state.placements.values();
             step.max_per_executor > 0 && places.any(|(there, _)| *there == at)
         });
         if taken {
@@ -320,7 +320,7 @@
         let state = live.steps.get(&(task.step.time, task.step.step))?;
         let step = live.job.steps.get(task.step.step as usize)?;
         let (run, need) = (on.run, on.need);
-        let here = state.places.get(&task.index).map(|(_, run)| *run);
+        let here = state.placements.get(&task.index).map(|(_, run)| *run);
         let may = live.queue.priority > priority
             && live.ended.is_none()
             && step.checkpoints
@@ -329,7 +329,7 @@
             && on.phase == Phase::Running
             && on.ends > now + ENDS_SOON
             && here == Some(run)
-            && !state.gave_way.contains(&task.index);
+            && !state.preempted.contains(&task.index);
         let rest = self.chain_left(task.step);
         let slack = live.deadline.saturating_sub(now + rest);
         let over_share = self.over_share(live.account);
@@ -340,8 +340,8 @@
     fn give_way(&mut self, at: ExecutorIndex, victim: &Victim) {
         let key = victim.task.step;
         if let Some(live) = self.jobs.get_mut(&key.job) {
-            if let Some(state) = live.step_run(key.time, key.step) {
-                state.gave_way.insert(victim.task.index);
+            if let Some(state) = live.step_state(key.time, key.step) {
+                state.preempted.insert(victim.task.index);
             }
         }
         self.count("runs_displaced");
--- a/puffinknot-core/src/jobs/scheduler/gangs.rs
+++ b/puffinknot-core/src/jobs/scheduler/gangs.rs
@@ -69,7 +69,7 @@
             self.wait_without_room(key, now);
             return false;
         }
-        if self.awaits_calm(key.task(0), now) {
+        if self.postpone_trial(key.task(0), now) {
             self.unreserve(key);
             return true;
         }
@@ -82,14 +82,15 @@
         }
         let open: Vec<ExecutorIndex> = open
             .into_iter()
-            .filter(|(at, _)| !self.is_closed(*at, now))
+            .filter(|(at, _)| !self.is_closed_by_trial(*at, now))
             .map(|(at, _)| at)
             .collect();
-        let open = self.ready_for_trial(key, open, now);
+        let open = self.trial_candidates(key, open, now);
         self.looked.add_executors(open.len());
-        let suspect = self.suspected(key.task(0)).cloned();
+        let suspect = self.suspected_losses(key.task(0)).cloned();
         let again = |at: ExecutorIndex| {
-            failed_on.contains(&at) || self.is_no_trial(at, suspect.as_ref())
+            failed_on.contains(&at)
+                || self.is_inconclusive_trial(at, suspect.as_ref())
         };
         let holds = |at: ExecutorIndex| {
             let found = candidates.binary_search_by_key(&at, |(at, _)| *at);
@@ -112,7 +113,7 @@
         if self.is_displacing(key, now) {
             return false;
         }
-        self.note_full(key);
+        self.note_no_capacity(key);
         self.unreserve(key);
         let waiting = Waiting { key, step: &step, count: step.count };
         let displaces = keep && self.has(Mechanism::Displacing);
@@ -145,14 +146,14 @@
         let step = &live.job.steps[key.step as usize];
         // Its own room is free to it, and a trial has others asked.
         let special = self.reserved.contains_key(&key)
-            || now < state.tries_until
+            || now < state.trial_wait_until
             || state.waiting.len() as u32 != step.count;
         if special || live.queue.advice.is_none() {
             return false;
         }
         let room = step.room();
         let mut left = u64::from(step.count);
-        let good = state.advice.good.keys();
+        let good = state.advice.tickets.keys();
         for executor in good.filter_map(|at| self.executors.get(at)) {
             if executor.free.fits(&room) {
                 let count = times(&executor.free, &room);
@@ -170,7 +171,7 @@
         if self.is_displacing(key, now) {
             return;
         }
-        self.note_full(key);
+        self.note_no_capacity(key);
         self.widen(key, now);
         let scarce = self.advice_scarce();
         if !scarce || !self.could_hold_all(key, now) {
@@ -285,8 +286,8 @@
             }
         }
         if let Some(live) = self.jobs.get_mut(&key.job) {
-            if let Some(state) = live.step_run(key.time, key.step) {
-                state.spread = plan.len() as u32;
+            if let Some(state) = live.step_state(key.time, key.step) {
+                state.executor_count = plan.len() as u32;
             }
         }
         self.count("gangs");
@@ -445,8 +446,8 @@
             return;
         }
         let old = executors.iter().any(|at| {
-            let good = state.advice.good.get(at);
-            good.is_none_or(|ticket| ticket.until < when.max(now + call))
+            let good = state.advice.tickets.get(at);
+            good.is_none_or(|ticket| ticket.valid_until < when.max(now + call))
         });
         if old {
             self.ask(key, executors, now);
--- a/puffinknot-core/src/jobs/scheduler/holds.rs
+++ b/puffinknot-core/src/jobs/scheduler/holds.rs
@@ -52,7 +52,7 @@
 
     fn send_hold(&mut self, index: ExecutorIndex, idle: bool, now: Millis) {
         let lease = self.config.lease;
-        let close = self.watched_closely(index);
+        let close = self.needs_frequent_reports(index);
         let Some(executor) = self.executors.get_mut(&index) else { return };
         if executor.over.is_some() {
             return;
@@ -281,10 +281,10 @@
             if !answer.more_ended {
                 self.find_missing(index, &answer.running, sent_at);
             }
-            self.pace(index, &answer.running, now);
+            self.throttle(index, &answer.running, now);
             self.note_overdue(index, &given, now);
         }
-        self.follow_trial(index, now);
+        self.check_trial(index, now);
         if first {
             self.settle(now);
         }
@@ -362,11 +362,12 @@
             let ended = live.ended;
             let gang = live.job.steps.get(key.step as usize);
             let gang = gang.is_some_and(|step| step.gang);
-            let place = live.step_run(key.time, key.step);
+            let place = live.step_state(key.time, key.step);
             if let (None, Some(run)) = (ended, place) {
-                let others = run.places.values().all(|(_, r)| *r == row.run);
-                let waited = run.found(row.task.index, index, row.run);
-                wanted = waited && !run.breaking && (others || !gang);
+                let others =
+                    run.placements.values().all(|(_, r)| *r == row.run);
+                let waited = run.add_run(row.task.index, index, row.run);
+                wanted = waited && !run.stopping_gang && (others || !gang);
             }
         }
         let Some(executor) = self.executors.get(&index) else { return };
--- a/puffinknot-core/src/jobs/scheduler/in_flight.rs
+++ b/puffinknot-core/src/jobs/scheduler/in_flight.rs
@@ -135,7 +135,7 @@
             ..on
         };
         self.put_run(next, task, on);
-        self.begin_trial(next, task, run, now);
+        self.start_trial(next, task, run, now);
         if !wanted {
             self.stop(next, task, run);
         }
@@ -157,7 +157,7 @@
         let wanted = live.ended.is_none();
         let place = (task.step.time, task.step.step);
         let state = live.steps.get_mut(&place);
-        let at = state.and_then(|state| state.places.get_mut(&task.index));
+        let at = state.and_then(|state| state.placements.get_mut(&task.index));
         let Some(at) = at.filter(|at| **at == (from, run)) else {
             return false;
         };
--- a/puffinknot-core/src/jobs/scheduler/leaving.rs
+++ b/puffinknot-core/src/jobs/scheduler/leaving.rs
@@ -93,7 +93,7 @@
     ) -> bool {
         let Some(step) = self.step(task.step) else { return false };
         let Some(state) = self.step_run(task.step) else { return false };
-        let place = state.places.get(&task.index);
+        let place = state.placements.get(&task.index);
         let here = place.is_some_and(|(_, run)| *run == on.run);
         if !here || matches!(on.phase, Phase::Stopping(_)) {
             return false;
--- a/puffinknot-core/src/jobs/scheduler/ledger.rs
+++ b/puffinknot-core/src/jobs/scheduler/ledger.rs
@@ -152,7 +152,7 @@
     }
 
     /// What may be started for an account.
-    pub fn left(&self, account: Option<AccountIndex>) -> Resources {
+    pub fn remaining(&self, account: Option<AccountIndex>) -> Resources {
         let entry = account.and_then(|at| self.entries.get(at as usize));
         let none = Resources::default();
         match entry {
@@ -166,7 +166,7 @@
 
     /// The most that an account may have running, so that a gang that needs
     /// more is never started.
-    pub fn most(&self, account: Option<AccountIndex>) -> Resources {
+    pub fn limit_of(&self, account: Option<AccountIndex>) -> Resources {
         let entry = account.and_then(|at| self.entries.get(at as usize));
         let limit = entry.map(|entry| entry.limit).unwrap_or_default();
         accounts::left(&limit, &Resources::default())
@@ -240,12 +240,12 @@
 /// what comes after such a gang starts only if it should end before the gang
 /// can begin.
 #[derive(Debug, Default)]
-pub(super) struct Turns {
+pub(super) struct LimitReservations {
     /// When the first gang of an account should begin.
     begins: BTreeMap<AccountIndex, Millis>,
 }
 
-impl Turns {
+impl LimitReservations {
     /// Whether something that ends then may start before the gang that
     /// waits, if any does.
     fn admits(&self, account: AccountIndex, ends: Millis) -> bool {
@@ -287,7 +287,7 @@
     /// Works out anew what may run unseen, while a takeover is not settled:
     /// at most what executors hold that have not answered, and at most what
     /// may have been started.
-    pub(super) fn count_unseen(&mut self) {
+    pub(super) fn update_unseen(&mut self) {
         if self.unsettled.is_none() {
             return self.ledger.settled();
         }
@@ -315,11 +315,11 @@
 
     /// Whether nothing of a step may be started now for the limit of its
     /// account: no task, or not all of a gang. A gang that waits for it gets
-    /// the next of the limit that is free, see [`Turns`].
+    /// the next of the limit that is free, see [`LimitReservations`].
     pub(super) fn is_at_limit(
         &mut self,
         key: StepKey,
-        turns: &mut Turns,
+        turns: &mut LimitReservations,
         now: Millis,
     ) -> bool {
         let Some(live) = self.jobs.get(&key.job) else { return true };
@@ -327,7 +327,7 @@
         let step = &live.job.steps[key.step as usize];
         let together = if step.gang { step.count } else { 1 };
         let needed = step.need.times(together);
-        let fits = self.ledger.left(live.account).fits(&needed);
+        let fits = self.ledger.remaining(live.account).fits(&needed);
         if fits && turns.admits(account, now + self.usual_run_time(key)) {
             return false;
         }
--- a/puffinknot-core/src/jobs/scheduler/live.rs
+++ b/puffinknot-core/src/jobs/scheduler/live_job.rs
@@ -19,16 +19,16 @@
 pub(super) struct Ticket {
     pub text: String,
     /// Until when it surely holds.
-    pub until: Millis,
+    pub valid_until: Millis,
 }
 
 /// What is known from advice about a step.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Advice {
     /// The calls that are queued or under way.
-    pub open: BTreeSet<CallId>,
+    pub open_calls: BTreeSet<CallId>,
     /// The executors that may run the step.
-    pub good: BTreeMap<ExecutorIndex, Ticket>,
+    pub tickets: BTreeMap<ExecutorIndex, Ticket>,
     /// The executors that were asked about.
     pub asked: BTreeSet<ExecutorIndex>,
     /// All executors that may run the step were asked about when
@@ -36,18 +36,18 @@
     /// was this.
     pub all_asked: Option<u64>,
     /// Whether the first answer has come.
-    pub known: bool,
+    pub answered: bool,
     /// When executors that were not asked about before were asked about last.
-    pub widened: Millis,
+    pub widened_at: Millis,
 }
 
 /// A step that has begun or may begin.
 #[derive(Clone, Debug, Default)]
-pub(super) struct StepRun {
+pub(super) struct StepState {
     /// Tasks that are to be started.
     pub waiting: BTreeSet<u32>,
     /// Where tasks are, and in which run.
-    pub places: BTreeMap<u32, (ExecutorIndex, u64)>,
+    pub placements: BTreeMap<u32, (ExecutorIndex, u64)>,
     /// Runs beside those in `places`, which are being stopped.
     pub strays: BTreeMap<u32, BTreeSet<(ExecutorIndex, u64)>>,
     /// Tasks that are done.
@@ -59,25 +59,25 @@
     pub losses: BTreeMap<u32, Losses>,
     /// Until when a gang that may have crashed executors waits for such on
     /// which nothing else is under suspicion.
-    pub tries_until: Millis,
+    pub trial_wait_until: Millis,
     /// The number of executors that the last run of a gang was started on.
-    pub spread: u32,
+    pub executor_count: u32,
     /// Executors on which runs of the step have failed.
     pub failed_on: BTreeSet<ExecutorIndex>,
     /// The last checkpoint of each task.
     pub checkpoints: BTreeMap<u32, String>,
     /// The run of a gang is over, and its members are being stopped.
-    pub breaking: bool,
+    pub stopping_gang: bool,
     /// What is known from advice.
     pub advice: Advice,
     /// How long its runs have taken.
     pub times: StepTimes,
     /// Tasks that have given way to others.
-    pub gave_way: BTreeSet<u32>,
+    pub preempted: BTreeSet<u32>,
     /// Until when room is kept while others give way to it.
-    pub displacing_until: Millis,
+    pub preempting_until: Millis,
     /// When others may be asked to give way to it.
-    pub displace_from: Millis,
+    pub preempt_from: Millis,
     /// Whether a start was held back for urgent work.
     pub held_back: bool,
     /// Whether its turn has come: all that it depends on is done. What a
@@ -86,11 +86,11 @@
     pub released: bool,
 }
 
-impl StepRun {
+impl StepState {
     /// A step of which nothing has been done.
-    pub fn new(step: &Step) -> StepRun {
+    pub fn new(step: &Step) -> StepState {
         let waiting = (0..step.count).collect();
-        StepRun { waiting, ..StepRun::default() }
+        StepState { waiting, ..StepState::default() }
     }
 
     /// Takes over what a predecessor has written.
@@ -120,28 +120,33 @@
 
     /// The losses of a task, if it needs a trial. A gang counts as its
     /// first.
-    pub fn suspected(&self, counted: u32) -> Option<&Losses> {
+    pub fn suspected_losses(&self, counted: u32) -> Option<&Losses> {
         self.losses.get(&counted).filter(|losses| losses.suspect())
     }
 
     /// Where a task is, or all members of its gang are, and in which run.
-    pub fn places_of(
+    pub fn placements_of(
         &self,
         index: u32,
         gang: bool,
     ) -> Vec<(u32, (ExecutorIndex, u64))> {
-        let places = self.places.iter();
+        let places = self.placements.iter();
         let places = places.filter(|(member, _)| gang || **member == index);
         places.map(|(member, place)| (*member, *place)).collect()
     }
 
     /// A run of a task is at an executor. Wanted or not, the task is started
     /// nowhere until it ends. Returns whether the task was to be started.
-    pub fn found(&mut self, index: u32, at: ExecutorIndex, run: u64) -> bool {
+    pub fn add_run(
+        &mut self,
+        index: u32,
+        at: ExecutorIndex,
+        run: u64,
+    ) -> bool {
         if self.done.contains(&index) {
             return false;
         }
-        let place = *self.places.entry(index).or_insert((at, run));
+        let place = *self.placements.entry(index).or_insert((at, run));
         if place != (at, run) {
             self.strays.entry(index).or_default().insert((at, run));
         }
@@ -150,21 +155,21 @@
 
     /// A run of a task is over. Returns whether it was the one that counts. If
     /// another goes on, by `goes_on`, that is in its place.
-    pub fn ended(
+    pub fn end_run(
         &mut self,
         index: u32,
         at: ExecutorIndex,
         run: u64,
         goes_on: impl Fn(ExecutorIndex, u64) -> bool,
     ) -> bool {
-        let here = self.places.get(&index) == Some(&(at, run));
+        let here = self.placements.get(&index) == Some(&(at, run));
         let mut others = self.strays.remove(&index).unwrap_or_default();
         others.remove(&(at, run));
         if here {
             others.retain(|(at, run)| goes_on(*at, *run));
             match others.pop_last() {
-                Some(other) => self.places.insert(index, other),
-                None => self.places.remove(&index),
+                Some(other) => self.placements.insert(index, other),
+                None => self.placements.remove(&index),
             };
         }
         if !others.is_empty() {
@@ -174,7 +179,7 @@
     }
 
     /// Whether all tasks are done.
-    pub fn complete(&self, step: &Step) -> bool {
+    pub fn is_complete(&self, step: &Step) -> bool {
         self.done.len() as u32 >= step.count
     }
 
@@ -198,18 +203,18 @@
 
 /// A job that has not ended.
 #[derive(Clone, Debug)]
-pub(super) struct Live {
+pub(super) struct LiveJob {
     pub job: Job,
     pub queue: Arc<Queue>,
     /// The client account that it belongs to.
     pub account: Option<AccountIndex>,
     pub spec: Arc<str>,
     /// It was handed in beyond its account's due.
-    pub beyond_due: bool,
+    pub over_rate: bool,
     /// The order of arrival.
-    pub arrival: u64,
+    pub arrival_seq: u64,
     /// When this scheduler heard of it.
-    pub since: Millis,
+    pub arrived_at: Millis,
     /// When its objective is over.
     pub deadline: Millis,
     /// Whether it stands in the store.
@@ -223,21 +228,21 @@
     /// How it has ended, if that is not written yet.
     pub ended: Option<JobState>,
     /// Whether any task has begun.
-    pub begun: bool,
+    pub started: bool,
     /// Its steps, by repetition and number, once they may begin.
-    pub steps: BTreeMap<(u32, u32), StepRun>,
+    pub steps: BTreeMap<(u32, u32), StepState>,
     /// The number of repetitions that have become due.
-    pub due: u32,
+    pub due_repeats: u32,
 }
 
-impl Live {
+impl LiveJob {
     /// Whether its tasks go before all that may wait.
     pub fn is_urgent(&self) -> bool {
-        self.queue.priority == 0 && !self.beyond_due
+        self.queue.priority == 0 && !self.over_rate
     }
 
     /// About how many bytes it takes to write it.
-    pub fn bytes(&self) -> usize {
+    pub fn encoded_size(&self) -> usize {
         const EACH: usize = 300;
         const STEP: usize = 60;
         let links: usize =
@@ -273,27 +278,27 @@
     }
 
     /// Whether every step of every repetition is done.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         let all = self.job.times() as usize * self.job.steps.len();
         let done = self.steps.iter().filter(|(&(_, number), run)| {
-            run.complete(&self.job.steps[number as usize])
+            run.is_complete(&self.job.steps[number as usize])
         });
         done.count() == all
     }
 
     /// A step, which is made known if it is not. None if there is no such
     /// step.
-    pub fn step_run(
+    pub fn step_state(
         &mut self,
         time: u32,
         number: u32,
-    ) -> Option<&mut StepRun> {
+    ) -> Option<&mut StepState> {
         let step = self.job.steps.get(number as usize)?;
         if time >= self.job.times() {
             return None;
         }
         let run = self.steps.entry((time, number));
-        Some(run.or_insert_with(|| StepRun::new(step)))
+        Some(run.or_insert_with(|| StepState::new(step)))
     }
 
     /// Releases the steps of a repetition whose dependencies are done, and
@@ -305,12 +310,12 @@
             let done = after.iter().all(|&before| {
                 let run = self.steps.get(&(time, before));
                 let step = &self.job.steps[before as usize];
-                run.is_some_and(|run| run.complete(step))
+                run.is_some_and(|run| run.is_complete(step))
             });
             if !done {
                 continue;
             }
-            let Some(run) = self.step_run(time, number) else { continue };
+            let Some(run) = self.step_state(time, number) else { continue };
             if !std::mem::replace(&mut run.released, true) {
                 released.push(number);
             }
--- a/puffinknot-core/src/jobs/scheduler/lives.rs
+++ b/puffinknot-core/src/jobs/scheduler/lives.rs
@@ -203,11 +203,11 @@
         self.count("executors_over");
         self.count(why.counter());
         self.forget_carried_over(index);
-        let crash = self.crash_of(index, why);
+        let crash = self.assess_crash(index, why);
         self.leave_in_flight(index, why, now);
         self.give_up_runs(index, why);
         if let Some(crash) = crash {
-            self.suspect(crash, now);
+            self.record_crash(crash, now);
         }
         // Nothing is left there that counts for an account.
         self.hidden.remove(&index);
--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -1,7 +1,7 @@
 /*!
 The state of the node that leads the cell.
 
-What is done with it has modules of its own: `admit` knows who may call,
+What is done with it has modules of its own: `authorization` knows who may call,
 `requests` answers clients, `ledger` counts what client accounts have running,
 `holds` takes in what executors report, `runs` follows single runs to their
 ends, `lives` knows when an executor's life is over, `followers` which life
@@ -9,13 +9,13 @@
 `machines` what the list of machines tells of lives, `order` says what
 comes first, `estimate` how long runs take, `fit` where a task fits, `place`
 chooses what starts where, `gangs` does so for gangs, `urgent` keeps room free
-for urgent tasks, `displace` has others give way to them and to gangs, `shares`
-knows which accounts hold more than their share, `buckets` what comes beyond an
+for urgent tasks, `displace` has others give way to them and to gangs, `account_shares`
+knows which accounts hold more than their share, `token_buckets` what comes beyond an
 account's due, `speeds` learns how long runs take,
 `domains` finds data centres that are out of reach, `cordons` knows those that
 take no new work, `admission` refuses what can't be done in time,
-`alarm` connections that have fallen silent, `behind` how late the leader's
-news are, `judge` executors that fail what they run, `suspects` tasks that
+`silence_alarm` connections that have fallen silent, `behind` how late the leader's
+news are, `judge` executors that fail what they run, `crash_suspects` tasks that
 crash the executors that start them, `due`
 knows which executors to look at, `advise` spreads the calls for advice over
 all nodes, which `advisors` knows, `commit` groups what has to be written,
@@ -23,7 +23,7 @@
 `leaving` moves what runs on executors that are about to go,
 `looked` counts what placing looks through, `rounds` bounds its part of the
 time,
-`records` knows what of it still matters, `pace` slows tasks that fill beside
+`records` knows what of it still matters, `throttle` slows tasks that fill beside
 tasks that serve, `waves` takes machines down for their upkeep, and `restore`
 takes over from a predecessor.
 */
@@ -45,15 +45,15 @@
 use crate::jobs::policy::{Policy, Queue};
 use crate::jobs::record::EndedJob;
 
+mod account_shares;
 mod admission;
-mod admit;
 mod advise;
 mod advisors;
-mod alarm;
+mod authorization;
 mod behind;
-mod buckets;
 mod commit;
 mod cordons;
+mod crash_suspects;
 mod displace;
 mod domains;
 mod due;
@@ -66,32 +66,31 @@
 mod judge;
 mod leaving;
 mod ledger;
-mod live;
+mod live_job;
 mod lives;
 mod looked;
 mod machines;
 mod order;
 mod outage;
-mod pace;
 mod place;
 mod records;
 mod requests;
 mod restore;
-mod returns;
+mod retry_schedule;
 mod rounds;
 mod runs;
-mod shares;
+mod silence_alarm;
 mod speeds;
-mod suspects;
+mod throttle;
+mod token_buckets;
 mod urgent;
 mod waves;
 
+use self::account_shares::FairShares;
 use self::admission::Admission;
 use self::advise::Call;
 use self::advisors::Advisors;
-use self::alarm::Alarm;
 use self::behind::Behind;
-use self::buckets::Buckets;
 use self::commit::CommitQueue;
 use self::domains::Domains;
 use self::due::DueHolds;
@@ -99,13 +98,14 @@
 use self::leaving::Notices;
 use self::ledger::Ledger;
 pub use self::ledger::Usage;
-use self::live::Live;
+use self::live_job::LiveJob;
 pub use self::looked::Looked;
 use self::order::LateTurns;
 use self::outage::Outages;
 use self::rounds::Rounds;
-use self::shares::Shares;
+use self::silence_alarm::SilenceAlarm;
 use self::speeds::Guesses;
+use self::token_buckets::TokenBuckets;
 use self::urgent::UrgentRoom;
 use self::waves::Machines;
 
@@ -171,13 +171,13 @@
     queues: BTreeMap<String, Arc<Queue>>,
     keys: KeyRing,
     ledger: Ledger,
-    shares_of_accounts: Shares,
+    shares_of_accounts: FairShares,
     guesses: Guesses,
     urgent: UrgentRoom,
     admission: Admission,
-    buckets: Buckets,
+    buckets: TokenBuckets,
     late_turns: LateTurns,
-    jobs: BTreeMap<JobId, Live>,
+    jobs: BTreeMap<JobId, LiveJob>,
     ended: Ended,
     executors: Executors,
     /// The newest life of each name.
@@ -214,7 +214,7 @@
     domains: Domains,
     cordons: Cordons,
     crash_rate: CrashRate,
-    alarm: Alarm,
+    alarm: SilenceAlarm,
     behind: Behind,
     /// Until when what a predecessor ordered may be unknown, if it may.
     unsettled: Option<Millis>,
@@ -243,18 +243,18 @@
             domains: Domains::default(),
             cordons: Cordons::default(),
             crash_rate: CrashRate::default(),
-            alarm: Alarm::default(),
+            alarm: SilenceAlarm::default(),
             behind: Behind::default(),
             config,
             policy: Arc::default(),
             queues: BTreeMap::new(),
             keys: KeyRing::default(),
             ledger: Ledger::default(),
-            shares_of_accounts: Shares::default(),
+            shares_of_accounts: FairShares::default(),
             guesses: Guesses::default(),
             urgent: UrgentRoom::default(),
             admission: Admission::default(),
-            buckets: Buckets::default(),
+            buckets: TokenBuckets::default(),
             late_turns: LateTurns::default(),
             jobs: BTreeMap::new(),
             ended: Ended::default(),
@@ -353,7 +353,7 @@
             Event::Advised { call, answer } => self.advised(call, answer, now),
             Event::Advisors(names) => self.set_advisors(names),
             Event::Paced { executor, answer } => {
-                self.paced(executor, answer, now);
+                self.throttle_answered(executor, answer, now);
             }
             Event::Wave(info) => self.wave(info, now),
             Event::Machines(machines) => self.machines_listed(machines, now),
@@ -389,9 +389,9 @@
     }
 
     fn tick(&mut self, now: Millis) {
-        self.watch_for_crashes(now);
+        self.count_live_executors(now);
         self.ended.forget(now);
-        self.forget_refused(now);
+        self.forget_refusals(now);
         self.give_up_lives(now);
         self.expire(now);
         self.expire_in_flight(now);
--- a/puffinknot-core/src/jobs/scheduler/order.rs
+++ b/puffinknot-core/src/jobs/scheduler/order.rs
@@ -2,7 +2,7 @@
 The one order in which steps are looked at, wherever they compete.
 
 Urgent queues come first. What would take an account beyond its share of a full
-cell comes behind all else, see [`super::shares`].
+cell comes behind all else, see [`super::account_shares`].
 
 Within a class, what can still meet its objective comes first, by the latest
 start that does: the end of the objective less what is left of the job. Then
@@ -20,7 +20,7 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::model::{Step, StepKey};
 use crate::jobs::scheduler::fit::times;
-use crate::jobs::scheduler::live::Live;
+use crate::jobs::scheduler::live_job::LiveJob;
 use crate::jobs::scheduler::Scheduler;
 
 /// A job that takes longer than so many times its objective is of little use.
@@ -93,7 +93,7 @@
     pub(super) fn rank(&self, key: StepKey, now: Millis) -> Option<Rank> {
         let live = self.jobs.get(&key.job)?;
         let class = self.class(live);
-        let arrival = live.arrival;
+        let arrival = live.arrival_seq;
         let (reach, by) = if !self.has(Mechanism::OrderByObjective) {
             (Reach::InTime, 0)
         } else if self.has(Mechanism::LatestStart) {
@@ -104,14 +104,15 @@
         Some(Rank { class, reach, by, arrival })
     }
 
-    fn class(&self, live: &Live) -> Class {
-        let beyond = live.beyond_due || self.over_share(live.account);
+    fn class(&self, live: &LiveJob) -> Class {
+        let beyond = live.over_rate || self.over_share(live.account);
         if live.queue.priority > 0 {
             return if beyond { Class::Beyond } else { Class::Patient };
         }
         let urgent = self.over_urgent_share(live.account);
-        let beyond = beyond && urgent || self.floods(live.account);
-        match (live.beyond_due || beyond, urgent) {
+        let beyond =
+            beyond && urgent || self.urgent_over_total_share(live.account);
+        match (live.over_rate || beyond, urgent) {
             (true, _) => Class::Beyond,
             (false, true) => Class::UrgentBeyond,
             (false, false) => Class::Urgent,
@@ -129,7 +130,7 @@
     fn reach(
         &self,
         key: StepKey,
-        live: &Live,
+        live: &LiveJob,
         now: Millis,
     ) -> (Reach, Millis) {
         let step = &live.job.steps[key.step as usize];
@@ -139,8 +140,8 @@
         if step.lasting || live.job.repeats.is_some() {
             return (reach_by_deadline(live, now), latest);
         }
-        let whole = live.deadline.saturating_sub(live.since);
-        let of_use = live.since + OF_USE * whole;
+        let whole = live.deadline.saturating_sub(live.arrived_at);
+        let of_use = live.arrived_at + OF_USE * whole;
         let reach = if now <= latest {
             Reach::InTime
         } else if now + left <= of_use {
@@ -153,12 +154,17 @@
 
     /// How long all but the last tasks of a step take that is wider than the
     /// room, or than its account may run: it goes in several rounds.
-    fn rounds_before(&self, key: StepKey, step: &Step, live: &Live) -> Millis {
+    fn rounds_before(
+        &self,
+        key: StepKey,
+        step: &Step,
+        live: &LiveJob,
+    ) -> Millis {
         if step.gang || step.count == 1 {
             return 0;
         }
-        let whole = self.shares_of_accounts.whole();
-        let room = whole.least(&self.ledger.most(live.account));
+        let whole = self.shares_of_accounts.total_capacity();
+        let room = whole.least(&self.ledger.limit_of(live.account));
         let waiting = live.steps.get(&(key.time, key.step));
         let waiting = waiting.map_or(0, |run| run.waiting.len()) as u32;
         let rounds = waiting.div_ceil(times(&room, &step.need).max(1));
@@ -218,7 +224,7 @@
     }
 }
 
-fn reach_by_deadline(live: &Live, now: Millis) -> Reach {
+fn reach_by_deadline(live: &LiveJob, now: Millis) -> Reach {
     if live.deadline < now {
         Reach::Late
     } else {
--- a/puffinknot-core/src/jobs/scheduler/outage.rs
+++ b/puffinknot-core/src/jobs/scheduler/outage.rs
@@ -25,7 +25,7 @@
 use crate::jobs::model::{Job, JobId};
 use crate::jobs::policy::Queue;
 use crate::jobs::record::{self, Record};
-use crate::jobs::scheduler::requests::{slack, COME_BACK};
+use crate::jobs::scheduler::requests::{slack, RETRY_AFTER};
 use crate::jobs::scheduler::Scheduler;
 
 /// If the store turns away this leader only, another node leads after so long,
@@ -86,7 +86,7 @@
     pub fn bears(&self, since: Millis, slack: Millis, now: Millis) -> bool {
         let Some(left) = self.left(now) else { return true };
         let begun = self.since.unwrap_or(now);
-        now < begun + LEAD_MOVES || now + left < since + slack.min(COME_BACK)
+        now < begun + LEAD_MOVES || now + left < since + slack.min(RETRY_AFTER)
     }
 }
 
@@ -119,18 +119,18 @@
     fn is_hopeless(&self, job: JobId, now: Millis) -> bool {
         let Some(live) = self.jobs.get(&job) else { return true };
         let slack = slack(&live.job, &live.queue);
-        !self.outages.bears(live.since, slack, now)
+        !self.outages.bears(live.arrived_at, slack, now)
     }
 
     /// Drops a job that is not written, and tells those who wait for it.
     pub(super) fn refuse_new(&mut self, job: JobId, now: Millis) {
         let Some(live) = self.jobs.remove(&job) else { return };
-        self.note_refused(job, live.since, now);
+        self.record_refusal(job, live.arrived_at, now);
         self.drop_reservations(job);
         self.drop_calls(job);
         for id in live.submitters.into_iter().chain(live.cancellers) {
             self.count("refused_store_trouble");
-            self.reply(id, Outcome::Refused(COME_BACK));
+            self.reply(id, Outcome::Refused(RETRY_AFTER));
         }
     }
 
--- a/puffinknot-core/src/jobs/scheduler/place.rs
+++ b/puffinknot-core/src/jobs/scheduler/place.rs
@@ -15,8 +15,8 @@
 use crate::jobs::model::{Step, StepKey};
 use crate::jobs::scheduler::fit::times;
 use crate::jobs::scheduler::gangs::Waiting;
-use crate::jobs::scheduler::ledger::Turns;
-use crate::jobs::scheduler::live::StepRun;
+use crate::jobs::scheduler::ledger::LimitReservations;
+use crate::jobs::scheduler::live_job::StepState;
 use crate::jobs::scheduler::order::Rank;
 use crate::jobs::scheduler::Scheduler;
 
@@ -72,7 +72,7 @@
             self.looked.put_off += 1;
             return;
         }
-        self.weigh_shares(now);
+        self.update_fair_shares(now);
         let ready = self.ready.iter();
         let ready =
             ready.filter_map(|key| Some((self.rank(*key, now)?, *key)));
@@ -87,13 +87,13 @@
         } else {
             order.retain(|(rank, _)| rank.urgent());
         }
-        self.begin_look(all);
+        self.begin_placement_pass(all);
         self.begin_looks();
         if all {
             self.count_slots(&order, now);
         }
-        self.count_unseen();
-        let mut turns = Turns::default();
+        self.update_unseen();
+        let mut turns = LimitReservations::default();
         let mut kept = Kept::new();
         let mut plans = 0;
         self.looked.steps += order.len() as u64;
@@ -122,7 +122,7 @@
                 plans += 1;
             }
         }
-        self.note_held(now);
+        self.record_holdings(now);
     }
 
     pub(super) fn step(&self, key: StepKey) -> Option<&Step> {
@@ -130,7 +130,7 @@
     }
 
     /// What is known of a step, once it may begin.
-    pub(super) fn step_run(&self, key: StepKey) -> Option<&StepRun> {
+    pub(super) fn step_run(&self, key: StepKey) -> Option<&StepState> {
         self.jobs.get(&key.job)?.steps.get(&(key.time, key.step))
     }
 
@@ -142,8 +142,9 @@
             return false;
         };
         let state = live.steps.get(&(key.time, key.step));
-        let startable =
-            |s: &StepRun| s.released && !s.breaking && !s.waiting.is_empty();
+        let startable = |s: &StepState| {
+            s.released && !s.stopping_gang && !s.waiting.is_empty()
+        };
         if !state.is_some_and(startable) {
             self.ready.remove(&key);
             self.unreserve(key);
@@ -180,16 +181,16 @@
                 .map(|(index, _)| (*index, true))
                 .collect();
         }
-        let good = state.advice.good.iter();
+        let good = state.advice.tickets.iter();
         good.filter(|(index, _)| self.executors.get(index).is_some_and(may))
-            .map(|(index, ticket)| (*index, ticket.until > now))
+            .map(|(index, ticket)| (*index, ticket.valid_until > now))
             .collect()
     }
 
     /// The ticket of a step for an executor; empty if it needs none.
     pub(super) fn ticket(&self, key: StepKey, at: ExecutorIndex) -> String {
         let state = self.step_run(key);
-        let ticket = state.and_then(|state| state.advice.good.get(&at));
+        let ticket = state.and_then(|state| state.advice.tickets.get(&at));
         ticket.map(|ticket| ticket.text.clone()).unwrap_or_default()
     }
 
@@ -202,7 +203,7 @@
         let Some(state) = live.steps.get(&(key.time, key.step)) else {
             return true;
         };
-        if state.advice.known {
+        if state.advice.answered {
             return false;
         }
         self.ask_all(key, now);
@@ -249,7 +250,7 @@
         let (suspects, waiting): (Vec<u32>, Vec<u32>) = state
             .waiting
             .iter()
-            .partition(|index| state.suspected(**index).is_some());
+            .partition(|index| state.suspected_losses(**index).is_some());
         let open = self.open_to(&opening, kept, urgent, now);
         let may_use = |at: ExecutorIndex| {
             open.binary_search_by_key(&at, |(at, _)| *at).is_ok()
@@ -262,11 +263,11 @@
         let heeds = !urgent && self.heeds_slots(key, now);
         let mut held_back = false;
         let mut on: BTreeMap<ExecutorIndex, u32> = BTreeMap::new();
-        for (index, _) in state.places.values() {
+        for (index, _) in state.placements.values() {
             *on.entry(*index).or_default() += 1;
         }
         for index in waiting {
-            if !self.ledger.left(account).fits(&step.need) {
+            if !self.ledger.remaining(account).fits(&step.need) {
                 break;
             }
             self.looked.add_executors(open.len());
@@ -311,7 +312,8 @@
         }
         let left = self.step_run(key).map(|state| state.waiting.len());
         let count = left.unwrap_or(0) as u32;
-        let count = count.min(times(&self.ledger.left(account), &step.need));
+        let count =
+            count.min(times(&self.ledger.remaining(account), &step.need));
         if count == 0 {
             self.unreserve(key);
             return true;
@@ -324,12 +326,12 @@
             self.ask(key, aged, now);
             return true;
         }
-        self.note_full(key);
+        self.note_no_capacity(key);
         let waiting = Waiting { key, step: &step, count };
         if urgent {
-            let fresh = open
-                .iter()
-                .filter(|(at, holds)| *holds && !self.is_closed(*at, now));
+            let fresh = open.iter().filter(|(at, holds)| {
+                *holds && !self.is_closed_by_trial(*at, now)
+            });
             let fresh: Vec<ExecutorIndex> = fresh.map(|(at, _)| *at).collect();
             if self.make_way(&waiting, &fresh, now) {
                 return true;
--- a/puffinknot-core/src/jobs/scheduler/requests.rs
+++ b/puffinknot-core/src/jobs/scheduler/requests.rs
@@ -10,14 +10,14 @@
 use crate::jobs::message::{Outcome, Request, RequestId};
 use crate::jobs::model::{Job, JobId, JobState, StepKey};
 use crate::jobs::policy::Queue;
-use crate::jobs::scheduler::admit::Admitted;
-use crate::jobs::scheduler::live::Live;
+use crate::jobs::scheduler::authorization::Admitted;
+use crate::jobs::scheduler::live_job::LiveJob;
 use crate::jobs::scheduler::Scheduler;
 
 /// The most jobs that may be live; more are refused.
 const MAX_LIVE: usize = 20_000;
 /// When a refused client is told to come back, in milliseconds.
-pub(super) const COME_BACK: Millis = 1_000;
+pub(super) const RETRY_AFTER: Millis = 1_000;
 
 /// How long after it came a job may start at the latest to be in time, in
 /// milliseconds.
@@ -75,7 +75,7 @@
             // Ids are drawn from so many that this is no accident. The answer
             // is one that is also given for other reasons.
             self.count("refused_id_taken");
-            return self.reply(id, Outcome::Refused(COME_BACK));
+            return self.reply(id, Outcome::Refused(RETRY_AFTER));
         }
         if self.ended.jobs.contains_key(&job.id) {
             return self.reply(id, Outcome::Accepted);
@@ -92,8 +92,8 @@
         };
         if let Some(why) = self.takes_none(&job, &queue, now) {
             self.count(why);
-            self.note_refused(job.id, now, now);
-            return self.reply(id, Outcome::Refused(COME_BACK));
+            self.record_refusal(job.id, now, now);
+            return self.reply(id, Outcome::Refused(RETRY_AFTER));
         }
         job.account = who.owner();
         if self.over_limit(&job) {
@@ -103,11 +103,11 @@
         let name = job.id;
         let beyond_due = self.is_beyond_due(&job, now);
         let since = self.counts_since(&job, &queue, now);
-        let mut live = self.live_job(job, queue, since);
+        let mut live = self.new_live_job(job, queue, since);
         if self.over_share(live.account) {
             self.count("jobs_over_share");
         }
-        live.beyond_due = beyond_due;
+        live.over_rate = beyond_due;
         self.jobs.insert(name, live);
         if let Some(after) = self.refuses(name, now) {
             self.jobs.remove(&name);
@@ -149,7 +149,7 @@
     fn over_limit(&mut self, job: &Job) -> bool {
         let Some(account) = &job.account else { return false };
         let index = self.ledger.index(account);
-        let most = self.ledger.most(Some(index));
+        let most = self.ledger.limit_of(Some(index));
         job.steps.iter().any(|step| {
             let together = if step.gang { step.count } else { 1 };
             !most.fits(&step.need.times(together))
@@ -157,31 +157,31 @@
     }
 
     /// A job of which nothing is known yet.
-    pub(super) fn live_job(
+    pub(super) fn new_live_job(
         &mut self,
         job: Job,
         queue: std::sync::Arc<Queue>,
         now: Millis,
-    ) -> Live {
+    ) -> LiveJob {
         let account = job.account.as_deref();
         let account = account.map(|name| self.ledger.index(name));
         self.arrivals += 1;
-        Live {
-            since: now,
+        LiveJob {
+            arrived_at: now,
             deadline: now + queue.objective(job.chain()),
             spec: job.spec.as_str().into(),
             queue,
             account,
-            beyond_due: false,
-            arrival: self.arrivals,
+            over_rate: false,
+            arrival_seq: self.arrivals,
             written: false,
             inherited: false,
             submitters: Vec::new(),
             cancellers: Vec::new(),
             ended: None,
-            begun: false,
+            started: false,
             steps: BTreeMap::new(),
-            due: 0,
+            due_repeats: 0,
             job,
         }
     }
@@ -191,7 +191,7 @@
             if live.job.queue != queue || !live.written {
                 return Outcome::NoSuchJob;
             }
-            let begun = live.begun;
+            let begun = live.started;
             let state =
                 if begun { JobState::Running } else { JobState::Queued };
             return Outcome::State(state);
@@ -220,8 +220,8 @@
     }
 
     fn pending(&self, queue: &str) -> u64 {
-        let waits = |live: &&Live| {
-            live.job.queue == queue && live.written && !live.begun
+        let waits = |live: &&LiveJob| {
+            live.job.queue == queue && live.written && !live.started
         };
         self.jobs.values().filter(waits).count() as u64
     }
@@ -240,7 +240,7 @@
             let step = StepKey { job, time, step };
             self.ready.remove(&step);
             run.waiting.clear();
-            let places = std::mem::take(&mut run.places);
+            let places = std::mem::take(&mut run.placements);
             let tasks = places
                 .into_iter()
                 .map(|(index, (at, run))| (at, step.task(index), run));
@@ -257,7 +257,7 @@
     /// Lets those steps begin whose turn has come.
     pub(super) fn release_due(&mut self, now: Millis) {
         let waiting = self.jobs.iter().filter(|(_, live)| {
-            live.job.repeats.is_some() && live.due < live.job.times()
+            live.job.repeats.is_some() && live.due_repeats < live.job.times()
         });
         let jobs: Vec<JobId> = waiting.map(|(id, _)| *id).collect();
         for job in jobs {
@@ -277,8 +277,8 @@
                 (past + 1).min(r.times.into()) as u32
             }
         };
-        let from = live.due;
-        live.due = due.max(from);
+        let from = live.due_repeats;
+        live.due_repeats = due.max(from);
         for time in from..due {
             self.release(job, time);
         }
@@ -287,7 +287,7 @@
     /// Lets the steps of a repetition begin whose dependencies are done.
     pub(super) fn release(&mut self, job: JobId, time: u32) {
         let Some(live) = self.jobs.get_mut(&job) else { return };
-        if live.ended.is_some() || time >= live.due {
+        if live.ended.is_some() || time >= live.due_repeats {
             return;
         }
         for number in live.release(time) {
--- a/puffinknot-core/src/jobs/scheduler/restore.rs
+++ b/puffinknot-core/src/jobs/scheduler/restore.rs
@@ -183,7 +183,7 @@
             // Its queue was dropped; what was accepted is finished.
             None => Arc::new(queue),
         };
-        let mut live = self.live_job(job, queue, now);
+        let mut live = self.new_live_job(job, queue, now);
         live.written = true;
         live.inherited = true;
         self.jobs.insert(id, live);
@@ -192,14 +192,16 @@
 
     fn restore_progress(&mut self, id: JobId, progress: &Progress) {
         let Some(live) = self.jobs.get_mut(&id) else { return };
-        live.begun = true;
+        live.started = true;
         for ((time, number), done) in &progress.steps {
             let Some(live) = self.jobs.get_mut(&id) else { return };
             let Some(step) = live.job.steps.get(*number as usize) else {
                 continue;
             };
             let step = step.clone();
-            let Some(state) = live.step_run(*time, *number) else { continue };
+            let Some(state) = live.step_state(*time, *number) else {
+                continue;
+            };
             state.restore(&step, done);
             self.release(id, *time);
         }
@@ -229,7 +231,7 @@
                 let step = &live.job.steps[number as usize];
                 let key = StepKey { job, time, step: number };
                 let missing = step.gang
-                    && !state.places.is_empty()
+                    && !state.placements.is_empty()
                     && !state.waiting.is_empty();
                 if missing {
                     broken.push(key);
--- a/puffinknot-core/src/jobs/scheduler/runs.rs
+++ b/puffinknot-core/src/jobs/scheduler/runs.rs
@@ -42,7 +42,7 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         let Some(clock) = executor.clock_at(now) else { return };
         state.waiting.remove(&task.index);
-        state.places.insert(task.index, (index, run));
+        state.placements.insert(task.index, (index, run));
         // Any member's checkpoint is good for its gang; all bring the same.
         let saved = step.counted(task.index);
         let window = state.window(saved);
@@ -81,7 +81,7 @@
             window,
         };
         self.put_run(index, task, on);
-        self.begin_trial(index, task, run, now);
+        self.start_trial(index, task, run, now);
         self.count("starts");
     }
 
@@ -164,7 +164,7 @@
     /// alone is no beginning: it may never have arrived.
     pub(super) fn begun(&mut self, task: TaskKey) {
         if let Some(live) = self.jobs.get_mut(&task.step.job) {
-            live.begun = true;
+            live.started = true;
         }
     }
 
@@ -283,14 +283,14 @@
         let Some(step) = live.job.steps.get(key.step as usize) else { return };
         let gang = step.gang;
         let step = step.clone();
-        let Some(state) = live.step_run(key.time, key.step) else { return };
-        let placed = state.places.contains_key(&task.index);
+        let Some(state) = live.step_state(key.time, key.step) else { return };
+        let placed = state.placements.contains_key(&task.index);
         let executors = &self.executors;
         let goes_on = |at, run| {
             let on = executors.get(&at).and_then(|e| e.runs.get(&task));
             on.is_some_and(|on| on.run == run)
         };
-        let here = state.ended(task.index, index, run, goes_on);
+        let here = state.end_run(task.index, index, run, goes_on);
         let how = end.map(|end| end.how);
         if let Some(end) = end.filter(|end| !end.checkpoint.is_empty()) {
             let saved = step.counted(task.index);
@@ -316,7 +316,7 @@
         // It was taken for lost, but has done its work: once that is taken
         // note of, the task may not start again.
         let needless: Vec<(u32, (ExecutorIndex, u64))> = match later {
-            true => state.places_of(task.index, gang),
+            true => state.placements_of(task.index, gang),
             false => Vec::new(),
         };
         match how {
@@ -324,7 +324,7 @@
                 if gang {
                     state.done = (0..step.count).collect();
                     state.waiting.clear();
-                    state.breaking = false;
+                    state.stopping_gang = false;
                 } else {
                     state.done.insert(task.index);
                     state.waiting.remove(&task.index);
@@ -345,12 +345,12 @@
                 }
                 if !gang {
                     // It waits for another run of it to end.
-                    if !state.places.contains_key(&task.index) {
+                    if !state.placements.contains_key(&task.index) {
                         state.waiting.insert(task.index);
                         self.ready.insert(key);
                     }
                 } else {
-                    state.breaking = true;
+                    state.stopping_gang = true;
                 }
                 if how == Some(EndKind::Failed) {
                     self.note_failure(task, run);
@@ -375,16 +375,16 @@
         if !state.done.is_empty() {
             return;
         }
-        state.breaking = true;
-        if state.places.is_empty() {
-            state.breaking = false;
+        state.stopping_gang = true;
+        if state.placements.is_empty() {
+            state.stopping_gang = false;
             state.waiting = (0..count).collect();
             self.ready.insert(key);
             self.stale = true;
             return;
         }
         let members: Vec<(u32, (ExecutorIndex, u64))> =
-            state.places.iter().map(|(i, p)| (*i, *p)).collect();
+            state.placements.iter().map(|(i, p)| (*i, *p)).collect();
         for (member, (at, run)) in members {
             self.stop(at, key.task(member), run);
         }
@@ -415,8 +415,10 @@
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
         let step = &live.job.steps[key.step as usize];
         let place = (key.time, key.step);
-        let done =
-            live.steps.get(&place).is_some_and(|state| state.complete(step));
+        let done = live
+            .steps
+            .get(&place)
+            .is_some_and(|state| state.is_complete(step));
         if !done {
             return;
         }
@@ -426,7 +428,7 @@
     }
 
     pub(super) fn finish_if_complete(&mut self, job: JobId) {
-        if self.jobs.get(&job).is_some_and(|live| live.complete()) {
+        if self.jobs.get(&job).is_some_and(|live| live.is_complete()) {
             self.finish(job, JobState::Succeeded);
         }
     }
--- a/puffinknot-core/src/jobs/scheduler/alarm.rs
+++ b/puffinknot-core/src/jobs/scheduler/silence_alarm.rs
@@ -24,7 +24,7 @@
 
 /// What raises the alarm.
 #[derive(Debug, Default)]
-pub(super) struct Alarm {
+pub(super) struct SilenceAlarm {
     /// When an order was found unanswered last, and how many were shortly
     /// after each other.
     last: Millis,
@@ -33,7 +33,7 @@
     quiet_until: Millis,
 }
 
-impl Alarm {
+impl SilenceAlarm {
     /// An order is unanswered. Returns whether that raises the alarm.
     fn unanswered(&mut self, now: Millis) -> bool {
         let again = now <= self.last + AT_ONE_TIME;
--- a/puffinknot-core/src/jobs/scheduler/speeds.rs
+++ b/puffinknot-core/src/jobs/scheduler/speeds.rs
@@ -18,7 +18,7 @@
 use crate::jobs::record::SHARD_COUNT;
 use crate::jobs::scheduler::behind::Given;
 use crate::jobs::scheduler::gangs::Room;
-use crate::jobs::scheduler::live::StepRun;
+use crate::jobs::scheduler::live_job::StepState;
 use crate::jobs::scheduler::order::Class;
 use crate::jobs::scheduler::Scheduler;
 use crate::jobs::speed::{compare, GuessError, Speed};
@@ -93,7 +93,7 @@
 
     /// The slowness of the slowest executor on which a step runs.
     pub(super) fn slowest(&self, key: StepKey) -> Option<f64> {
-        let places = self.step_run(key)?.places.values();
+        let places = self.step_run(key)?.placements.values();
         places.map(|(at, _)| self.slowness(*at)).max_by(f64::total_cmp)
     }
 
@@ -118,7 +118,7 @@
         }
         let time = given.took(on).filter(|_| on.tells);
         let gang = self.step(key).is_some_and(|step| step.gang);
-        let done = |run: &StepRun| run.done.contains(&end.task.index);
+        let done = |run: &StepState| run.done.contains(&end.task.index);
         if self.step_run(key).is_some_and(done) {
             return;
         }
@@ -310,7 +310,7 @@
         let times = if urgent { TIGHT } else { 1 };
         let late = times * self.chain_left(key) + TOLD;
         let misses = live.deadline < now + late;
-        misses && !missed && !live.beyond_due
+        misses && !missed && !live.over_rate
     }
 
     /// What the speed of an executor adds to what is left over there, for a
--- a/puffinknot-core/src/jobs/scheduler/pace.rs
+++ b/puffinknot-core/src/jobs/scheduler/throttle.rs
@@ -31,7 +31,7 @@
 impl Scheduler {
     /// Looks at what an executor reports, and slows or lets on the tasks
     /// that fill there.
-    pub(super) fn pace(
+    pub(super) fn throttle(
         &mut self,
         index: ExecutorIndex,
         running: &[RunRow],
@@ -105,7 +105,7 @@
 
     /// An executor answered an order on pace. What became of it shows in
     /// its next account.
-    pub(super) fn paced(
+    pub(super) fn throttle_answered(
         &mut self,
         index: ExecutorIndex,
         answer: Result<(), OrderFailure>,
@@ -116,7 +116,7 @@
 
     /// Whether an executor has fillers beside serving tasks, so that its
     /// account is wanted often.
-    pub(super) fn watched_closely(&self, index: ExecutorIndex) -> bool {
+    pub(super) fn needs_frequent_reports(&self, index: ExecutorIndex) -> bool {
         let Some(executor) = self.executors.get(&index) else { return false };
         let mut serves = false;
         let mut fills = false;
--- a/puffinknot-core/src/jobs/scheduler/buckets.rs
+++ b/puffinknot-core/src/jobs/scheduler/token_buckets.rs
@@ -1,6 +1,6 @@
 /*!
 What client accounts hand in beyond their due, in a cell that doesn't go by
-their shares of its room, see [`super::shares`].
+their shares of its room, see [`super::account_shares`].
 
 An account has so many jobs a second as its due. One that sends many times its
 usual would push others over their objectives, since all are placed by the end
@@ -30,11 +30,11 @@
 
 /// The buckets of all accounts that have handed in jobs.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Buckets {
+pub(super) struct TokenBuckets {
     buckets: BTreeMap<String, Bucket>,
 }
 
-impl Buckets {
+impl TokenBuckets {
     /// An account with this due hands in a job. Returns whether that is
     /// beyond it.
     fn spend(&mut self, account: &str, weight: f64, now: Millis) -> bool {
--- a/puffinknot-core/src/jobs/scheduler/urgent.rs
+++ b/puffinknot-core/src/jobs/scheduler/urgent.rs
@@ -120,7 +120,8 @@
 
     /// Whether an account's urgent work is within its shares.
     fn is_urgent_due(&self, account: Option<AccountIndex>) -> bool {
-        !self.over_urgent_share(account) && !self.floods(account)
+        !self.over_urgent_share(account)
+            && !self.urgent_over_total_share(account)
     }
 
     /// What urgent tasks of each account hold and wait for.
@@ -160,8 +161,8 @@
             return false;
         }
         let Some(live) = self.jobs.get(&key.job) else { return false };
-        let objective = live.deadline.saturating_sub(live.since);
-        now < live.since + (2 * objective).max(LEFT_ALONE)
+        let objective = live.deadline.saturating_sub(live.arrived_at);
+        now < live.arrived_at + (2 * objective).max(LEFT_ALONE)
     }
 
     /// Whether a task with this need may start on an executor without taking
@@ -203,7 +204,7 @@
     pub(super) fn held_back(&mut self, key: StepKey) {
         self.count("starts_held_back");
         let live = self.jobs.get_mut(&key.job);
-        let state = live.and_then(|live| live.step_run(key.time, key.step));
+        let state = live.and_then(|live| live.step_state(key.time, key.step));
         let before = state.map(|s| std::mem::replace(&mut s.held_back, true));
         if before == Some(false) {
             self.actions.push(Action::HeldBack { step: key });
--- a/puffinknot-core/src/jobs/scheduler/waves.rs
+++ b/puffinknot-core/src/jobs/scheduler/waves.rs
@@ -421,7 +421,7 @@
         };
         let Some(most) = step.may_miss else { return true };
         let state = live.steps.get(&(key.time, key.step));
-        let places = state.map(|s| s.places.clone()).unwrap_or_default();
+        let places = state.map(|s| s.placements.clone()).unwrap_or_default();
         let at_work = places.iter().filter(|(index, (at, run))| {
             let task = key.task(**index);
             let there = self.executors.get(at);
