--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -1,7 +1,7 @@
 /*!
 The state of the node that leads the cell.
 
-What is done with it has modules of its own: `admit` knows who may call,
+What is done with it has modules of its own: `authorization` knows who may call,
 `requests` answers clients, `ledger` counts what client accounts have running,
 `renewals` takes in what executors report, `runs` follows single runs to their
 ends, `membership` knows when an executor's life is over, `incarnations` which life
@@ -9,13 +9,13 @@
 `machine_list` what the list of machines tells of lives, `order` says what
 comes first, `estimate` how long runs take, `fit` where a task fits, `place`
 chooses what starts where, `gangs` does so for gangs, `urgent` keeps room free
-for urgent tasks, `displace` has others give way to them and to gangs, `shares`
-knows which accounts hold more than their share, `buckets` what comes beyond an
+for urgent tasks, `displace` has others give way to them and to gangs, `account_shares`
+knows which accounts hold more than their share, `token_buckets` what comes beyond an
 account's due, `speeds` learns how long runs take,
 `domains` finds data centres that are out of reach, `cordons` knows those that
 take no new work, `admission` refuses what can't be done in time,
-`alarm` connections that have fallen silent, `event_lag` how late the leader's
-news are, `breakers` executors that fail what they run, `suspects` tasks that
+`silence_alarm` connections that have fallen silent, `event_lag` how late the leader's
+news are, `breakers` executors that fail what they run, `crash_suspects` tasks that
 crash the executors that start them, `due`
 knows which executors to look at, `advice` spreads the calls for advice over
 all nodes, which `advisors` knows, `commit` groups what has to be written,
@@ -23,7 +23,7 @@
 `departures` moves what runs on executors that are about to go,
 `looked` counts what placing looks through, `rounds` bounds its part of the
 time,
-`records` knows what of it still matters, `pace` slows tasks that fill beside
+`records` knows what of it still matters, `throttle` slows tasks that fill beside
 tasks that serve, `maintenance` takes machines down for their upkeep, and `restore`
 takes over from a predecessor.
 */
@@ -45,15 +45,15 @@
 use crate::jobs::policy::{Policy, Queue};
 use crate::jobs::record::EndedJob;
 
+mod account_shares;
 mod admission;
-mod admit;
 mod advice;
 mod advisors;
-mod alarm;
+mod authorization;
 mod breakers;
-mod buckets;
 mod commit;
 mod cordons;
+mod crash_suspects;
 mod departures;
 mod displace;
 mod domains;
@@ -65,32 +65,31 @@
 mod in_flight;
 mod incarnations;
 mod ledger;
-mod live;
+mod live_job;
 mod looked;
 mod machine_list;
 mod maintenance;
 mod membership;
 mod order;
-mod pace;
 mod place;
 mod records;
 mod renewals;
 mod requests;
 mod restore;
-mod returns;
+mod retry_schedule;
 mod rounds;
 mod runs;
-mod shares;
+mod silence_alarm;
 mod speeds;
 mod store_outage;
-mod suspects;
+mod throttle;
+mod token_buckets;
 mod urgent;
 
+use self::account_shares::FairShares;
 use self::admission::Admission;
 use self::advice::Call;
 use self::advisors::Advisors;
-use self::alarm::Alarm;
-use self::buckets::Buckets;
 use self::commit::CommitQueue;
 use self::departures::Departures;
 use self::domains::Domains;
@@ -99,14 +98,15 @@
 use self::in_flight::InFlightStart;
 use self::ledger::Ledger;
 pub use self::ledger::Usage;
-use self::live::Live;
+use self::live_job::LiveJob;
 pub use self::looked::Looked;
 use self::maintenance::Machines;
 use self::order::LateTurns;
 use self::rounds::Rounds;
-use self::shares::Shares;
+use self::silence_alarm::SilenceAlarm;
 use self::speeds::Guesses;
 use self::store_outage::Outages;
+use self::token_buckets::TokenBuckets;
 use self::urgent::UrgentRoom;
 
 /// What a scheduler is told once.
@@ -171,13 +171,13 @@
     queues: BTreeMap<String, Arc<Queue>>,
     keys: KeyRing,
     ledger: Ledger,
-    account_shares: Shares,
+    account_shares: FairShares,
     estimate_errors: Guesses,
     urgent_headroom: UrgentRoom,
     admission: Admission,
-    token_buckets: Buckets,
+    token_buckets: TokenBuckets,
     late_turns: LateTurns,
-    jobs: BTreeMap<JobId, Live>,
+    jobs: BTreeMap<JobId, LiveJob>,
     ended: Ended,
     executors: Executors,
     /// The newest life of each name.
@@ -214,7 +214,7 @@
     failure_domains: Domains,
     cordons: Cordons,
     crash_rate: CrashRate,
-    silence_alarm: Alarm,
+    silence_alarm: SilenceAlarm,
     event_lag: EventLag,
     /// Until when what a predecessor ordered may be unknown, if it may.
     takeover_deadline: Option<Millis>,
@@ -243,18 +243,18 @@
             failure_domains: Domains::default(),
             cordons: Cordons::default(),
             crash_rate: CrashRate::default(),
-            silence_alarm: Alarm::default(),
+            silence_alarm: SilenceAlarm::default(),
             event_lag: EventLag::default(),
             config,
             policy: Arc::default(),
             queues: BTreeMap::new(),
             keys: KeyRing::default(),
             ledger: Ledger::default(),
-            account_shares: Shares::default(),
+            account_shares: FairShares::default(),
             estimate_errors: Guesses::default(),
             urgent_headroom: UrgentRoom::default(),
             admission: Admission::default(),
-            token_buckets: Buckets::default(),
+            token_buckets: TokenBuckets::default(),
             late_turns: LateTurns::default(),
             jobs: BTreeMap::new(),
             ended: Ended::default(),
@@ -353,7 +353,7 @@
             Event::Advised { call, answer } => self.advised(call, answer, now),
             Event::Advisors(names) => self.set_advisors(names),
             Event::ThrottleAnswered { executor, answer } => {
-                self.paced(executor, answer, now);
+                self.throttle_answered(executor, answer, now);
             }
             Event::Wave(info) => self.wave(info, now),
             Event::Machines(machines) => self.machines_listed(machines, now),
@@ -392,9 +392,9 @@
     }
 
     fn tick(&mut self, now: Millis) {
-        self.watch_for_crashes(now);
+        self.count_live_executors(now);
         self.ended.forget(now);
-        self.forget_refused(now);
+        self.forget_refusals(now);
         self.give_up_incarnations(now);
         self.expire_leases(now);
         self.expire_in_flight_starts(now);
