--- a/puffinknot-core/src/jobs/scheduler/admission.rs
+++ b/puffinknot-core/src/jobs/scheduler/admission.rs
@@ -23,11 +23,11 @@
 use crate::jobs::message::{AccountIndex, Action};
 use crate::jobs::model::{Job, JobId, Step, StepKey};
 use crate::jobs::policy::Queue;
-use crate::jobs::scheduler::estimate::expected_end;
 use crate::jobs::scheduler::live::Live;
-use crate::jobs::scheduler::order::{Class, Rank, Reach};
+use crate::jobs::scheduler::ranking::{PriorityClass, Rank, Timeliness};
 use crate::jobs::scheduler::requests::COME_BACK;
 use crate::jobs::scheduler::returns::Returns;
+use crate::jobs::scheduler::run_time_estimate::expected_end;
 use crate::jobs::scheduler::Scheduler;
 
 /// A job that takes longer than so many times its objective is of no use.
@@ -42,10 +42,10 @@
 const GRAIN: Millis = 100;
 
 /// A place in the order, in grains.
-type Place = (Class, Reach, Millis);
+type Place = (PriorityClass, Timeliness, Millis);
 
 fn place(rank: &Rank) -> Place {
-    (rank.class, rank.reach, rank.by / GRAIN)
+    (rank.class, rank.timeliness, rank.sort_key / GRAIN)
 }
 
 /// What is known of the work that waits, and who was refused.
@@ -238,7 +238,7 @@
             let key = StepKey { job: id, time, step: number };
             let Some(rank) = self.rank(key, now) else { continue };
             let tasks = run.waiting.len() as u32;
-            let each = self.usual_run_time(key);
+            let each = self.nominal_run_time(key);
             let work = Work::of(&step.room(), tasks, each);
             let urgent = rank.urgent().then(|| place(&rank));
             backlog.add(live.account, &live.job.queue, &work, urgent);
@@ -271,7 +271,7 @@
         let steps = steps.filter(|(_, step)| which(step));
         steps.fold(Work::default(), |sum, (number, step)| {
             let key = StepKey { job, time: 0, step: number };
-            let each = self.usual_run_time(key);
+            let each = self.nominal_run_time(key);
             sum.plus(&Work::of(&step.room(), step.count, each))
         })
     }
@@ -281,7 +281,7 @@
         let steps = (0..).zip(&live.job.steps);
         let first = steps.filter(|(_, step)| step.after.is_empty());
         let chains = first.map(|(number, _)| {
-            self.chain_left(StepKey { job, time: 0, step: number })
+            self.remaining_chain_time(StepKey { job, time: 0, step: number })
         });
         chains.max().unwrap_or(0)
     }
--- a/puffinknot-core/src/jobs/scheduler/advise.rs
+++ b/puffinknot-core/src/jobs/scheduler/advise.rs
@@ -20,7 +20,7 @@
 };
 use crate::jobs::model::{JobId, Step, StepKey};
 use crate::jobs::policy::AdviceCost;
-use crate::jobs::scheduler::fit::times;
+use crate::jobs::scheduler::fit::fit_count;
 use crate::jobs::scheduler::live::{Advice, Ticket};
 use crate::jobs::scheduler::Scheduler;
 
@@ -214,7 +214,7 @@
     /// long. Else renewals of their tickets, which are asked for again and
     /// again while there is no room, would leave no turn to this.
     pub(super) fn widen(&mut self, key: StepKey, now: Millis) {
-        let state = self.step_run(key);
+        let state = self.step_state(key);
         if state.is_some_and(|s| now >= s.advice.widened + WIDEN_AFTER) {
             self.ask_all(key, now);
         }
@@ -409,7 +409,7 @@
     ) -> usize {
         let share = self.shares.get(queue).copied();
         let share = share.unwrap_or(FIRST_SHARE).max(LEAST_SHARE);
-        let whole = capacities.map(|whole| times(&whole, &step.room()));
+        let whole = capacities.map(|whole| fit_count(&whole, &step.room()));
         let mut each = whole.max().unwrap_or(1).max(1);
         if step.max_per_executor > 0 {
             each = each.min(step.max_per_executor);
@@ -435,7 +435,7 @@
             .iter()
             .filter_map(|index| {
                 let executor = self.executors.get(index)?;
-                Some((times(&executor.free, &step.room()), *index))
+                Some((fit_count(&executor.free, &step.room()), *index))
             })
             .collect();
         fits.sort_unstable_by_key(|&(room, index)| (u32::MAX - room, index));
@@ -516,7 +516,7 @@
     if !executor.usable() {
         return 0;
     }
-    let count = times(&executor.free, &step.room());
+    let count = fit_count(&executor.free, &step.room());
     if step.gang {
         count
     } else {
--- a/puffinknot-core/src/jobs/scheduler/alarm.rs
+++ b/puffinknot-core/src/jobs/scheduler/alarm.rs
@@ -57,7 +57,7 @@
         for (index, executor) in self.executors.iter_mut() {
             if !executor.runs.is_empty() {
                 executor.probe = true;
-                self.due_holds.touch(*index);
+                self.due_holds.enqueue(*index);
             }
         }
     }
--- a/puffinknot-core/src/jobs/scheduler/commit.rs
+++ b/puffinknot-core/src/jobs/scheduler/commit.rs
@@ -397,7 +397,7 @@
                 if noted > executor.noted {
                     executor.noted = noted;
                     executor.next_hold = now;
-                    self.due_holds.touch(index);
+                    self.due_holds.enqueue(index);
                 }
             }
         }
--- a/puffinknot-core/src/jobs/scheduler/domains.rs
+++ b/puffinknot-core/src/jobs/scheduler/failure_domains.rs
@@ -31,11 +31,11 @@
 
 /// What is known of the data centres.
 #[derive(Debug, Default)]
-pub(super) struct Domains {
+pub(super) struct FailureDomains {
     by_dc: BTreeMap<String, Domain>,
 }
 
-impl Domains {
+impl FailureDomains {
     /// An executor has answered. Returns whether its data centre was under
     /// suspicion.
     fn heard(&mut self, dc: &str) -> bool {
@@ -56,7 +56,7 @@
 
 impl Scheduler {
     /// An executor has answered an order.
-    pub(super) fn heard(&mut self, index: ExecutorIndex) {
+    pub(super) fn mark_responsive(&mut self, index: ExecutorIndex) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.missed_at = None;
         executor.broke_off = false;
@@ -72,7 +72,11 @@
 
     /// An executor has left an order unanswered: nothing more is started
     /// there until it answers.
-    pub(super) fn doubted(&mut self, index: ExecutorIndex, now: Millis) {
+    pub(super) fn mark_unresponsive(
+        &mut self,
+        index: ExecutorIndex,
+        now: Millis,
+    ) {
         let by_dc = self.has(Mechanism::SuspectedDcs);
         let by_executor = self.has(Mechanism::DoubtedExecutors);
         let Some(executor) = self.executors.get_mut(&index) else { return };
--- a/puffinknot-core/src/jobs/scheduler/fit.rs
+++ b/puffinknot-core/src/jobs/scheduler/fit.rs
@@ -7,7 +7,7 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::ExecutorIndex;
 use crate::jobs::model::Step;
-use crate::jobs::scheduler::place::{Kept, Opening};
+use crate::jobs::scheduler::placement::{Kept, PlacementContext};
 use crate::jobs::scheduler::Scheduler;
 
 /// Accelerators left over weigh more than processors and memory together:
@@ -21,7 +21,7 @@
     /// They are in order, as the candidates are.
     pub(super) fn open_to(
         &self,
-        opening: &Opening,
+        opening: &PlacementContext,
         kept: &Kept,
         urgent: bool,
         now: Millis,
@@ -43,7 +43,7 @@
     /// What would be left on an executor: less is better, so that large
     /// tasks find room elsewhere. The wrong rack counts as much as a whole
     /// executor.
-    pub(super) fn leftover(&self, at: ExecutorIndex, step: &Step) -> u64 {
+    pub(super) fn fit_cost(&self, at: ExecutorIndex, step: &Step) -> u64 {
         if !self.has(Mechanism::BestFit) {
             return 0;
         }
@@ -69,7 +69,7 @@
 }
 
 /// How often `need` fits into `room`.
-pub(super) fn times(room: &Resources, need: &Resources) -> u32 {
+pub(super) fn fit_count(room: &Resources, need: &Resources) -> u32 {
     let fit =
         |room: u32, need: u32| room.checked_div(need).unwrap_or(u32::MAX);
     fit(room.cpu_millis, need.cpu_millis)
--- a/puffinknot-core/src/jobs/scheduler/followers.rs
+++ b/puffinknot-core/src/jobs/scheduler/followers.rs
@@ -94,7 +94,7 @@
             Some(heard) if heard < sent_at => self.follow(newest, born, now),
             Some(_) => return self.ask_again(newest, now),
         };
-        self.heard(next);
+        self.mark_responsive(next);
         self.account(next, sent_at, answer, now);
     }
 
@@ -102,7 +102,7 @@
     /// nothing is started there meanwhile.
     fn ask_again(&mut self, index: ExecutorIndex, now: Millis) {
         self.count("lives_unclear");
-        self.doubted(index, now);
+        self.mark_unresponsive(index, now);
         self.ask_at(index, now + RETRY);
     }
 
--- a/puffinknot-core/src/jobs/scheduler/gangs.rs
+++ b/puffinknot-core/src/jobs/scheduler/gangs.rs
@@ -14,9 +14,9 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::ExecutorIndex;
 use crate::jobs::model::{JobId, Step, StepKey};
-use crate::jobs::scheduler::estimate::expected_end;
-use crate::jobs::scheduler::fit::{rest, times};
-use crate::jobs::scheduler::place::{Kept, Opening};
+use crate::jobs::scheduler::fit::{fit_count, rest};
+use crate::jobs::scheduler::placement::{Kept, PlacementContext};
+use crate::jobs::scheduler::run_time_estimate::expected_end;
 use crate::jobs::scheduler::Scheduler;
 
 /// Tickets are asked for this long before the room should be free, beside
@@ -73,10 +73,12 @@
             self.unreserve(key);
             return true;
         }
-        let Some(opening) = self.opening(key, now) else { return true };
+        let Some(opening) = self.placement_context(key, now) else {
+            return true;
+        };
         let open = self.open_to(&opening, kept, urgent, now);
-        let Opening { step, failed_on, candidates, .. } = opening;
-        let state = self.step_run(key);
+        let PlacementContext { step, failed_on, candidates, .. } = opening;
+        let state = self.step_state(key);
         if state.is_none_or(|s| s.waiting.len() as u32 != step.count) {
             return true;
         }
@@ -155,7 +157,7 @@
         let good = state.advice.good.keys();
         for executor in good.filter_map(|at| self.executors.get(at)) {
             if executor.free.fits(&room) {
-                let count = times(&executor.free, &room);
+                let count = fit_count(&executor.free, &room);
                 left = left.saturating_sub(u64::from(count));
             }
             if left == 0 {
@@ -195,7 +197,7 @@
     ) -> Vec<Room> {
         let rooms = executors.iter().filter_map(|&at| {
             let free = self.executors.get(&at)?.free_for(&key);
-            let mut count = times(&free, &step.room());
+            let mut count = fit_count(&free, &step.room());
             if step.max_per_executor > 0 {
                 count = count.min(step.max_per_executor);
             }
@@ -348,7 +350,7 @@
     ) -> bool {
         let known = executors.iter().filter_map(|at| self.executors.get(at));
         let room = known.map(|executor| {
-            let count = times(&executor.info.capacity, &step.room());
+            let count = fit_count(&executor.info.capacity, &step.room());
             match step.max_per_executor {
                 0 => u64::from(count),
                 most => u64::from(count.min(most)),
@@ -385,7 +387,7 @@
         ends.sort_unstable_by_key(|(end, at, _)| (*end, *at));
         let mut total: u64 = free
             .values()
-            .map(|room| u64::from(times(room, &step.room())))
+            .map(|room| u64::from(fit_count(room, &step.room())))
             .sum();
         let mut when = now;
         for (end, at, need) in ends {
@@ -393,9 +395,9 @@
                 break;
             }
             let Some(room) = free.get_mut(&at) else { continue };
-            total -= u64::from(times(room, &step.room()));
+            total -= u64::from(fit_count(room, &step.room()));
             *room = room.plus(&need);
-            total += u64::from(times(room, &step.room()));
+            total += u64::from(fit_count(room, &step.room()));
             when = end;
         }
         if total < u64::from(count) {
@@ -403,7 +405,7 @@
         }
         let mut most: Vec<(u32, ExecutorIndex)> = free
             .iter()
-            .map(|(at, room)| (times(room, &step.room()), *at))
+            .map(|(at, room)| (fit_count(room, &step.room()), *at))
             .filter(|(count, _)| *count > 0)
             .collect();
         most.sort_unstable_by_key(|&(count, at)| (u32::MAX - count, at));
--- a/puffinknot-core/src/jobs/scheduler/holds.rs
+++ b/puffinknot-core/src/jobs/scheduler/holds.rs
@@ -45,7 +45,7 @@
     /// takeover of many holds nothing else up for long.
     pub(super) fn send_holds(&mut self, now: Millis) {
         let idle = self.nothing_to_write();
-        for index in self.due_holds.take(now, AT_ONCE) {
+        for index in self.due_holds.take_ready(now, AT_ONCE) {
             self.send_hold(index, idle, now);
         }
     }
@@ -72,12 +72,12 @@
                     wait: 0,
                 });
             } else if executor.probe {
-                self.due_holds.at(probes, index);
+                self.due_holds.schedule(probes, index);
             }
             return;
         }
         if executor.next_hold > now {
-            return self.due_holds.at(executor.next_hold, index);
+            return self.due_holds.schedule(executor.next_hold, index);
         }
         // What is reported already would be reported again at once.
         let fresh = executor.noted == executor.taken;
@@ -88,7 +88,9 @@
         let longest = if close { CLOSE } else { WAIT };
         let wait = if patient { longest } else { 0 };
         if !fresh && !idle && now < executor.held_at + UNWRITTEN {
-            return self.due_holds.at(executor.held_at + UNWRITTEN, index);
+            return self
+                .due_holds
+                .schedule(executor.held_at + UNWRITTEN, index);
         }
         // An executor that did not answer gets no more time, or what runs
         // there could never be given up.
@@ -101,7 +103,7 @@
         executor.holding = true;
         executor.probe &= !asked;
         if executor.probe {
-            self.due_holds.at(executor.next_probe, index);
+            self.due_holds.schedule(executor.next_probe, index);
         }
         executor.held_at = now;
         executor.wait = wait;
@@ -132,7 +134,7 @@
         now: Millis,
     ) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        self.due_holds.touch(index);
+        self.due_holds.enqueue(index);
         let main = executor.held_at == sent_at;
         if main {
             executor.holding = false;
@@ -140,7 +142,7 @@
         match answer {
             Ok(answer) => match self.life_that_answers(index, &answer) {
                 Answerer::Known(life) => {
-                    self.heard(life);
+                    self.mark_responsive(life);
                     self.account(life, sent_at, answer, now);
                 }
                 Answerer::Other(born) => {
@@ -181,7 +183,7 @@
         if silent && executor.falls_silent(now) {
             self.count("executors_silent");
         }
-        self.doubted(index, now);
+        self.mark_unresponsive(index, now);
     }
 
     /// Takes in an executor's account of itself.
@@ -282,7 +284,7 @@
                 self.find_missing(index, &answer.running, sent_at);
             }
             self.pace(index, &answer.running, now);
-            self.note_overdue(index, &given, now);
+            self.check_overdue_runs(index, &given, now);
         }
         self.follow_trial(index, now);
         if first {
@@ -421,7 +423,7 @@
     ) {
         self.begun(end.task);
         self.judge(index, &end, now);
-        self.learn(index, &end, given, now);
+        self.learn_from_end(index, &end, given, now);
         self.vacate(index, end.task, end.run, Some(&end));
     }
 
--- a/puffinknot-core/src/jobs/scheduler/leaving.rs
+++ b/puffinknot-core/src/jobs/scheduler/leaving.rs
@@ -19,7 +19,7 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{Action, ExecutorIndex};
 use crate::jobs::model::{Step, TaskKey};
-use crate::jobs::scheduler::estimate::expected_end;
+use crate::jobs::scheduler::run_time_estimate::expected_end;
 use crate::jobs::scheduler::Scheduler;
 
 /// A stop is ordered at the latest so long before the executor leaves, in
@@ -92,7 +92,7 @@
         now: Millis,
     ) -> bool {
         let Some(step) = self.step(task.step) else { return false };
-        let Some(state) = self.step_run(task.step) else { return false };
+        let Some(state) = self.step_state(task.step) else { return false };
         let place = state.places.get(&task.index);
         let here = place.is_some_and(|(_, run)| *run == on.run);
         if !here || matches!(on.phase, Phase::Stopping(_)) {
--- a/puffinknot-core/src/jobs/scheduler/ledger.rs
+++ b/puffinknot-core/src/jobs/scheduler/ledger.rs
@@ -20,7 +20,7 @@
 use crate::jobs::model::{JobId, StepKey, TaskKey};
 use crate::jobs::policy::Policy;
 use crate::jobs::record::Stopping;
-use crate::jobs::scheduler::estimate::OVERSTAY;
+use crate::jobs::scheduler::run_time_estimate::OVERRUN_GRACE;
 use crate::jobs::scheduler::Scheduler;
 
 /// What a client account has running, and may have.
@@ -144,7 +144,7 @@
             holds = holds.minus(amount);
             if accounts::left(&entry.limit, &holds).fits(needed) {
                 // What has overstayed its guess may do so for as long again.
-                let overstayed = now.saturating_sub(*end).min(OVERSTAY);
+                let overstayed = now.saturating_sub(*end).min(OVERRUN_GRACE);
                 return Some((*end).max(now + overstayed));
             }
         }
@@ -328,7 +328,7 @@
         let together = if step.gang { step.count } else { 1 };
         let needed = step.need.times(together);
         let fits = self.ledger.left(live.account).fits(&needed);
-        if fits && turns.admits(account, now + self.usual_run_time(key)) {
+        if fits && turns.admits(account, now + self.nominal_run_time(key)) {
             return false;
         }
         if !fits && step.gang && self.has(Mechanism::LimitForGangs) {
--- a/puffinknot-core/src/jobs/scheduler/lives.rs
+++ b/puffinknot-core/src/jobs/scheduler/lives.rs
@@ -101,7 +101,7 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.probe = true;
         executor.next_hold = now;
-        self.due_holds.touch(index);
+        self.due_holds.enqueue(index);
     }
 
     /// Asks an executor then, also beside a hold that waits there.
@@ -109,7 +109,7 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.probe = true;
         executor.next_probe = executor.next_probe.max(at);
-        self.due_holds.at(at, index);
+        self.due_holds.schedule(at, index);
     }
 
     /// Takes an executor up, to be asked at once.
@@ -122,7 +122,7 @@
         let mut executor = Executor::new(info, now);
         executor.cordoned = self.cordons.covers(&executor.info.dc);
         let index = self.executors.add(executor);
-        self.due_holds.touch(index);
+        self.due_holds.enqueue(index);
         self.by_id.insert(id, index);
         index
     }
--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -6,22 +6,22 @@
 `holds` takes in what executors report, `runs` follows single runs to their
 ends, `lives` knows when an executor's life is over, `followers` which life
 follows it under its name, `in_flight` which orders that one may carry out,
-`machines` what the list of machines tells of lives, `order` says what
-comes first, `estimate` how long runs take, `fit` where a task fits, `place`
-chooses what starts where, `gangs` does so for gangs, `urgent` keeps room free
-for urgent tasks, `displace` has others give way to them and to gangs, `shares`
+`machines` what the list of machines tells of lives, `ranking` says what
+comes first, `run_time_estimate` how long runs take, `fit` where a task fits, `placement`
+chooses what starts where, `gangs` does so for gangs, `urgent_headroom` keeps room free
+for urgent tasks, `preemption` has others give way to them and to gangs, `shares`
 knows which accounts hold more than their share, `buckets` what comes beyond an
 account's due, `speeds` learns how long runs take,
-`domains` finds data centres that are out of reach, `cordons` knows those that
+`failure_domains` finds data centres that are out of reach, `cordons` knows those that
 take no new work, `admission` refuses what can't be done in time,
 `alarm` connections that have fallen silent, `behind` how late the leader's
 news are, `judge` executors that fail what they run, `suspects` tasks that
-crash the executors that start them, `due`
+crash the executors that start them, `renewal_queue`
 knows which executors to look at, `advise` spreads the calls for advice over
 all nodes, which `advisors` knows, `commit` groups what has to be written,
 `outage` refuses what would wait in vain for the store,
 `leaving` moves what runs on executors that are about to go,
-`looked` counts what placing looks through, `rounds` bounds its part of the
+`placement_stats` counts what placing looks through, `placement_rounds` bounds its part of the
 time,
 `records` knows what of it still matters, `pace` slows tasks that fill beside
 tasks that serve, `waves` takes machines down for their upkeep, and `restore`
@@ -54,10 +54,7 @@
 mod buckets;
 mod commit;
 mod cordons;
-mod displace;
-mod domains;
-mod due;
-mod estimate;
+mod failure_domains;
 mod fit;
 mod followers;
 mod gangs;
@@ -68,22 +65,25 @@
 mod ledger;
 mod live;
 mod lives;
-mod looked;
 mod machines;
-mod order;
 mod outage;
 mod pace;
-mod place;
+mod placement;
+mod placement_rounds;
+mod placement_stats;
+mod preemption;
+mod ranking;
 mod records;
+mod renewal_queue;
 mod requests;
 mod restore;
 mod returns;
-mod rounds;
+mod run_time_estimate;
 mod runs;
 mod shares;
 mod speeds;
 mod suspects;
-mod urgent;
+mod urgent_headroom;
 mod waves;
 
 use self::admission::Admission;
@@ -93,20 +93,20 @@
 use self::behind::Behind;
 use self::buckets::Buckets;
 use self::commit::CommitQueue;
-use self::domains::Domains;
-use self::due::DueHolds;
+use self::failure_domains::FailureDomains;
 use self::in_flight::InFlight;
 use self::leaving::Notices;
 use self::ledger::Ledger;
 pub use self::ledger::Usage;
 use self::live::Live;
-pub use self::looked::Looked;
-use self::order::LateTurns;
 use self::outage::Outages;
-use self::rounds::Rounds;
+use self::placement_rounds::PlacementRounds;
+pub use self::placement_stats::PlacementStats;
+use self::ranking::LateBoosts;
+use self::renewal_queue::RenewalQueue;
 use self::shares::Shares;
-use self::speeds::Guesses;
-use self::urgent::UrgentRoom;
+use self::speeds::EstimateErrors;
+use self::urgent_headroom::UrgentHeadroom;
 use self::waves::Machines;
 
 /// What a scheduler is told once.
@@ -172,11 +172,11 @@
     keys: KeyRing,
     ledger: Ledger,
     shares_of_accounts: Shares,
-    guesses: Guesses,
-    urgent: UrgentRoom,
+    guesses: EstimateErrors,
+    urgent: UrgentHeadroom,
     admission: Admission,
     buckets: Buckets,
-    late_turns: LateTurns,
+    late_turns: LateBoosts,
     jobs: BTreeMap<JobId, Live>,
     ended: Ended,
     executors: Executors,
@@ -190,14 +190,14 @@
     /// Whether the entries of executors were read in this tenure.
     entries_read: bool,
     /// Executors that may be due for a hold.
-    due_holds: DueHolds,
+    due_holds: RenewalQueue,
     /// Steps with tasks that may be started.
     ready: BTreeSet<StepKey>,
     /// Whether something has changed that may let a task start.
     stale: bool,
     /// When steps that are not urgent were looked at last.
     placed_all: Millis,
-    rounds: Rounds,
+    rounds: PlacementRounds,
     /// Steps that have room kept, and on which executors.
     reserved: BTreeMap<StepKey, Vec<ExecutorIndex>>,
     next_run: u64,
@@ -211,7 +211,7 @@
     outages: Outages,
     notices: Notices,
     machines: Machines,
-    domains: Domains,
+    domains: FailureDomains,
     cordons: Cordons,
     crash_rate: CrashRate,
     alarm: Alarm,
@@ -222,7 +222,7 @@
     confirmed: Millis,
     /// Wall time less monotonic time, in milliseconds.
     wall_offset: i64,
-    looked: Looked,
+    looked: PlacementStats,
     counters: BTreeMap<&'static str, u64>,
     actions: Vec<Action>,
 }
@@ -240,7 +240,7 @@
             outages: Outages::default(),
             notices: Notices::default(),
             machines: Machines::default(),
-            domains: Domains::default(),
+            domains: FailureDomains::default(),
             cordons: Cordons::default(),
             crash_rate: CrashRate::default(),
             alarm: Alarm::default(),
@@ -251,23 +251,23 @@
             keys: KeyRing::default(),
             ledger: Ledger::default(),
             shares_of_accounts: Shares::default(),
-            guesses: Guesses::default(),
-            urgent: UrgentRoom::default(),
+            guesses: EstimateErrors::default(),
+            urgent: UrgentHeadroom::default(),
             admission: Admission::default(),
             buckets: Buckets::default(),
-            late_turns: LateTurns::default(),
+            late_turns: LateBoosts::default(),
             jobs: BTreeMap::new(),
             ended: Ended::default(),
             executors: Executors::default(),
             hidden: BTreeSet::new(),
             entries_read: false,
-            due_holds: DueHolds::default(),
+            due_holds: RenewalQueue::default(),
             by_id: BTreeMap::new(),
             in_flight: Vec::new(),
             ready: BTreeSet::new(),
             stale: false,
             placed_all: 0,
-            rounds: Rounds::default(),
+            rounds: PlacementRounds::default(),
             reserved: BTreeMap::new(),
             arrivals: 0,
             advisors: Advisors::default(),
@@ -277,7 +277,7 @@
             unsettled: None,
             confirmed: 0,
             wall_offset: 0,
-            looked: Looked::default(),
+            looked: PlacementStats::default(),
             counters: BTreeMap::new(),
             actions: Vec::new(),
         };
@@ -384,8 +384,8 @@
     /// nothing happens before.
     pub fn next_advance(&self) -> Option<Millis> {
         let commit = self.commits.due(self.config.commit_gap);
-        let holds = self.due_holds.is_left().then_some(0);
-        [commit, holds, self.rounds.next()].into_iter().flatten().min()
+        let holds = self.due_holds.has_ready().then_some(0);
+        [commit, holds, self.rounds.next_start()].into_iter().flatten().min()
     }
 
     fn tick(&mut self, now: Millis) {
--- a/puffinknot-core/src/jobs/scheduler/place.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement.rs
@@ -1,7 +1,7 @@
 /*!
 Which task starts where.
 
-Steps are taken in the order of [`super::order`]. Tasks go where they fit best,
+Steps are taken in the order of [`super::ranking`]. Tasks go where they fit best,
 see [`super::fit`], so that gangs, see [`super::gangs`], find room.
 */
 
@@ -13,11 +13,11 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{AccountIndex, ExecutorIndex};
 use crate::jobs::model::{Step, StepKey};
-use crate::jobs::scheduler::fit::times;
+use crate::jobs::scheduler::fit::fit_count;
 use crate::jobs::scheduler::gangs::Waiting;
 use crate::jobs::scheduler::ledger::Turns;
 use crate::jobs::scheduler::live::StepRun;
-use crate::jobs::scheduler::order::Rank;
+use crate::jobs::scheduler::ranking::Rank;
 use crate::jobs::scheduler::Scheduler;
 
 /// Gangs that wait get room kept for them, up to this many at a time.
@@ -43,7 +43,7 @@
 pub(super) type Kept = BTreeMap<ExecutorIndex, Millis>;
 
 /// What the placing of a step begins with.
-pub(super) struct Opening {
+pub(super) struct PlacementContext {
     pub key: StepKey,
     pub step: Step,
     /// Executors on which runs of it have failed.
@@ -56,7 +56,7 @@
 
 impl Scheduler {
     /// Starts what can be started. Urgent steps are looked at each time,
-    /// unless placing rests, see [`super::rounds`]; while some others wait,
+    /// unless placing rests, see [`super::placement_rounds`]; while some others wait,
     /// those are looked at less often.
     pub(super) fn place(&mut self, now: Millis) {
         self.looked.rounds += 1;
@@ -69,7 +69,7 @@
         let gap = PLACE_GAP * crowds;
         if !self.rounds.may_begin(now) || now < self.placed_all + gap {
             self.stale = true;
-            self.looked.put_off += 1;
+            self.looked.deferred += 1;
             return;
         }
         self.weigh_shares(now);
@@ -130,7 +130,7 @@
     }
 
     /// What is known of a step, once it may begin.
-    pub(super) fn step_run(&self, key: StepKey) -> Option<&StepRun> {
+    pub(super) fn step_state(&self, key: StepKey) -> Option<&StepRun> {
         self.jobs.get(&key.job)?.steps.get(&(key.time, key.step))
     }
 
@@ -188,7 +188,7 @@
 
     /// The ticket of a step for an executor; empty if it needs none.
     pub(super) fn ticket(&self, key: StepKey, at: ExecutorIndex) -> String {
-        let state = self.step_run(key);
+        let state = self.step_state(key);
         let ticket = state.and_then(|state| state.advice.good.get(&at));
         ticket.map(|ticket| ticket.text.clone()).unwrap_or_default()
     }
@@ -211,11 +211,11 @@
 
     /// What the placing of a step begins with, unless it has to wait for its
     /// first advice.
-    pub(super) fn opening(
+    pub(super) fn placement_context(
         &mut self,
         key: StepKey,
         now: Millis,
-    ) -> Option<Opening> {
+    ) -> Option<PlacementContext> {
         if self.lacks_advice(key, now) {
             return None;
         }
@@ -230,7 +230,7 @@
         let candidates = self.candidates(key, now);
         self.looked.add_executors(candidates.len());
         let account = live.account;
-        Some(Opening { key, step, failed_on, candidates, account })
+        Some(PlacementContext { key, step, failed_on, candidates, account })
     }
 
     /// Places the tasks of a step one by one. If tasks are left that take up
@@ -244,8 +244,10 @@
         urgent: bool,
         now: Millis,
     ) -> bool {
-        let Some(opening) = self.opening(key, now) else { return true };
-        let Some(state) = self.step_run(key) else { return true };
+        let Some(opening) = self.placement_context(key, now) else {
+            return true;
+        };
+        let Some(state) = self.step_state(key) else { return true };
         let (suspects, waiting): (Vec<u32>, Vec<u32>) = state
             .waiting
             .iter()
@@ -256,8 +258,9 @@
         };
         let mut stale =
             self.place_suspects(key, &opening, suspects, may_use, now);
-        let Opening { step, failed_on, candidates, account, .. } = opening;
-        let Some(state) = self.step_run(key) else { return true };
+        let PlacementContext { step, failed_on, candidates, account, .. } =
+            opening;
+        let Some(state) = self.step_state(key) else { return true };
         let tight = self.is_tight(key, now);
         let heeds = !urgent && self.heeds_slots(key, now);
         let mut held_back = false;
@@ -293,7 +296,7 @@
                 // Where it has failed it may fail again.
                 let again =
                     if failed_on.contains(at) { FAILED_THERE } else { 0 };
-                let score = (self.leftover(*at, &step) + again) as i64
+                let score = (self.fit_cost(*at, &step) + again) as i64
                     + self.speed_cost(*at, tight);
                 if best.is_none_or(|(other, _)| score < other) {
                     best = Some((score, *at));
@@ -309,9 +312,10 @@
         if held_back {
             self.held_back(key);
         }
-        let left = self.step_run(key).map(|state| state.waiting.len());
+        let left = self.step_state(key).map(|state| state.waiting.len());
         let count = left.unwrap_or(0) as u32;
-        let count = count.min(times(&self.ledger.left(account), &step.need));
+        let count =
+            count.min(fit_count(&self.ledger.left(account), &step.need));
         if count == 0 {
             self.unreserve(key);
             return true;
@@ -366,7 +370,8 @@
     /// it finds none while smaller ones take what gets free.
     fn is_wide(&self, step: &Step, executors: &[ExecutorIndex]) -> bool {
         let known = executors.iter().filter_map(|at| self.executors.get(at));
-        let most = known.map(|e| times(&e.info.capacity, &step.room())).max();
+        let most =
+            known.map(|e| fit_count(&e.info.capacity, &step.room())).max();
         most.is_some_and(|most| most <= WIDE)
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/rounds.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement_rounds.rs
@@ -28,7 +28,7 @@
 
 /// When which steps may be looked at next.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Rounds {
+pub(super) struct PlacementRounds {
     all_from: Millis,
     urgent_from: Millis,
     /// What of the urgent steps' rest is less than a millisecond.
@@ -40,7 +40,7 @@
     last: Option<bool>,
 }
 
-impl Rounds {
+impl PlacementRounds {
     /// Whether any steps may be looked at; else the round is put off.
     pub fn may_begin(&mut self, now: Millis) -> bool {
         self.put_off = now < self.urgent_from;
@@ -48,7 +48,7 @@
     }
 
     /// When a round that was put off may begin.
-    pub fn next(&self) -> Option<Millis> {
+    pub fn next_start(&self) -> Option<Millis> {
         self.put_off.then_some(self.urgent_from)
     }
 
@@ -77,7 +77,7 @@
 impl Scheduler {
     /// Tells how long the last call of [`Scheduler::advance`] took, and when
     /// it was over. A driver that doesn't has steps placed each time.
-    pub fn advance_took(&mut self, took: Duration, now: Millis) {
+    pub fn record_advance_time(&mut self, took: Duration, now: Millis) {
         if let Some(all) = self.rounds.last.take() {
             self.rounds.end(all, took, now);
         }
--- a/puffinknot-core/src/jobs/scheduler/looked.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement_stats.rs
@@ -10,11 +10,11 @@
 
 /// What the placing has looked through so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Looked {
+pub struct PlacementStats {
     /// Times that placing was due.
     pub rounds: u64,
     /// Those of them that were put off, while placing rested or for a crowd.
-    pub put_off: u64,
+    pub deferred: u64,
     /// Steps.
     pub steps: u64,
     /// Executors, once for each look at one for a step.
@@ -23,12 +23,12 @@
     pub runs: u64,
 }
 
-impl Looked {
+impl PlacementStats {
     /// What was looked through since an earlier time.
-    pub fn since(&self, earlier: &Looked) -> Looked {
-        Looked {
+    pub fn since(&self, earlier: &PlacementStats) -> PlacementStats {
+        PlacementStats {
             rounds: self.rounds - earlier.rounds,
-            put_off: self.put_off - earlier.put_off,
+            deferred: self.deferred - earlier.deferred,
             steps: self.steps - earlier.steps,
             executors: self.executors - earlier.executors,
             runs: self.runs - earlier.runs,
@@ -46,16 +46,17 @@
 
 impl Scheduler {
     /// How much the placing of tasks has looked through.
-    pub fn looked(&self) -> Looked {
+    pub fn placement_stats(&self) -> PlacementStats {
         self.looked
     }
 
     /// Takes over the totals into the counters.
     pub(super) fn count_looked(&mut self) {
-        let Looked { rounds, put_off, steps, executors, runs } = self.looked;
+        let PlacementStats { rounds, deferred, steps, executors, runs } =
+            self.looked;
         let totals = [
             ("place_rounds", rounds),
-            ("place_rounds_put_off", put_off),
+            ("place_rounds_put_off", deferred),
             ("place_steps", steps),
             ("place_executors", executors),
             ("place_runs", runs),
--- a/puffinknot-core/src/jobs/scheduler/displace.rs
+++ b/puffinknot-core/src/jobs/scheduler/preemption.rs
@@ -20,7 +20,7 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{Action, ExecutorIndex};
 use crate::jobs::model::{Step, StepKey, TaskKey};
-use crate::jobs::scheduler::fit::times;
+use crate::jobs::scheduler::fit::fit_count;
 use crate::jobs::scheduler::gangs::{Plan, Waiting};
 use crate::jobs::scheduler::Scheduler;
 
@@ -100,7 +100,7 @@
 
 /// How many members of a step fit into this room of one executor.
 fn fits(room: &Resources, step: &Step) -> u32 {
-    let fits = times(room, &step.room());
+    let fits = fit_count(room, &step.room());
     match step.max_per_executor {
         0 => fits,
         most => fits.min(most),
@@ -144,7 +144,7 @@
 impl Scheduler {
     /// Whether room that was bought for a step is kept while others stop.
     pub(super) fn is_displacing(&self, key: StepKey, now: Millis) -> bool {
-        self.step_run(key).is_some_and(|state| now < state.displacing_until)
+        self.step_state(key).is_some_and(|state| now < state.displacing_until)
     }
 
     /// Has others give way to a gang that has no room on these executors, if
@@ -246,7 +246,7 @@
     /// has waited for long enough.
     fn may_displace(&self, key: StepKey, now: Millis) -> bool {
         let Some(live) = self.jobs.get(&key.job) else { return false };
-        let tried = self.step_run(key).map(|state| state.displace_from);
+        let tried = self.step_state(key).map(|state| state.displace_from);
         if self.rank(key, now).is_none_or(|rank| rank.beyond()) {
             return false;
         }
@@ -255,7 +255,8 @@
         }
         let whole = live.deadline.saturating_sub(live.since);
         let slack = whole.saturating_sub(live.job.chain());
-        let latest = live.deadline.saturating_sub(self.chain_left(key));
+        let latest =
+            live.deadline.saturating_sub(self.remaining_chain_time(key));
         let unused = slack as f64 * (1.0 - SLACK_USED);
         now <= latest && now + unused as Millis >= latest
     }
@@ -284,7 +285,7 @@
             .collect();
         others.sort_by_key(|victim| (victim.over_share, victim.slack));
         let room = self.room_to_come(executor);
-        let taken = self.step_run(key).is_some_and(|state| {
+        let taken = self.step_state(key).is_some_and(|state| {
             let mut places = state.places.values();
             step.max_per_executor > 0 && places.any(|(there, _)| *there == at)
         });
@@ -330,7 +331,7 @@
             && on.ends > now + ENDS_SOON
             && here == Some(run)
             && !state.gave_way.contains(&task.index);
-        let rest = self.chain_left(task.step);
+        let rest = self.remaining_chain_time(task.step);
         let slack = live.deadline.saturating_sub(now + rest);
         let over_share = self.over_share(live.account);
         let victim = Victim { task, run, need, over_share, slack };
--- a/puffinknot-core/src/jobs/scheduler/order.rs
+++ b/puffinknot-core/src/jobs/scheduler/ranking.rs
@@ -19,7 +19,7 @@
 use crate::ids::Millis;
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::model::{Step, StepKey};
-use crate::jobs::scheduler::fit::times;
+use crate::jobs::scheduler::fit::fit_count;
 use crate::jobs::scheduler::live::Live;
 use crate::jobs::scheduler::Scheduler;
 
@@ -31,20 +31,20 @@
 
 /// What a step competes with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Class {
+pub(super) enum PriorityClass {
     /// Its queue is urgent.
     Urgent,
     /// The same, but its account has more than its share of what is urgent.
-    UrgentBeyond,
+    UrgentOverShare,
     /// It may wait.
-    Patient,
+    Normal,
     /// It is beyond what is its account's.
-    Beyond,
+    OverShare,
 }
 
 /// What use it can be if it starts now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Reach {
+pub(super) enum Timeliness {
     /// Its objective can be met.
     InTime,
     /// It would be late, but of some use.
@@ -56,10 +56,10 @@
 /// The place of a step in the order; the least comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
-    pub class: Class,
-    pub reach: Reach,
+    pub class: PriorityClass,
+    pub timeliness: Timeliness,
     /// What it is ordered by among its like, in milliseconds.
-    pub by: Millis,
+    pub sort_key: Millis,
     /// The order in which jobs came.
     pub arrival: u64,
 }
@@ -67,12 +67,12 @@
 impl Rank {
     /// Whether it goes before all that may wait.
     pub fn urgent(&self) -> bool {
-        self.class <= Class::UrgentBeyond
+        self.class <= PriorityClass::UrgentOverShare
     }
 
     /// Whether it goes behind all that is within an account's share.
     pub fn beyond(&self) -> bool {
-        self.class == Class::Beyond
+        self.class == PriorityClass::OverShare
     }
 }
 
@@ -86,7 +86,7 @@
 
 /// The turns of all classes.
 #[derive(Clone, Debug, Default)]
-pub(super) struct LateTurns(BTreeMap<Class, Turn>);
+pub(super) struct LateBoosts(BTreeMap<PriorityClass, Turn>);
 
 impl Scheduler {
     /// The place of a step in the order, if its job is live.
@@ -95,26 +95,30 @@
         let class = self.class(live);
         let arrival = live.arrival;
         let (reach, by) = if !self.has(Mechanism::OrderByObjective) {
-            (Reach::InTime, 0)
+            (Timeliness::InTime, 0)
         } else if self.has(Mechanism::LatestStart) {
-            self.reach(key, live, now)
+            self.timeliness(key, live, now)
         } else {
             (reach_by_deadline(live, now), live.deadline)
         };
-        Some(Rank { class, reach, by, arrival })
+        Some(Rank { class, timeliness: reach, sort_key: by, arrival })
     }
 
-    fn class(&self, live: &Live) -> Class {
+    fn class(&self, live: &Live) -> PriorityClass {
         let beyond = live.beyond_due || self.over_share(live.account);
         if live.queue.priority > 0 {
-            return if beyond { Class::Beyond } else { Class::Patient };
+            return if beyond {
+                PriorityClass::OverShare
+            } else {
+                PriorityClass::Normal
+            };
         }
         let urgent = self.over_urgent_share(live.account);
         let beyond = beyond && urgent || self.floods(live.account);
         match (live.beyond_due || beyond, urgent) {
-            (true, _) => Class::Beyond,
-            (false, true) => Class::UrgentBeyond,
-            (false, false) => Class::Urgent,
+            (true, _) => PriorityClass::OverShare,
+            (false, true) => PriorityClass::UrgentOverShare,
+            (false, false) => PriorityClass::Urgent,
         }
     }
 
@@ -126,14 +130,15 @@
     }
 
     /// What use a step can be if it starts now, and its latest start.
-    fn reach(
+    fn timeliness(
         &self,
         key: StepKey,
         live: &Live,
         now: Millis,
-    ) -> (Reach, Millis) {
+    ) -> (Timeliness, Millis) {
         let step = &live.job.steps[key.step as usize];
-        let left = self.chain_left(key) + self.rounds_before(key, step, live);
+        let left = self.remaining_chain_time(key)
+            + self.rounds_before(key, step, live);
         let latest = live.deadline.saturating_sub(left);
         // What goes on for long, or comes again, has no one end.
         if step.lasting || live.job.repeats.is_some() {
@@ -142,11 +147,11 @@
         let whole = live.deadline.saturating_sub(live.since);
         let of_use = live.since + OF_USE * whole;
         let reach = if now <= latest {
-            Reach::InTime
+            Timeliness::InTime
         } else if now + left <= of_use {
-            Reach::Late
+            Timeliness::Late
         } else {
-            Reach::TooLate
+            Timeliness::TooLate
         };
         (reach, latest)
     }
@@ -161,11 +166,11 @@
         let room = whole.least(&self.ledger.most(live.account));
         let waiting = live.steps.get(&(key.time, key.step));
         let waiting = waiting.map_or(0, |run| run.waiting.len()) as u32;
-        let rounds = waiting.div_ceil(times(&room, &step.need).max(1));
+        let rounds = waiting.div_ceil(fit_count(&room, &step.need).max(1));
         if rounds < 2 || *whole == Default::default() {
             return 0;
         }
-        self.usual_run_time(key) * Millis::from(rounds - 1)
+        self.nominal_run_time(key) * Millis::from(rounds - 1)
     }
 
     /// Puts those late steps first in their classes whose turn it is.
@@ -177,9 +182,10 @@
         if !self.has(Mechanism::LatestStart) {
             return;
         }
-        let mut first: BTreeMap<Class, (u64, StepKey)> = BTreeMap::new();
+        let mut first: BTreeMap<PriorityClass, (u64, StepKey)> =
+            BTreeMap::new();
         for (rank, key) in order.iter() {
-            if rank.reach > Reach::InTime {
+            if rank.timeliness > Timeliness::InTime {
                 let came = (rank.arrival, *key);
                 let first = first.entry(rank.class).or_insert(came);
                 *first = came.min(*first);
@@ -208,8 +214,8 @@
             turns.values().filter_map(|turn| turn.holder).collect();
         for (rank, key) in order.iter_mut() {
             if holders.contains(key) {
-                rank.reach = Reach::InTime;
-                rank.by = 0;
+                rank.timeliness = Timeliness::InTime;
+                rank.sort_key = 0;
             }
         }
         for _ in 0..given {
@@ -218,10 +224,10 @@
     }
 }
 
-fn reach_by_deadline(live: &Live, now: Millis) -> Reach {
+fn reach_by_deadline(live: &Live, now: Millis) -> Timeliness {
     if live.deadline < now {
-        Reach::Late
+        Timeliness::Late
     } else {
-        Reach::InTime
+        Timeliness::InTime
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/due.rs
+++ b/puffinknot-core/src/jobs/scheduler/renewal_queue.rs
@@ -18,7 +18,7 @@
 
 /// Executors to be looked at, now or at a later time.
 #[derive(Debug, Default)]
-pub(super) struct DueHolds {
+pub(super) struct RenewalQueue {
     /// In the order in which they were noted.
     now: VecDeque<ExecutorIndex>,
     /// The same, to note each only once.
@@ -26,33 +26,37 @@
     later: BTreeSet<(Millis, ExecutorIndex)>,
 }
 
-impl DueHolds {
+impl RenewalQueue {
     /// Something has happened to an executor.
-    pub fn touch(&mut self, index: ExecutorIndex) {
+    pub fn enqueue(&mut self, index: ExecutorIndex) {
         if self.noted.insert(index) {
             self.now.push_back(index);
         }
     }
 
     /// An executor is to be looked at then.
-    pub fn at(&mut self, time: Millis, index: ExecutorIndex) {
+    pub fn schedule(&mut self, time: Millis, index: ExecutorIndex) {
         self.later.insert((time, index));
     }
 
     /// Whether executors were left over that are to be looked at by now.
-    pub fn is_left(&self) -> bool {
+    pub fn has_ready(&self) -> bool {
         !self.now.is_empty()
     }
 
     /// Takes some executors that are to be looked at by now: up to `most`, or
     /// a part of them if very many wait.
-    pub fn take(&mut self, now: Millis, most: usize) -> Vec<ExecutorIndex> {
+    pub fn take_ready(
+        &mut self,
+        now: Millis,
+        most: usize,
+    ) -> Vec<ExecutorIndex> {
         while let Some(&(time, index)) = self.later.first() {
             if time > now {
                 break;
             }
             self.later.pop_first();
-            self.touch(index);
+            self.enqueue(index);
         }
         let most = most.max(self.now.len() / WAITING_PART);
         let most = most.min(self.now.len());
--- a/puffinknot-core/src/jobs/scheduler/estimate.rs
+++ b/puffinknot-core/src/jobs/scheduler/run_time_estimate.rs
@@ -12,12 +12,12 @@
 use crate::jobs::speed::StepTimes;
 
 /// A run that has overstayed its guess should end within this time.
-pub(super) const OVERSTAY: Millis = 500;
+pub(super) const OVERRUN_GRACE: Millis = 500;
 
 /// When a run should end. One that has overstayed may do so for a while.
 pub(super) fn expected_end(run: &RunOn, now: Millis) -> Millis {
     if run.ends <= now {
-        now + OVERSTAY
+        now + OVERRUN_GRACE
     } else {
         run.ends
     }
@@ -53,14 +53,14 @@
     pub(super) fn run_times(&self, key: StepKey) -> RunTimes {
         let gang = self.step(key).is_some_and(|step| step.gang);
         RunTimes {
-            usual: self.usual_run_time(key),
+            usual: self.nominal_run_time(key),
             slowest: gang.then(|| self.slowest(key)).flatten(),
         }
     }
 
     /// How long a task of a step should run on the usual executor of its
     /// service, in milliseconds.
-    pub(super) fn usual_run_time(&self, key: StepKey) -> Millis {
+    pub(super) fn nominal_run_time(&self, key: StepKey) -> Millis {
         let Some(live) = self.jobs.get(&key.job) else { return 0 };
         let Some(step) = live.job.steps.get(key.step as usize) else {
             return 0;
@@ -77,10 +77,11 @@
 
     /// How long the chain of a job should take from a step on, in
     /// milliseconds.
-    pub(super) fn chain_left(&self, key: StepKey) -> Millis {
+    pub(super) fn remaining_chain_time(&self, key: StepKey) -> Millis {
         let live = self.jobs.get(&key.job);
         live.map_or(0, |live| {
-            let time_of = |step| self.usual_run_time(StepKey { step, ..key });
+            let time_of =
+                |step| self.nominal_run_time(StepKey { step, ..key });
             live.job.chain_from(key.step, time_of)
         })
     }
--- a/puffinknot-core/src/jobs/scheduler/runs.rs
+++ b/puffinknot-core/src/jobs/scheduler/runs.rs
@@ -9,7 +9,7 @@
 };
 use crate::jobs::model::{JobId, JobState, StepKey, TaskKey};
 use crate::jobs::scheduler::holds::expiry;
-use crate::jobs::scheduler::speeds::tells;
+use crate::jobs::scheduler::speeds::is_informative;
 use crate::jobs::scheduler::Scheduler;
 
 /// A stop that is not confirmed is sent again after this time.
@@ -27,7 +27,7 @@
     ) {
         let lease = self.config.lease;
         let ends = now + self.run_time(task.step, index);
-        self.take_slots(task.step, index);
+        self.consume_urgent_slots(task.step, index);
         let Some(live) = self.jobs.get_mut(&task.step.job) else { return };
         let step = &live.job.steps[task.step.step as usize];
         let need = step.room();
@@ -48,11 +48,11 @@
         let window = state.window(saved);
         let checkpoint =
             state.checkpoints.get(&saved).cloned().unwrap_or_default();
-        let tells = tells(step, executor, &checkpoint);
+        let tells = is_informative(step, executor, &checkpoint);
         executor.expiry = executor.expiry.max(expiry(now, lease));
         // Its end is wanted at once, also if it was idle and left alone.
         executor.next_hold = executor.next_hold.min(now);
-        self.due_holds.touch(index);
+        self.due_holds.enqueue(index);
         executor.health.started(now);
         self.actions.push(Action::Start {
             executor: index,
@@ -123,7 +123,7 @@
                     on.phase = Phase::Running;
                 }
                 self.begun(task);
-                self.heard(index);
+                self.mark_responsive(index);
             }
             Err(OrderFailure::Unknown) => {
                 // If it has arrived, the next account shows it.
@@ -131,7 +131,7 @@
                 self.doubt_life(index, now);
                 self.count("starts_unknown");
                 self.order_unanswered(now);
-                self.doubted(index, now);
+                self.mark_unresponsive(index, now);
             }
             Err(why) => {
                 self.count(match why {
@@ -157,7 +157,7 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.life_doubted = Some(now);
         executor.probe = true;
-        self.due_holds.touch(index);
+        self.due_holds.enqueue(index);
     }
 
     /// An executor has confirmed that a task runs, or has run. An order
--- a/puffinknot-core/src/jobs/scheduler/speeds.rs
+++ b/puffinknot-core/src/jobs/scheduler/speeds.rs
@@ -19,7 +19,7 @@
 use crate::jobs::scheduler::behind::Given;
 use crate::jobs::scheduler::gangs::Room;
 use crate::jobs::scheduler::live::StepRun;
-use crate::jobs::scheduler::order::Class;
+use crate::jobs::scheduler::ranking::PriorityClass;
 use crate::jobs::scheduler::Scheduler;
 use crate::jobs::speed::{compare, GuessError, Speed};
 
@@ -55,7 +55,7 @@
 
 /// The error of guesses by queue, of single tasks and of gangs.
 #[derive(Debug, Default)]
-pub(super) struct Guesses {
+pub(super) struct EstimateErrors {
     by_queue: BTreeMap<String, [GuessError; 2]>,
     unknown: GuessError,
     refreshed: Millis,
@@ -63,7 +63,7 @@
     shard: u8,
 }
 
-impl Guesses {
+impl EstimateErrors {
     /// The error of the guesses of a queue.
     pub fn of(&self, queue: &str, step: &Step) -> &GuessError {
         let known = self.by_queue.get(queue);
@@ -77,7 +77,11 @@
 }
 
 /// Whether a run of a step there would tell of its executor.
-pub(super) fn tells(step: &Step, at: &Executor, checkpoint: &str) -> bool {
+pub(super) fn is_informative(
+    step: &Step,
+    at: &Executor,
+    checkpoint: &str,
+) -> bool {
     let far = step.near.as_ref().is_some_and(|rack| !at.has_label(rack));
     let split = step.gang && step.same_rack;
     checkpoint.is_empty() && !far && !split && !step.lasting && !step.fills
@@ -93,12 +97,12 @@
 
     /// The slowness of the slowest executor on which a step runs.
     pub(super) fn slowest(&self, key: StepKey) -> Option<f64> {
-        let places = self.step_run(key)?.places.values();
+        let places = self.step_state(key)?.places.values();
         places.map(|(at, _)| self.slowness(*at)).max_by(f64::total_cmp)
     }
 
     /// Takes in what the end of a run tells.
-    pub(super) fn learn(
+    pub(super) fn learn_from_end(
         &mut self,
         index: ExecutorIndex,
         end: &EndRow,
@@ -119,7 +123,7 @@
         let time = given.took(on).filter(|_| on.tells);
         let gang = self.step(key).is_some_and(|step| step.gang);
         let done = |run: &StepRun| run.done.contains(&end.task.index);
-        if self.step_run(key).is_some_and(done) {
+        if self.step_state(key).is_some_and(done) {
             return;
         }
         let slowness = match gang {
@@ -197,7 +201,7 @@
     }
 
     /// Looks for runs on an executor that go on far beyond what they should.
-    pub(super) fn note_overdue(
+    pub(super) fn check_overdue_runs(
         &mut self,
         index: ExecutorIndex,
         given: &Given,
@@ -235,7 +239,7 @@
         now: Millis,
     ) {
         let key = task.step;
-        let usual = self.usual_run_time(key);
+        let usual = self.nominal_run_time(key);
         let Some(executor) = self.executors.get_mut(&index) else { return };
         let Some(on) = executor.runs.get_mut(&task) else { return };
         // Its end would be the same evidence once more.
@@ -305,10 +309,11 @@
     pub(super) fn is_tight(&self, key: StepKey, now: Millis) -> bool {
         let Some(live) = self.jobs.get(&key.job) else { return false };
         let rank = self.rank(key, now);
-        let urgent = rank.is_some_and(|rank| rank.class == Class::Urgent);
+        let urgent =
+            rank.is_some_and(|rank| rank.class == PriorityClass::Urgent);
         let missed = live.deadline < now && !urgent;
         let times = if urgent { TIGHT } else { 1 };
-        let late = times * self.chain_left(key) + TOLD;
+        let late = times * self.remaining_chain_time(key) + TOLD;
         let misses = live.deadline < now + late;
         misses && !missed && !live.beyond_due
     }
--- a/puffinknot-core/src/jobs/scheduler/suspects.rs
+++ b/puffinknot-core/src/jobs/scheduler/suspects.rs
@@ -19,7 +19,7 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{Action, ExecutorIndex, LifeOver};
 use crate::jobs::model::{JobState, Step, StepKey, TaskKey};
-use crate::jobs::scheduler::place::Opening;
+use crate::jobs::scheduler::placement::PlacementContext;
 use crate::jobs::scheduler::Scheduler;
 
 /// One executor of a service in so many may be at risk by tasks that are
@@ -129,7 +129,7 @@
     /// The number of executors that a run of a step is on.
     fn spread(&self, key: StepKey) -> u32 {
         let gang = self.step(key).is_some_and(|step| step.gang);
-        match self.step_run(key) {
+        match self.step_state(key) {
             Some(state) if gang => state.spread,
             _ => 1,
         }
@@ -222,7 +222,7 @@
     /// The losses of a task, if it needs a trial.
     pub(super) fn suspected(&self, task: TaskKey) -> Option<&Losses> {
         let counted = self.step(task.step)?.counted(task.index);
-        self.step_run(task.step)?.suspected(counted)
+        self.step_state(task.step)?.suspected(counted)
     }
 
     /// Starts those tasks of a step that need a trial, each where nothing
@@ -230,7 +230,7 @@
     pub(super) fn place_suspects(
         &mut self,
         key: StepKey,
-        opening: &Opening,
+        opening: &PlacementContext,
         suspects: Vec<u32>,
         may_use: impl Fn(ExecutorIndex) -> bool,
         now: Millis,
@@ -316,7 +316,7 @@
     ) -> Option<TrialPlace> {
         let executor = self.executors.get(&at)?;
         let cost = match losses.weight {
-            0 => self.leftover(at, step),
+            0 => self.fit_cost(at, step),
             _ => executor.at_risk(now),
         };
         Some(TrialPlace {
@@ -356,7 +356,7 @@
         open: Vec<ExecutorIndex>,
         now: Millis,
     ) -> Vec<ExecutorIndex> {
-        let waits = self.step_run(key).is_some_and(|s| now < s.tries_until);
+        let waits = self.step_state(key).is_some_and(|s| now < s.tries_until);
         if !waits || self.suspected(key.task(0)).is_none() {
             return open;
         }
@@ -376,7 +376,7 @@
     /// Whether the step's bound on tasks on one executor leaves a place.
     fn has_place(&self, key: StepKey, step: &Step, at: ExecutorIndex) -> bool {
         let most = step.max_per_executor;
-        let Some(state) = self.step_run(key) else { return false };
+        let Some(state) = self.step_state(key) else { return false };
         let there = state.places.values().filter(|(on, _)| *on == at);
         most == 0 || there.count() < most as usize
     }
--- a/puffinknot-core/src/jobs/scheduler/urgent.rs
+++ b/puffinknot-core/src/jobs/scheduler/urgent_headroom.rs
@@ -9,7 +9,7 @@
 slots, so that nothing starves by them. Gangs use them at any time, since they
 find room seldom enough.
 
-What still finds no room has others give way to it, see [`super::displace`].
+What still finds no room has others give way to it, see [`super::preemption`].
 */
 
 use std::collections::BTreeMap;
@@ -21,8 +21,8 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{AccountIndex, Action, ExecutorIndex};
 use crate::jobs::model::StepKey;
-use crate::jobs::scheduler::fit::times;
-use crate::jobs::scheduler::order::{Class, Rank, Reach};
+use crate::jobs::scheduler::fit::fit_count;
+use crate::jobs::scheduler::ranking::{PriorityClass, Rank, Timeliness};
 use crate::jobs::scheduler::Scheduler;
 
 /// The time between two counts of the free slots, in milliseconds: it bounds
@@ -39,7 +39,7 @@
 
 /// What is kept free for urgent tasks.
 #[derive(Clone, Debug, Default)]
-pub(super) struct UrgentRoom {
+pub(super) struct UrgentHeadroom {
     headroom: Headroom,
     /// The same by account: none is kept for one that is over its share.
     by_account: BTreeMap<Option<AccountIndex>, Headroom>,
@@ -75,8 +75,8 @@
         let usable = self.executors.values().filter(|e| e.usable());
         let (mut free, mut whole) = (0, 0);
         for executor in usable {
-            free += u64::from(times(&executor.free, &slot));
-            whole += u64::from(times(&executor.info.capacity, &slot));
+            free += u64::from(fit_count(&executor.free, &slot));
+            whole += u64::from(fit_count(&executor.info.capacity, &slot));
         }
         let wanted = self.urgent.headroom.wanted(&demand, whole);
         let wanted = wanted.min(self.wanted_within(&demands, whole, now));
@@ -138,11 +138,12 @@
             demand.runs(&run.need);
         }
         let waiting = order.iter().filter(|(rank, _)| {
-            rank.class == Class::Urgent && rank.reach < Reach::TooLate
+            rank.class == PriorityClass::Urgent
+                && rank.timeliness < Timeliness::TooLate
         });
         for (_, key) in waiting {
             let (Some(step), Some(state)) =
-                (self.step(*key), self.step_run(*key))
+                (self.step(*key), self.step_state(*key))
             else {
                 continue;
             };
@@ -177,14 +178,18 @@
     }
 
     fn slots_taken(&self, executor: &Executor, need: &Resources) -> u64 {
-        let slots = |room| u64::from(times(room, &self.urgent.slot));
+        let slots = |room| u64::from(fit_count(room, &self.urgent.slot));
         let left = executor.free.minus(need);
         slots(&executor.free).saturating_sub(slots(&left))
     }
 
     /// A task of a step is about to start on an executor. What urgent ones
     /// take is what the slots are kept for.
-    pub(super) fn take_slots(&mut self, key: StepKey, at: ExecutorIndex) {
+    pub(super) fn consume_urgent_slots(
+        &mut self,
+        key: StepKey,
+        at: ExecutorIndex,
+    ) {
         let Some(spare) = self.urgent.spare else { return };
         let live = self.jobs.get(&key.job);
         if live.is_none_or(|live| live.is_urgent()) {
--- a/puffinknot-measure/src/leader.rs
+++ b/puffinknot-measure/src/leader.rs
@@ -232,7 +232,7 @@
         self.behind %= 1_000_000;
         self.now += whole;
         if self.counts_turns {
-            self.scheduler.advance_took(advance, self.now);
+            self.scheduler.record_advance_time(advance, self.now);
         }
         let slowest = self.slowest(&actions);
         for action in actions {
--- a/src/cell/lead.rs
+++ b/src/cell/lead.rs
@@ -380,7 +380,7 @@
             }
             let shared = self.shared.clone();
             let stats = &shared.stats;
-            let mut turn = Turn::begin(clocks(), scheduler.looked());
+            let mut turn = Turn::begin(clocks(), scheduler.placement_stats());
             let mut next = first;
             while let Some(Sent { input, at }) = next {
                 let now = clock::mono_micros();
@@ -427,11 +427,11 @@
             let until = clock::mono_micros();
             turn.advanced(stats, since, until);
             let took = Duration::from_micros(until.saturating_sub(since));
-            scheduler.advance_took(took, until / 1_000);
+            scheduler.record_advance_time(took, until / 1_000);
             if self.perform(&scheduler, actions) {
                 return "fenced";
             }
-            let took = turn.end(stats, clocks(), scheduler.looked());
+            let took = turn.end(stats, clocks(), scheduler.placement_stats());
             if let Some((slow, worst)) = slow_turns.observe(took) {
                 decisions::slow_turn(&scheduler, self.token, slow, &worst);
             }
--- a/src/cell/turn.rs
+++ b/src/cell/turn.rs
@@ -8,7 +8,7 @@
 */
 
 use puffinknot_core::ids::Millis;
-use puffinknot_core::jobs::scheduler::Looked;
+use puffinknot_core::jobs::scheduler::PlacementStats;
 use puffinknot_core::jobs::Event;
 
 use crate::cell::stats::Stats;
@@ -117,7 +117,7 @@
 #[derive(Debug)]
 pub struct Turn {
     begun: Clocks,
-    looked: Looked,
+    looked: PlacementStats,
     inputs: u64,
     /// The longest wait of an input, and of which kind that one was.
     oldest: (Micros, Kind),
@@ -142,12 +142,12 @@
     /// The longest wait of an input, and of which kind that one was.
     pub oldest: (Micros, Kind),
     /// What placing looked through in it.
-    pub looked: Looked,
+    pub looked: PlacementStats,
 }
 
 impl Turn {
     /// Begins a turn; `looked` is what placing has looked through so far.
-    pub fn begin(now: Clocks, looked: Looked) -> Turn {
+    pub fn begin(now: Clocks, looked: PlacementStats) -> Turn {
         Turn {
             begun: now,
             looked,
@@ -190,7 +190,12 @@
     }
 
     /// The turn ends.
-    pub fn end(self, stats: &Stats, now: Clocks, looked: Looked) -> Took {
+    pub fn end(
+        self,
+        stats: &Stats,
+        now: Clocks,
+        looked: PlacementStats,
+    ) -> Took {
         let took = Took {
             ended: now.mono,
             turn: now.mono.saturating_sub(self.begun.mono),
@@ -203,7 +208,7 @@
         stats.took_micros("turn", took.turn);
         stats.took_micros("turn_cpu", took.cpu);
         stats.saw("turn_inputs", took.inputs);
-        if took.looked.rounds > took.looked.put_off {
+        if took.looked.rounds > took.looked.deferred {
             stats.saw("round_steps", took.looked.steps);
             stats.saw("round_executors", took.looked.executors);
         }
--- a/tests/jobs/looked.rs
+++ b/tests/jobs/looked.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use puffinknot_core::jobs::scheduler::Looked;
+use puffinknot_core::jobs::scheduler::PlacementStats;
 use puffinknot_core::jobs::{Mechanism, Without};
 
 use super::world::{job, room, step, World, WORK};
@@ -25,14 +25,14 @@
 }
 
 /// What was looked through while this went on.
-fn during(world: &mut World, goes: impl FnOnce(&mut World)) -> Looked {
-    let before = world.scheduler.looked();
+fn during(world: &mut World, goes: impl FnOnce(&mut World)) -> PlacementStats {
+    let before = world.scheduler.placement_stats();
     goes(world);
-    let Looked { rounds, put_off, steps, executors, runs } =
-        world.scheduler.looked();
-    let all = [rounds, put_off, steps, executors, runs];
+    let PlacementStats { rounds, deferred, steps, executors, runs } =
+        world.scheduler.placement_stats();
+    let all = [rounds, deferred, steps, executors, runs];
     assert_eq!(counted(world), all, "counters tell the same");
-    world.scheduler.looked().since(&before)
+    world.scheduler.placement_stats().since(&before)
 }
 
 fn full(executors: usize) -> World {
@@ -58,7 +58,7 @@
         world.submit(job(2, "batch", vec![step(1, room(4_000, 100))]));
         world.run(200);
     });
-    assert_eq!(one.put_off, 0);
+    assert_eq!(one.deferred, 0);
     assert!(one.steps > 0 && one.steps <= one.rounds, "{one:?}");
     let each = EXECUTORS as u64;
     assert!(one.executors >= one.steps * each, "{one:?}");
@@ -98,6 +98,6 @@
         }
         world.run(100);
     });
-    assert!(looked.put_off > 0, "{looked:?}");
-    assert!(looked.rounds > looked.put_off, "{looked:?}");
+    assert!(looked.deferred > 0, "{looked:?}");
+    assert!(looked.rounds > looked.deferred, "{looked:?}");
 }
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -684,13 +684,13 @@
 
     /// The leader does what has become possible, and is told how long it took.
     fn advance(&mut self) {
-        let before = self.scheduler.looked();
+        let before = self.scheduler.placement_stats();
         let actions = self.scheduler.advance(self.now);
-        let looked = self.scheduler.looked().since(&before);
+        let looked = self.scheduler.placement_stats().since(&before);
         let took = self.look_takes * looked.executors as u32;
         self.looking += took;
         let over = self.now + took.as_millis() as Millis;
-        self.scheduler.advance_took(took, over);
+        self.scheduler.record_advance_time(took, over);
         self.perform(self.token, actions);
     }
 
--- a/tests/turn.rs
+++ b/tests/turn.rs
@@ -4,7 +4,7 @@
 use puffinknot::cell::turn::{
     Clocks, Kind, SlowTurns, Took, Turn, REPORT_EVERY,
 };
-use puffinknot_core::jobs::scheduler::Looked;
+use puffinknot_core::jobs::scheduler::PlacementStats;
 
 const KINDS: [Kind; 8] = [
     Kind::Request,
@@ -23,8 +23,8 @@
     Clocks { mono, cpu }
 }
 
-fn idle() -> Looked {
-    Looked::default()
+fn idle() -> PlacementStats {
+    PlacementStats::default()
 }
 
 /// The figure on the line that begins so.
@@ -84,9 +84,14 @@
 #[test]
 fn a_turn_is_measured_on_both_clocks_and_by_what_it_did() {
     let stats = Stats::default();
-    let before = Looked { rounds: 7, steps: 70, ..idle() };
-    let after =
-        Looked { rounds: 8, put_off: 0, steps: 75, executors: 900, runs: 40 };
+    let before = PlacementStats { rounds: 7, steps: 70, ..idle() };
+    let after = PlacementStats {
+        rounds: 8,
+        deferred: 0,
+        steps: 75,
+        executors: 900,
+        runs: 40,
+    };
     let mut turn = Turn::begin(clocks(BEGIN, 100), before);
     turn.take(&stats, Kind::Started, BEGIN - 9_000, BEGIN);
     turn.take(&stats, Kind::Stopped, BEGIN - 30_000, BEGIN + 500);
@@ -116,7 +121,7 @@
 #[test]
 fn only_turns_with_a_round_count_as_rounds() {
     let stats = Stats::default();
-    let put_off = Looked { rounds: 1, put_off: 1, ..idle() };
+    let put_off = PlacementStats { rounds: 1, deferred: 1, ..idle() };
     for looked in [idle(), put_off] {
         let turn = Turn::begin(clocks(BEGIN, 0), idle());
         turn.end(&stats, clocks(BEGIN, 0), looked);
