--- a/puffinknot-core/src/jobs/scheduler/commit.rs
+++ b/puffinknot-core/src/jobs/scheduler/commit.rs
@@ -397,7 +397,7 @@
                 if noted > executor.acknowledged_end {
                     executor.acknowledged_end = noted;
                     executor.next_renewal = now;
-                    self.renewal_queue.touch(index);
+                    self.renewal_queue.enqueue(index);
                 }
             }
         }
--- a/puffinknot-core/src/jobs/scheduler/crash_suspects.rs
+++ b/puffinknot-core/src/jobs/scheduler/crash_suspects.rs
@@ -19,7 +19,7 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{Action, ExecutorIndex, IncarnationEnd};
 use crate::jobs::model::{JobState, Step, StepKey, TaskKey};
-use crate::jobs::scheduler::place::Opening;
+use crate::jobs::scheduler::placement::PlacementContext;
 use crate::jobs::scheduler::Scheduler;
 
 /// One executor of a service in so many may be at risk by tasks that are
@@ -132,7 +132,7 @@
     /// The number of executors that a run of a step is on.
     fn spread(&self, key: StepKey) -> u32 {
         let gang = self.step(key).is_some_and(|step| step.gang);
-        match self.step_run(key) {
+        match self.step_state(key) {
             Some(state) if gang => state.executor_count,
             _ => 1,
         }
@@ -228,7 +228,7 @@
         task: TaskKey,
     ) -> Option<&CrashEvidence> {
         let counted = self.step(task.step)?.representative(task.index);
-        self.step_run(task.step)?.suspected_losses(counted)
+        self.step_state(task.step)?.suspected_losses(counted)
     }
 
     /// Starts those tasks of a step that need a trial, each where nothing
@@ -236,7 +236,7 @@
     pub(super) fn place_suspects(
         &mut self,
         key: StepKey,
-        opening: &Opening,
+        opening: &PlacementContext,
         suspects: Vec<u32>,
         may_use: impl Fn(ExecutorIndex) -> bool,
         now: Millis,
@@ -330,7 +330,7 @@
     ) -> Option<TrialPlace> {
         let executor = self.executors.get(&at)?;
         let cost = match losses.weight {
-            0 => self.leftover(at, step),
+            0 => self.fit_cost(at, step),
             _ => executor.at_risk(now),
         };
         Some(TrialPlace {
@@ -375,7 +375,7 @@
         now: Millis,
     ) -> Vec<ExecutorIndex> {
         let waits =
-            self.step_run(key).is_some_and(|s| now < s.trial_wait_until);
+            self.step_state(key).is_some_and(|s| now < s.trial_wait_until);
         if !waits || self.suspected_losses(key.task(0)).is_none() {
             return open;
         }
@@ -395,7 +395,7 @@
     /// Whether the step's bound on tasks on one executor leaves a place.
     fn has_place(&self, key: StepKey, step: &Step, at: ExecutorIndex) -> bool {
         let most = step.max_per_executor;
-        let Some(state) = self.step_run(key) else { return false };
+        let Some(state) = self.step_state(key) else { return false };
         let there = state.placements.values().filter(|(on, _)| *on == at);
         most == 0 || there.count() < most as usize
     }
--- a/puffinknot-core/src/jobs/scheduler/membership.rs
+++ b/puffinknot-core/src/jobs/scheduler/membership.rs
@@ -104,7 +104,7 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.probe = true;
         executor.next_renewal = now;
-        self.renewal_queue.touch(index);
+        self.renewal_queue.enqueue(index);
     }
 
     /// Asks an executor then, also beside a hold that waits there.
@@ -112,7 +112,7 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.probe = true;
         executor.next_probe = executor.next_probe.max(at);
-        self.renewal_queue.at(at, index);
+        self.renewal_queue.schedule(at, index);
     }
 
     /// Takes an executor up, to be asked at once.
@@ -125,7 +125,7 @@
         let mut executor = Executor::new(info, now);
         executor.cordoned = self.cordons.covers(&executor.info.dc);
         let index = self.executors.add(executor);
-        self.renewal_queue.touch(index);
+        self.renewal_queue.enqueue(index);
         self.by_id.insert(id, index);
         index
     }
--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -6,22 +6,22 @@
 `renewals` takes in what executors report, `runs` follows single runs to their
 ends, `membership` knows when an executor's life is over, `incarnations` which life
 follows it under its name, `in_flight` which orders that one may carry out,
-`machine_list` what the list of machines tells of lives, `order` says what
-comes first, `estimate` how long runs take, `fit` where a task fits, `place`
-chooses what starts where, `gangs` does so for gangs, `urgent` keeps room free
-for urgent tasks, `displace` has others give way to them and to gangs, `account_shares`
+`machine_list` what the list of machines tells of lives, `ranking` says what
+comes first, `run_time_estimate` how long runs take, `fit` where a task fits, `placement`
+chooses what starts where, `gangs` does so for gangs, `urgent_headroom` keeps room free
+for urgent tasks, `preemption` has others give way to them and to gangs, `account_shares`
 knows which accounts hold more than their share, `token_buckets` what comes beyond an
 account's due, `speeds` learns how long runs take,
-`domains` finds data centres that are out of reach, `cordons` knows those that
+`failure_domains` finds data centres that are out of reach, `cordons` knows those that
 take no new work, `admission` refuses what can't be done in time,
 `silence_alarm` connections that have fallen silent, `event_lag` how late the leader's
 news are, `breakers` executors that fail what they run, `crash_suspects` tasks that
-crash the executors that start them, `due`
+crash the executors that start them, `renewal_queue`
 knows which executors to look at, `advice` spreads the calls for advice over
 all nodes, which `advisors` knows, `commit` groups what has to be written,
 `store_outage` refuses what would wait in vain for the store,
 `departures` moves what runs on executors that are about to go,
-`looked` counts what placing looks through, `rounds` bounds its part of the
+`placement_stats` counts what placing looks through, `placement_rounds` bounds its part of the
 time,
 `records` knows what of it still matters, `throttle` slows tasks that fill beside
 tasks that serve, `maintenance` takes machines down for their upkeep, and `restore`
@@ -55,36 +55,36 @@
 mod cordons;
 mod crash_suspects;
 mod departures;
-mod displace;
-mod domains;
-mod due;
-mod estimate;
 mod event_lag;
+mod failure_domains;
 mod fit;
 mod gangs;
 mod in_flight;
 mod incarnations;
 mod ledger;
 mod live_job;
-mod looked;
 mod machine_list;
 mod maintenance;
 mod membership;
-mod order;
-mod place;
+mod placement;
+mod placement_rounds;
+mod placement_stats;
+mod preemption;
+mod ranking;
 mod records;
+mod renewal_queue;
 mod renewals;
 mod requests;
 mod restore;
 mod retry_schedule;
-mod rounds;
+mod run_time_estimate;
 mod runs;
 mod silence_alarm;
 mod speeds;
 mod store_outage;
 mod throttle;
 mod token_buckets;
-mod urgent;
+mod urgent_headroom;
 
 use self::account_shares::FairShares;
 use self::admission::Admission;
@@ -92,22 +92,22 @@
 use self::advisors::Advisors;
 use self::commit::CommitQueue;
 use self::departures::Departures;
-use self::domains::Domains;
-use self::due::DueHolds;
 use self::event_lag::EventLag;
+use self::failure_domains::FailureDomains;
 use self::in_flight::InFlightStart;
 use self::ledger::Ledger;
 pub use self::ledger::Usage;
 use self::live_job::LiveJob;
-pub use self::looked::Looked;
 use self::maintenance::Machines;
-use self::order::LateTurns;
-use self::rounds::Rounds;
+use self::placement_rounds::PlacementRounds;
+pub use self::placement_stats::PlacementStats;
+use self::ranking::LateBoosts;
+use self::renewal_queue::RenewalQueue;
 use self::silence_alarm::SilenceAlarm;
-use self::speeds::Guesses;
+use self::speeds::EstimateErrors;
 use self::store_outage::Outages;
 use self::token_buckets::TokenBuckets;
-use self::urgent::UrgentRoom;
+use self::urgent_headroom::UrgentHeadroom;
 
 /// What a scheduler is told once.
 #[derive(Clone, Debug)]
@@ -172,11 +172,11 @@
     keys: KeyRing,
     ledger: Ledger,
     account_shares: FairShares,
-    estimate_errors: Guesses,
-    urgent_headroom: UrgentRoom,
+    estimate_errors: EstimateErrors,
+    urgent_headroom: UrgentHeadroom,
     admission: Admission,
     token_buckets: TokenBuckets,
-    late_turns: LateTurns,
+    late_turns: LateBoosts,
     jobs: BTreeMap<JobId, LiveJob>,
     ended: Ended,
     executors: Executors,
@@ -190,14 +190,14 @@
     /// Whether the entries of executors were read in this tenure.
     entries_read: bool,
     /// Executors that may be due for a hold.
-    renewal_queue: DueHolds,
+    renewal_queue: RenewalQueue,
     /// Steps with tasks that may be started.
     ready: BTreeSet<StepKey>,
     /// Whether something has changed that may let a task start.
     needs_placement: bool,
     /// When steps that are not urgent were looked at last.
     last_full_round: Millis,
-    placement_rounds: Rounds,
+    placement_rounds: PlacementRounds,
     /// Steps that have room kept, and on which executors.
     reservations: BTreeMap<StepKey, Vec<ExecutorIndex>>,
     next_run: u64,
@@ -211,7 +211,7 @@
     outages: Outages,
     departures: Departures,
     machines: Machines,
-    failure_domains: Domains,
+    failure_domains: FailureDomains,
     cordons: Cordons,
     crash_rate: CrashRate,
     silence_alarm: SilenceAlarm,
@@ -222,7 +222,7 @@
     leadership_confirmed_at: Millis,
     /// Wall time less monotonic time, in milliseconds.
     wall_offset: i64,
-    placement_stats: Looked,
+    placement_stats: PlacementStats,
     counters: BTreeMap<&'static str, u64>,
     actions: Vec<Action>,
 }
@@ -240,7 +240,7 @@
             outages: Outages::default(),
             departures: Departures::default(),
             machines: Machines::default(),
-            failure_domains: Domains::default(),
+            failure_domains: FailureDomains::default(),
             cordons: Cordons::default(),
             crash_rate: CrashRate::default(),
             silence_alarm: SilenceAlarm::default(),
@@ -251,23 +251,23 @@
             keys: KeyRing::default(),
             ledger: Ledger::default(),
             account_shares: FairShares::default(),
-            estimate_errors: Guesses::default(),
-            urgent_headroom: UrgentRoom::default(),
+            estimate_errors: EstimateErrors::default(),
+            urgent_headroom: UrgentHeadroom::default(),
             admission: Admission::default(),
             token_buckets: TokenBuckets::default(),
-            late_turns: LateTurns::default(),
+            late_turns: LateBoosts::default(),
             jobs: BTreeMap::new(),
             ended: Ended::default(),
             executors: Executors::default(),
             unheard_executors: BTreeSet::new(),
             entries_read: false,
-            renewal_queue: DueHolds::default(),
+            renewal_queue: RenewalQueue::default(),
             by_id: BTreeMap::new(),
             in_flight: Vec::new(),
             ready: BTreeSet::new(),
             needs_placement: false,
             last_full_round: 0,
-            placement_rounds: Rounds::default(),
+            placement_rounds: PlacementRounds::default(),
             reservations: BTreeMap::new(),
             arrivals: 0,
             advisors: Advisors::default(),
@@ -277,7 +277,7 @@
             takeover_deadline: None,
             leadership_confirmed_at: 0,
             wall_offset: 0,
-            placement_stats: Looked::default(),
+            placement_stats: PlacementStats::default(),
             counters: BTreeMap::new(),
             actions: Vec::new(),
         };
@@ -384,8 +384,8 @@
     /// nothing happens before.
     pub fn next_advance(&self) -> Option<Millis> {
         let commit = self.commits.due(self.config.min_commit_interval);
-        let holds = self.renewal_queue.is_left().then_some(0);
-        [commit, holds, self.placement_rounds.next()]
+        let holds = self.renewal_queue.has_ready().then_some(0);
+        [commit, holds, self.placement_rounds.next_start()]
             .into_iter()
             .flatten()
             .min()
--- a/puffinknot-core/src/jobs/scheduler/displace.rs
+++ b/puffinknot-core/src/jobs/scheduler/preemption.rs
@@ -20,7 +20,7 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{Action, ExecutorIndex};
 use crate::jobs::model::{Step, StepKey, TaskKey};
-use crate::jobs::scheduler::fit::times;
+use crate::jobs::scheduler::fit::fit_count;
 use crate::jobs::scheduler::gangs::{Plan, Waiting};
 use crate::jobs::scheduler::Scheduler;
 
@@ -100,7 +100,7 @@
 
 /// How many members of a step fit into this room of one executor.
 fn fits(room: &Resources, step: &Step) -> u32 {
-    let fits = times(room, &step.footprint());
+    let fits = fit_count(room, &step.footprint());
     match step.max_per_executor {
         0 => fits,
         most => fits.min(most),
@@ -144,7 +144,7 @@
 impl Scheduler {
     /// Whether room that was bought for a step is kept while others stop.
     pub(super) fn is_displacing(&self, key: StepKey, now: Millis) -> bool {
-        self.step_run(key).is_some_and(|state| now < state.preempting_until)
+        self.step_state(key).is_some_and(|state| now < state.preempting_until)
     }
 
     /// Has others give way to a gang that has no room on these executors, if
@@ -248,7 +248,7 @@
     /// has waited for long enough.
     fn may_displace(&self, key: StepKey, now: Millis) -> bool {
         let Some(live) = self.jobs.get(&key.job) else { return false };
-        let tried = self.step_run(key).map(|state| state.preempt_from);
+        let tried = self.step_state(key).map(|state| state.preempt_from);
         if self.rank(key, now).is_none_or(|rank| rank.beyond()) {
             return false;
         }
@@ -257,7 +257,8 @@
         }
         let whole = live.deadline.saturating_sub(live.arrived_at);
         let slack = whole.saturating_sub(live.job.critical_path());
-        let latest = live.deadline.saturating_sub(self.chain_left(key));
+        let latest =
+            live.deadline.saturating_sub(self.remaining_chain_time(key));
         let unused = slack as f64 * (1.0 - SLACK_USED);
         now <= latest && now + unused as Millis >= latest
     }
@@ -286,7 +287,7 @@
             .collect();
         others.sort_by_key(|victim| (victim.over_share, victim.slack));
         let room = self.room_to_come(executor);
-        let taken = self.step_run(key).is_some_and(|state| {
+        let taken = self.step_state(key).is_some_and(|state| {
             let mut places = state.placements.values();
             step.max_per_executor > 0 && places.any(|(there, _)| *there == at)
         });
@@ -332,7 +333,7 @@
             && on.expected_end > now + ENDS_SOON
             && here == Some(run)
             && !state.preempted.contains(&task.index);
-        let rest = self.chain_left(task.step);
+        let rest = self.remaining_chain_time(task.step);
         let slack = live.deadline.saturating_sub(now + rest);
         let over_share = self.over_share(live.account);
         let victim = Victim { task, run, need, over_share, slack };
--- a/puffinknot-core/src/jobs/scheduler/renewals.rs
+++ b/puffinknot-core/src/jobs/scheduler/renewals.rs
@@ -45,7 +45,7 @@
     /// takeover of many holds nothing else up for long.
     pub(super) fn send_renewals(&mut self, now: Millis) {
         let idle = self.has_no_pending_writes();
-        for index in self.renewal_queue.take(now, AT_ONCE) {
+        for index in self.renewal_queue.take_ready(now, AT_ONCE) {
             self.send_hold(index, idle, now);
         }
     }
@@ -72,12 +72,12 @@
                     wait: 0,
                 });
             } else if executor.probe {
-                self.renewal_queue.at(probes, index);
+                self.renewal_queue.schedule(probes, index);
             }
             return;
         }
         if executor.next_renewal > now {
-            return self.renewal_queue.at(executor.next_renewal, index);
+            return self.renewal_queue.schedule(executor.next_renewal, index);
         }
         // What is reported already would be reported again at once.
         let fresh = executor.acknowledged_end == executor.received_end;
@@ -90,7 +90,7 @@
         if !fresh && !idle && now < executor.renewal_sent_at + UNWRITTEN {
             return self
                 .renewal_queue
-                .at(executor.renewal_sent_at + UNWRITTEN, index);
+                .schedule(executor.renewal_sent_at + UNWRITTEN, index);
         }
         // An executor that did not answer gets no more time, or what runs
         // there could never be given up.
@@ -103,7 +103,7 @@
         executor.renewing = true;
         executor.probe &= !asked;
         if executor.probe {
-            self.renewal_queue.at(executor.next_probe, index);
+            self.renewal_queue.schedule(executor.next_probe, index);
         }
         executor.renewal_sent_at = now;
         executor.renewal_wait = wait;
@@ -136,7 +136,7 @@
         now: Millis,
     ) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        self.renewal_queue.touch(index);
+        self.renewal_queue.enqueue(index);
         let main = executor.renewal_sent_at == sent_at;
         if main {
             executor.renewing = false;
@@ -144,7 +144,7 @@
         match answer {
             Ok(answer) => match self.life_that_answers(index, &answer) {
                 Answerer::Known(life) => {
-                    self.heard(life);
+                    self.mark_responsive(life);
                     self.account(life, sent_at, answer, now);
                 }
                 Answerer::Other(born) => {
@@ -187,7 +187,7 @@
         if silent && executor.falls_silent(now) {
             self.count("executors_silent");
         }
-        self.doubted(index, now);
+        self.mark_unresponsive(index, now);
     }
 
     /// Takes in an executor's account of itself.
@@ -295,7 +295,7 @@
                 self.find_missing(index, &answer.running, sent_at);
             }
             self.throttle(index, &answer.running, now);
-            self.note_overdue(index, &given, now);
+            self.check_overdue_runs(index, &given, now);
         }
         self.check_trial(index, now);
         if first {
@@ -441,7 +441,7 @@
     ) {
         self.begun(end.task);
         self.judge(index, &end, now);
-        self.learn(index, &end, given, now);
+        self.learn_from_end(index, &end, given, now);
         self.vacate(index, end.task, end.run, Some(&end));
     }
 
--- a/puffinknot-core/src/jobs/scheduler/silence_alarm.rs
+++ b/puffinknot-core/src/jobs/scheduler/silence_alarm.rs
@@ -59,7 +59,7 @@
         for (index, executor) in self.executors.iter_mut() {
             if !executor.runs.is_empty() {
                 executor.probe = true;
-                self.renewal_queue.touch(*index);
+                self.renewal_queue.enqueue(*index);
             }
         }
     }
