--- a/puffinknot-core/src/jobs/backlog.rs
+++ b/puffinknot-core/src/jobs/backlog.rs
@@ -101,7 +101,7 @@
     }
 
     /// The largest part of it, of any kind, that this much takes up.
-    pub fn part_of(&self, held: &Resources) -> f64 {
+    pub fn fraction_of(&self, held: &Resources) -> f64 {
         let parts = parts(held).into_iter().zip(self.whole);
         let parts = parts.filter(|(_, whole)| *whole > 0);
         parts.map(|(h, whole)| h as f64 / whole as f64).fold(0.0, f64::max)
@@ -109,7 +109,7 @@
 
     /// How long `work` keeps this part of the room, all of it, in
     /// milliseconds.
-    pub fn busy_with(&self, work: &Work, part: f64) -> Millis {
+    pub fn time_with_all(&self, work: &Work, part: f64) -> Millis {
         let kinds = work.0.iter().zip(self.whole);
         let kinds = kinds.filter(|(_, whole)| *whole > 0);
         let times = kinds.map(|(w, whole)| *w as f64 / (whole as f64 * part));
@@ -208,7 +208,7 @@
 
 impl Wait {
     /// How long it waits.
-    pub fn least(&self) -> Millis {
+    pub fn effective(&self) -> Millis {
         self.by_account.unwrap_or(self.by_all)
     }
 
--- a/puffinknot-core/src/jobs/circuit_breaker.rs
+++ b/puffinknot-core/src/jobs/circuit_breaker.rs
@@ -29,14 +29,14 @@
 
 impl CircuitBreaker {
     /// A run was done.
-    pub fn done(&mut self) {
+    pub fn record_success(&mut self) {
         *self = CircuitBreaker::default();
     }
 
     /// A run has failed. Returns whether that trips the breaker.
-    pub fn failed(&mut self, now: Millis) -> bool {
+    pub fn record_failure(&mut self, now: Millis) -> bool {
         self.in_a_row += 1;
-        if !self.tripped() {
+        if !self.is_open() {
             return false;
         }
         self.wait(now);
@@ -44,20 +44,20 @@
     }
 
     /// A run is started: if the breaker is tripped, it is a trial.
-    pub fn started(&mut self, now: Millis) {
-        if self.tripped() {
+    pub fn record_start(&mut self, now: Millis) {
+        if self.is_open() {
             self.wait(now);
         }
     }
 
     /// Whether nothing but trials is started.
-    pub fn tripped(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         self.in_a_row >= TRIPPED_BY
     }
 
     /// Whether a run may be started.
     pub fn admits(&self, now: Millis) -> bool {
-        !self.tripped() || now >= self.next_trial
+        !self.is_open() || now >= self.next_trial
     }
 
     fn wait(&mut self, now: Millis) {
--- a/puffinknot-core/src/jobs/crash_evidence.rs
+++ b/puffinknot-core/src/jobs/crash_evidence.rs
@@ -98,7 +98,7 @@
 
 impl RunLoss {
     /// Whether the run was there for too long to have crashed the executor.
-    pub fn clears(&self) -> bool {
+    pub fn rules_out_task(&self) -> bool {
         self.survived > LONGEST_WINDOW / 2
     }
 
@@ -207,7 +207,7 @@
     /// Takes in another one. Returns whether the task may have done it; if it
     /// has been there for too long, it is cleared of the former as well.
     pub fn add(&mut self, loss: &RunLoss, now: Millis) -> bool {
-        if loss.clears() {
+        if loss.rules_out_task() {
             *self = CrashEvidence::default();
             return false;
         }
@@ -277,14 +277,14 @@
     }
 
     /// Whether the next trial may be the one that settles it.
-    pub fn may_settle(&self) -> bool {
+    pub fn may_decide(&self) -> bool {
         self.alone > 0 && self.runs >= LEAST_RUNS
     }
 
     /// Whether a trial should wait until executors crash less often: now a
     /// task that harms nobody might be lost once more, and that would count
     /// against it.
-    pub fn puts_off(&mut self, rate: f64, now: Millis) -> bool {
+    pub fn defers_trial(&mut self, rate: f64, now: Millis) -> bool {
         if rate <= CALM_RATE {
             return false;
         }
@@ -300,7 +300,7 @@
 
     /// Whether the next run has to be on its own. One that was there for some
     /// time before the crash is suspected only when that happens again.
-    pub fn suspect(&self) -> bool {
+    pub fn needs_isolation(&self) -> bool {
         self.runs > 1 || self.soon
     }
 
--- a/puffinknot-core/src/jobs/crash_rate.rs
+++ b/puffinknot-core/src/jobs/crash_rate.rs
@@ -16,7 +16,7 @@
 /// Executors are taken to crash at least so often, in crashes a second and
 /// executor: a quarter of them every five seconds. Trouble that begins is not
 /// known from what was before.
-pub const LEAST_RATE: f64 = 0.05;
+pub const MIN_CRASH_RATE: f64 = 0.05;
 /// The prior: as if executors had been watched for so long, in
 /// executor-seconds, and one had crashed. While hardly anything is known,
 /// they may crash so often that a loss says little.
@@ -58,7 +58,7 @@
     }
 
     /// So many executors have lived since the last count.
-    pub fn count(&mut self, living: usize, now: Millis) {
+    pub fn record_alive(&mut self, living: usize, now: Millis) {
         let since = self.lived.back().map_or(now, |(at, _)| *at);
         let passed = now.saturating_sub(since);
         self.lived.push_back((now, passed * living as u64));
@@ -69,7 +69,7 @@
 
     /// An executor has crashed, and these tasks may have done it, be it among
     /// others.
-    pub fn crashed(&mut self, suspects: BTreeSet<TaskKey>, now: Millis) {
+    pub fn record_crash(&mut self, suspects: BTreeSet<TaskKey>, now: Millis) {
         self.crashes.push_back(Crash { at: now, suspects });
         while self.crashes.front().is_some_and(|c| c.at + REMEMBERED < now) {
             self.crashes.pop_front();
@@ -83,7 +83,7 @@
 
     /// How often executors crashed around some moment by something else than
     /// this task, in crashes a second and executor.
-    pub fn without(&self, task: TaskKey, at: Millis) -> f64 {
+    pub fn rate_without(&self, task: TaskKey, at: Millis) -> f64 {
         let rates = COUNTED_OVER.into_iter().map(|over| {
             let within = |when: Millis| when.abs_diff(at) <= over;
             let lived = self.lived.iter().filter(|(when, _)| within(*when));
@@ -94,17 +94,17 @@
             });
             (1 + others.count()) as f64 / (PRIOR_TIME + seconds)
         });
-        rates.fold(LEAST_RATE, f64::max)
+        rates.fold(MIN_CRASH_RATE, f64::max)
     }
 
     /// The same, unless what happened around that moment is forgotten by now.
-    pub fn known_without(
+    pub fn known_rate_without(
         &self,
         task: TaskKey,
         at: Millis,
         now: Millis,
     ) -> Option<f64> {
         let remembered = at + EXPLAINED_WITHIN >= now;
-        remembered.then(|| self.without(task, at))
+        remembered.then(|| self.rate_without(task, at))
     }
 }
--- a/puffinknot-core/src/jobs/executor.rs
+++ b/puffinknot-core/src/jobs/executor.rs
@@ -16,9 +16,9 @@
 use crate::jobs::speed::Speed;
 
 /// An executor's clock may lose one part in this many.
-pub const DRIFT: Millis = 33;
+pub const MAX_CLOCK_DRIFT_DIVISOR: Millis = 33;
 /// For the grain of clocks and the way to an executor, in milliseconds.
-pub const GRAIN: Millis = 150;
+pub const CLOCK_TOLERANCE_MS: Millis = 150;
 
 /// What an executor says of itself in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
 
 /// Where a run is in its life on an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum RunPhase {
     /// Ordered, not answered yet.
     Starting,
     /// The executor has confirmed it.
@@ -79,13 +79,13 @@
     /// Its queue is urgent, and it is within its account's due.
     pub urgent: bool,
     /// Where it is in its life.
-    pub phase: Phase,
+    pub phase: RunPhase,
     /// When it was ordered, or first seen.
     pub placed_at: Millis,
     /// When an answer to a stop is overdue.
-    pub stop_again: Millis,
+    pub stop_retry_at: Millis,
     /// When its start, or its stop, was confirmed.
-    pub confirmed: Millis,
+    pub confirmed_at: Millis,
     /// Since when it is not known whether its start has arrived.
     pub start_unsure_since: Option<Millis>,
     /// Its start was confirmed, by whatever life.
@@ -94,14 +94,14 @@
     pub start_clock: Option<Millis>,
     /// An account has listed it, so that it was there in this life. A start
     /// alone may have been carried out by a life that follows.
-    pub listed: bool,
+    pub reported: bool,
     /// When it should end.
     pub expected_end: Millis,
     /// How long it takes tells of its executor: it began there from the start.
     pub measures_speed: bool,
     /// It may crash its executor until that was heard so long after the
     /// order, in milliseconds.
-    pub window: Millis,
+    pub crash_window: Millis,
 }
 
 /// A task that may crash executors is tried on one, or is about to be.
@@ -136,9 +136,9 @@
     /// that of a former one, and nothing is started there.
     Unknown,
     /// A predecessor knew it. Its room may be smaller by now.
-    ByPredecessor,
+    Predecessor,
     /// Its entry, as it was read in this tenure.
-    ByEntry,
+    Entry,
 }
 
 /// An executor.
@@ -158,7 +158,7 @@
     /// By what it is known what it has.
     pub description: DescriptionSource,
     /// What its entry said of another life of it than this one.
-    pub other: Option<ExecutorInfo>,
+    pub other_incarnation: Option<ExecutorInfo>,
     /// Whether the store knows that this cell orders it.
     pub enrolled: bool,
     /// Whether it can be talked to.
@@ -179,14 +179,14 @@
     /// that one have the same numbers, so that none may be called noted.
     pub incarnation_unsure_since: Option<Millis>,
     /// It was not told which of its ends are noted though some are.
-    pub withheld: bool,
+    pub acks_withheld: bool,
     /// What was ordered there, and may have been carried out by the life that
     /// follows it instead.
     pub carried_over: BTreeMap<TaskKey, PlacedRun>,
     /// A reading of its clock, and when it was received.
     pub clock: Option<(Millis, Millis)>,
     /// When the account with that reading was asked for.
-    pub clock_asked: Millis,
+    pub clock_requested_at: Millis,
     /// The least that its clock shows.
     pub clock_bound: ClockLowerBound,
     /// How old its last account was when it was taken in, at the least, in
@@ -195,7 +195,7 @@
     /// When its last account was given, at the latest.
     pub reported_at: Option<Millis>,
     /// When everything there has certainly lapsed, if nothing more is sent.
-    pub expiry: Millis,
+    pub lease_expiry: Millis,
     /// When the last hold was sent that was found unanswered, if that was the
     /// last of all.
     pub missed_renewal: Option<Millis>,
@@ -210,13 +210,13 @@
     /// When to send the next hold.
     pub next_renewal: Millis,
     /// The last hold failed this many times in a row.
-    pub failures: u32,
+    pub renewal_failures: u32,
     /// When an order or a hold first went unanswered since it answered last:
     /// by then it may have crashed.
     pub unanswered_since: Option<Millis>,
     /// What waited there was broken off then, so that it crashed then if it
     /// has.
-    pub broke_off: bool,
+    pub connection_lost: bool,
     /// How long the last hold was to wait there, in milliseconds.
     pub renewal_wait: Millis,
     /// The number of the last end that was taken in.
@@ -244,7 +244,7 @@
     /// How long runs there take.
     pub speed: Speed,
     /// What the store keeps of that, see [`Speed::kept`].
-    pub kept_speed: i8,
+    pub stored_speed: i8,
 }
 
 impl Executor {
@@ -257,11 +257,11 @@
             machine: String::new(),
             incarnation_end: None,
             listed: true,
-            description: DescriptionSource::ByEntry,
-            other: None,
+            description: DescriptionSource::Entry,
+            other_incarnation: None,
             first_heard: None,
             incarnation_unsure_since: None,
-            withheld: false,
+            acks_withheld: false,
             carried_over: BTreeMap::new(),
             enrolled: false,
             liveness: Liveness::Unseen,
@@ -270,20 +270,20 @@
             runs: BTreeMap::new(),
             reserved: BTreeMap::new(),
             clock: None,
-            clock_asked: 0,
+            clock_requested_at: 0,
             clock_bound: ClockLowerBound::default(),
             report_age: 0,
             reported_at: None,
-            expiry: 0,
+            lease_expiry: 0,
             missed_renewal: None,
             renewing: false,
             renewal_sent_at: 0,
             probe: false,
             next_probe: now,
             next_renewal: now,
-            failures: 0,
+            renewal_failures: 0,
             unanswered_since: None,
-            broke_off: false,
+            connection_lost: false,
             renewal_wait: 0,
             received_end: 0,
             acknowledged_end: 0,
@@ -297,7 +297,7 @@
             cordoned: false,
             breaker: CircuitBreaker::default(),
             speed: Speed::default(),
-            kept_speed: 0,
+            stored_speed: 0,
         }
     }
 
@@ -310,7 +310,7 @@
 
     /// Whether a reading of a clock, in an answer to an order of `sent_at`,
     /// may be of its own: a life that follows has a clock of its own.
-    pub fn fits_clock(
+    pub fn clock_matches(
         &self,
         reading: Millis,
         sent_at: Millis,
@@ -318,45 +318,46 @@
     ) -> bool {
         let Some((last, at)) = self.clock else { return true };
         let least = sent_at.saturating_sub(at);
-        let least = last + least - least / DRIFT;
+        let least = last + least - least / MAX_CLOCK_DRIFT_DIVISOR;
         // The last reading may have been old when it was taken in.
-        let waited = at.saturating_sub(self.clock_asked);
-        let old = if waited > self.renewal_wait + GRAIN {
+        let waited = at.saturating_sub(self.clock_requested_at);
+        let old = if waited > self.renewal_wait + CLOCK_TOLERANCE_MS {
             waited
         } else {
             self.report_age
         };
         let last = last + old;
         let most = now.saturating_sub(at);
-        let most = last + most + most / DRIFT;
-        least <= reading + GRAIN && reading <= most + GRAIN
+        let most = last + most + most / MAX_CLOCK_DRIFT_DIVISOR;
+        least <= reading + CLOCK_TOLERANCE_MS
+            && reading <= most + CLOCK_TOLERANCE_MS
     }
 
     /// What its entry has said of a life that was born then, if it was the
     /// last to speak of another life than this one.
-    pub fn take_entry_of(
+    pub fn take_entry_of_incarnation(
         &mut self,
         born: Option<u64>,
     ) -> Option<ExecutorInfo> {
-        self.other.take().filter(|info| info.born == born)
+        self.other_incarnation.take().filter(|info| info.born == born)
     }
 
     /// When it was alive by its last account, if it has given one in this
     /// tenure.
-    pub fn heard_at(&self) -> Option<Millis> {
+    pub fn last_heard_at(&self) -> Option<Millis> {
         self.reported_at
     }
 
     /// How long ago it gave its last account, in milliseconds, if it has in
     /// this tenure.
-    pub fn heard_before(&self, now: Millis) -> Option<Millis> {
-        self.heard_at().map(|at| now.saturating_sub(at))
+    pub fn silence(&self, now: Millis) -> Option<Millis> {
+        self.last_heard_at().map(|at| now.saturating_sub(at))
     }
 
     /// How long a lease of it may run on, in milliseconds, if it was heard in
     /// this tenure; negative once all have run out.
-    pub fn lease_left(&self, now: Millis) -> Option<i64> {
-        (self.expiry > 0).then(|| self.expiry as i64 - now as i64)
+    pub fn lease_remaining(&self, now: Millis) -> Option<i64> {
+        (self.lease_expiry > 0).then(|| self.lease_expiry as i64 - now as i64)
     }
 
     /// How long a run may have been there when the executor fell silent, in
@@ -368,20 +369,20 @@
 
     /// How long a run had been there when the executor was heard last, in
     /// milliseconds.
-    pub fn survived(&self, run: &PlacedRun) -> Millis {
-        self.heard_at().unwrap_or(0).saturating_sub(run.placed_at)
+    pub fn min_runtime(&self, run: &PlacedRun) -> Millis {
+        self.last_heard_at().unwrap_or(0).saturating_sub(run.placed_at)
     }
 
     /// Whether it is about to leave: it says so, or it went on to answer when
     /// its entry had gone.
     pub fn is_departing(&self) -> bool {
-        let heard = self.heard_at().unwrap_or(0);
+        let heard = self.last_heard_at().unwrap_or(0);
         self.info.draining || self.unlisted_at.is_some_and(|at| heard > at)
     }
 
     /// Whether a run is known not to have crashed it when it may have.
     pub fn is_harmless(&self, run: &PlacedRun) -> bool {
-        self.survived(run) >= run.window
+        self.min_runtime(run) >= run.crash_window
     }
 
     /// Whether all of its runs are known to be harmless.
@@ -392,30 +393,30 @@
     /// From when an answer shows that all of its runs are harmless.
     pub fn harmless_from(&self) -> Millis {
         let runs = self.runs.values();
-        runs.map(|run| run.placed_at + run.window).max().unwrap_or(0)
+        runs.map(|run| run.placed_at + run.crash_window).max().unwrap_or(0)
     }
 
     /// Whether it is kept for the trial of a task that is to begin.
-    pub fn is_kept_for(&self, task: TaskKey, now: Millis) -> bool {
+    pub fn is_reserved_for_trial(&self, task: TaskKey, now: Millis) -> bool {
         self.trial.as_ref().is_some_and(|trial| {
             trial.task == task && trial.run.is_none() && now < trial.until
         })
     }
 
     /// Whether a trial keeps others from being started there.
-    pub fn is_closed(&self, now: Millis) -> bool {
+    pub fn is_closed_by_trial(&self, now: Millis) -> bool {
         self.trial
             .as_ref()
             .is_some_and(|trial| trial.run.is_some() || now < trial.until)
     }
 
     /// Whether a trial keeps a task from being started there.
-    pub fn is_closed_to(&self, task: TaskKey, now: Millis) -> bool {
-        self.is_closed(now) && !self.is_kept_for(task, now)
+    pub fn is_closed_by_trial_to(&self, task: TaskKey, now: Millis) -> bool {
+        self.is_closed_by_trial(now) && !self.is_reserved_for_trial(task, now)
     }
 
     /// The work that would be lost with it, in thousandths of core-seconds.
-    pub fn at_risk(&self, now: Millis) -> u64 {
+    pub fn work_at_risk(&self, now: Millis) -> u64 {
         let runs = self.runs.values().map(|run| {
             let cores = u64::from(run.need.cpu_millis);
             cores * now.saturating_sub(run.placed_at) / 1_000
@@ -424,7 +425,7 @@
     }
 
     /// It has stopped to answer. Returns whether it answered before.
-    pub fn falls_silent(&mut self, now: Millis) -> bool {
+    pub fn mark_silent(&mut self, now: Millis) -> bool {
         let answered = self.liveness == Liveness::Ready;
         if answered {
             self.liveness = Liveness::Silent;
--- a/puffinknot-core/src/jobs/executors.rs
+++ b/puffinknot-core/src/jobs/executors.rs
@@ -34,7 +34,7 @@
 
     /// Takes over what an executor says of itself, and whether it takes no
     /// new work by that. Nothing else may change either.
-    pub fn describe(
+    pub fn set_info(
         &mut self,
         index: ExecutorIndex,
         info: ExecutorInfo,
@@ -52,7 +52,7 @@
     }
 
     /// Takes over which executors take no new work.
-    pub fn cordon(&mut self, covers: impl Fn(&Executor) -> bool) {
+    pub fn update_cordons(&mut self, covers: impl Fn(&Executor) -> bool) {
         self.described += 1;
         for executor in self.values_mut() {
             executor.cordoned = covers(executor);
@@ -61,7 +61,7 @@
 
     /// A number that is the same as long as none was added and none is
     /// described otherwise.
-    pub fn described(&self) -> u64 {
+    pub fn descriptions_version(&self) -> u64 {
         self.described
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// The numbers of executors with this address, in order.
-    pub fn at(
+    pub fn at_address(
         &self,
         address: &str,
     ) -> impl Iterator<Item = ExecutorIndex> + '_ {
--- a/puffinknot-core/src/jobs/fair_share.rs
+++ b/puffinknot-core/src/jobs/fair_share.rs
@@ -18,9 +18,9 @@
     /// Its part against others; has to be above zero.
     pub weight: f64,
     /// The dominant share that it holds.
-    pub held: f64,
+    pub usage: f64,
     /// The dominant share that it would hold if there were room for all.
-    pub wants: f64,
+    pub demand: f64,
 }
 
 /// The largest part that `amount` is of `whole` in any resource. What there is
@@ -38,22 +38,22 @@
 /// What each account should hold of all that is held: its fair share, in the
 /// order of the claims.
 pub fn fair_shares(claims: &[Claim]) -> Vec<f64> {
-    fair_shares_of(claims.iter().map(|claim| claim.held).sum(), claims)
+    divide_fairly(claims.iter().map(|claim| claim.usage).sum(), claims)
 }
 
 /// What each account should hold of so much room, in the order of the claims.
-pub fn fair_shares_of(mut room: f64, claims: &[Claim]) -> Vec<f64> {
+pub fn divide_fairly(mut room: f64, claims: &[Claim]) -> Vec<f64> {
     let mut weights: f64 = claims.iter().map(|claim| claim.weight).sum();
     // Who wants least for his weight is served first, so that what he leaves
     // is known when the others are.
     let mut order: Vec<usize> = (0..claims.len()).collect();
-    let wants = |at: &usize| claims[*at].wants / claims[*at].weight;
+    let wants = |at: &usize| claims[*at].demand / claims[*at].weight;
     order.sort_by(|one, two| wants(one).total_cmp(&wants(two)));
     let mut fair = vec![0.0; claims.len()];
     for at in order {
         let claim = &claims[at];
         let part = room * claim.weight / weights;
-        fair[at] = claim.wants.min(part);
+        fair[at] = claim.demand.min(part);
         room = (room - fair[at]).max(0.0);
         weights -= claim.weight;
     }
@@ -63,12 +63,12 @@
 /// A mean over the recent past, in which the weight of what was falls by half
 /// or more in each period.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RecentMean {
+pub struct DecayingMean {
     mean: f64,
     at: Millis,
 }
 
-impl RecentMean {
+impl DecayingMean {
     /// Takes in what has been the case since the last time, with this period.
     pub fn update(&mut self, value: f64, period: Millis, now: Millis) {
         let passed = now.saturating_sub(self.at) as f64;
--- a/puffinknot-core/src/jobs/headroom.rs
+++ b/puffinknot-core/src/jobs/headroom.rs
@@ -19,7 +19,7 @@
 const SLOT: u32 = 150;
 /// At most one part in this many of the cell is kept free: the rest remains
 /// for what may wait, whatever urgent queues ask for.
-pub const MOST_KEPT: u64 = 4;
+pub const MAX_RESERVED_DIVISOR: u64 = 4;
 
 /// What urgent tasks hold or wait for at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -29,20 +29,20 @@
     /// The number of tasks that wait for room.
     pub waiting: u32,
     /// What all of them take.
-    pub room: Resources,
+    pub resources: Resources,
 }
 
 impl Demand {
     /// A task that runs.
-    pub fn runs(&mut self, need: &Resources) {
+    pub fn add_running(&mut self, need: &Resources) {
         self.running += 1;
-        self.room = self.room.plus(need);
+        self.resources = self.resources.plus(need);
     }
 
     /// Tasks that wait, each with this need.
-    pub fn wait(&mut self, count: u32, need: &Resources) {
+    pub fn add_waiting(&mut self, count: u32, need: &Resources) {
         self.waiting += count;
-        self.room = self.room.plus(&need.times(count));
+        self.resources = self.resources.plus(&need.times(count));
     }
 
     /// The sum.
@@ -50,7 +50,7 @@
         Demand {
             running: self.running + other.running,
             waiting: self.waiting + other.waiting,
-            room: self.room.plus(&other.room),
+            resources: self.resources.plus(&other.resources),
         }
     }
 
@@ -66,9 +66,9 @@
             u32::try_from(part.div_ceil(tasks)).unwrap_or(u32::MAX)
         };
         Resources {
-            cpu_millis: mean(self.room.cpu_millis),
-            memory_mb: mean(self.room.memory_mb),
-            accelerators: mean(self.room.accelerators),
+            cpu_millis: mean(self.resources.cpu_millis),
+            memory_mb: mean(self.resources.memory_mb),
+            accelerators: mean(self.resources.accelerators),
         }
     }
 }
@@ -98,15 +98,15 @@
 
     /// The room for one task that holds most of those at the recent peaks;
     /// none if there were none.
-    pub fn slot(&self) -> Option<Resources> {
+    pub fn typical_need(&self) -> Option<Resources> {
         (self.level > 0.0).then_some(self.slot)
     }
 
     /// How many further urgent tasks should find room at once, in a cell that
     /// holds so many of them if nothing else runs.
-    pub fn wanted(&self, demand: &Demand, whole: u64) -> u64 {
+    pub fn wanted_tasks(&self, demand: &Demand, whole: u64) -> u64 {
         let more = self.level.ceil() as u64;
         let more = more.saturating_sub(u64::from(demand.running));
-        more.min(whole / MOST_KEPT)
+        more.min(whole / MAX_RESERVED_DIVISOR)
     }
 }
--- a/puffinknot-core/src/jobs/mechanism.rs
+++ b/puffinknot-core/src/jobs/mechanism.rs
@@ -61,7 +61,7 @@
     /// A node that is cut off answers at once.
     CutOffAnswers,
     /// What hung while the store was away is made again at its return.
-    MadeAgain,
+    StoreRetries,
     /// A leader whose process is gone is replaced before its lease ends.
     ReplacedLeader,
     /// A leader that the store turns away offers the lead.
@@ -115,7 +115,7 @@
     (StorePatience, "store-patience"),
     (Readiness, "readiness"),
     (CutOffAnswers, "cut-off-answers"),
-    (MadeAgain, "made-again"),
+    (StoreRetries, "made-again"),
     (ReplacedLeader, "replaced-leader"),
     (OfferedLead, "offered-lead"),
     (LargerLeader, "larger-leader"),
--- a/puffinknot-core/src/jobs/message.rs
+++ b/puffinknot-core/src/jobs/message.rs
@@ -525,7 +525,7 @@
     },
     /// A step that may wait is held back for the first time, so that room
     /// stays free for urgent ones; for the logs.
-    HeldBack {
+    StepDeferred {
         /// The step.
         step: StepKey,
     },
--- a/puffinknot-core/src/jobs/model.rs
+++ b/puffinknot-core/src/jobs/model.rs
@@ -237,7 +237,7 @@
 
 impl Job {
     /// How often the steps run.
-    pub fn times(&self) -> u32 {
+    pub fn repetitions(&self) -> u32 {
         self.repeats.map_or(1, |r| r.times)
     }
 
@@ -284,7 +284,7 @@
     /// # Errors
     ///
     /// The first thing that is wrong, with its remedy.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         if self.steps.is_empty() {
             return Err("the job has no steps; give it one".into());
         }
@@ -307,7 +307,7 @@
         if tasks > MAX_TASKS {
             return Err(format!("over {MAX_TASKS} tasks; split the job"));
         }
-        if self.times() > MAX_REPEATS {
+        if self.repetitions() > MAX_REPEATS {
             return Err(format!("over {MAX_REPEATS} times; split the job"));
         }
         Ok(())
--- a/puffinknot-core/src/jobs/policy.rs
+++ b/puffinknot-core/src/jobs/policy.rs
@@ -22,7 +22,7 @@
 
 impl AdviceCost {
     /// The time that a call about this many executors takes.
-    pub fn of(&self, executors: usize) -> Millis {
+    pub fn call_time(&self, executors: usize) -> Millis {
         (self.call_ms + self.each_ms * executors as f64).ceil() as Millis
     }
 }
@@ -110,7 +110,7 @@
 impl Policy {
     /// Whether it names a service. One that names none leaves them all to its
     /// queues.
-    pub fn serves(&self, service: &str) -> bool {
+    pub fn has_service(&self, service: &str) -> bool {
         self.services.is_empty() || self.services.contains_key(service)
     }
 }
--- a/puffinknot-core/src/jobs/record.rs
+++ b/puffinknot-core/src/jobs/record.rs
@@ -24,34 +24,34 @@
 use crate::jobs::policy::Queue;
 
 /// Names of records begin so.
-pub const RECORD: &str = "record/";
+pub const RECORD_PREFIX: &str = "record/";
 /// Names of chunks of ended jobs begin so.
-pub const ENDED: &str = "ended/";
+pub const ENDED_PREFIX: &str = "ended/";
 /// Names of shards of the list of executors begin so.
-pub const SHARDS: &str = "enrolled/";
+pub const SHARD_PREFIX: &str = "enrolled/";
 /// The list of executors has so many shards, so that one that comes or goes
 /// has a small part of it written again, and none grows too large for a value.
 pub const SHARD_COUNT: u8 = 16;
 
 /// The name of the whole list, as earlier versions wrote it.
-pub const EXECUTORS: &str = "executors";
+pub const LEGACY_EXECUTORS: &str = "executors";
 
 /// The name of the list of machines on which executors were shown, as earlier
 /// versions wrote it.
-pub const MACHINES: &str = "machines";
+pub const LEGACY_MACHINES: &str = "machines";
 
 /// The machines on which executors were shown, by the executors' names.
 pub type MachinesByExecutor = BTreeMap<String, String>;
 
 /// The name of the list of machines that have had their upkeep.
-pub const WAVES: &str = "waves";
+pub const FINISHED_MAINTENANCE: &str = "waves";
 
 /// The name of what may still run of jobs that were given up.
-pub const STOPPING: &str = "stopping";
+pub const STOPPING_RESOURCES: &str = "stopping";
 
 /// What may still run of jobs that have ended before their tasks, by client
 /// account.
-pub type Stopping = BTreeMap<String, Resources>;
+pub type StoppingResources = BTreeMap<String, Resources>;
 
 /// The machines that have had their upkeep, by wave.
 pub type FinishedMaintenance = BTreeMap<u64, BTreeSet<String>>;
@@ -158,7 +158,7 @@
 
 /// The name of a shard.
 pub fn shard_name(shard: u8) -> String {
-    format!("{SHARDS}{shard:02x}")
+    format!("{SHARD_PREFIX}{shard:02x}")
 }
 
 /// The executors that the cell has ordered, as earlier versions wrote them.
@@ -170,12 +170,13 @@
 
 /// The name of a record. Names are in the order of numbers.
 pub fn record_name(number: RecordNumber) -> String {
-    format!("{RECORD}{:016x}-{:08x}", number.token, number.sequence)
+    format!("{RECORD_PREFIX}{:016x}-{:08x}", number.token, number.sequence)
 }
 
 /// The number of the record with this name.
 pub fn record_number(name: &str) -> Option<RecordNumber> {
-    let (token, sequence) = name.strip_prefix(RECORD)?.split_once('-')?;
+    let (token, sequence) =
+        name.strip_prefix(RECORD_PREFIX)?.split_once('-')?;
     Some(RecordNumber {
         token: u64::from_str_radix(token, 16).ok()?,
         sequence: u64::from_str_radix(sequence, 16).ok()?,
--- a/puffinknot-core/src/jobs/report_age.rs
+++ b/puffinknot-core/src/jobs/report_age.rs
@@ -10,7 +10,7 @@
 */
 
 use crate::ids::Millis;
-use crate::jobs::executor::DRIFT;
+use crate::jobs::executor::MAX_CLOCK_DRIFT_DIVISOR;
 
 /// The least that an executor's clock shows, by the readings so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -24,12 +24,12 @@
     pub fn at(&self, now: Millis) -> Option<Millis> {
         let (reading, at) = self.known?;
         let passed = now.saturating_sub(at);
-        Some(reading + passed - passed / DRIFT)
+        Some(reading + passed - passed / MAX_CLOCK_DRIFT_DIVISOR)
     }
 
     /// Takes in a reading that was received then. Returns how much earlier it
     /// was made at least, in milliseconds.
-    pub fn take(&mut self, reading: Millis, received: Millis) -> Millis {
+    pub fn observe(&mut self, reading: Millis, received: Millis) -> Millis {
         let least = self.at(received).unwrap_or(0);
         self.known = Some((reading.max(least), received));
         least.saturating_sub(reading)
--- a/puffinknot-core/src/jobs/scheduler/account_shares.rs
+++ b/puffinknot-core/src/jobs/scheduler/account_shares.rs
@@ -29,7 +29,7 @@
 use crate::config::Resources;
 use crate::ids::Millis;
 use crate::jobs::fair_share::{
-    dominant_share, fair_shares_of, Claim, RecentMean,
+    divide_fairly, dominant_share, Claim, DecayingMean,
 };
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{AccountIndex, Action};
@@ -82,7 +82,7 @@
 struct Standing {
     /// What it held after the last placing.
     held: f64,
-    mean: RecentMean,
+    mean: DecayingMean,
     /// Its fair share, if there is not room for all.
     fair: Option<f64>,
 }
@@ -141,12 +141,12 @@
         };
         let competing = claims.iter().copied().filter(weighed);
         let competing: Vec<Claim> = competing.collect();
-        let now: f64 = competing.iter().map(|claim| claim.held).sum();
+        let now: f64 = competing.iter().map(|claim| claim.usage).sum();
         let both = claims.iter().zip(&self.accounts);
         let both = both.filter(|(claim, _)| weighed(claim));
         let before = both.map(|(_, s)| s.standings[kind as usize].held);
         let room = now.max(before.sum());
-        let mut fair = fair_shares_of(room, &competing).into_iter();
+        let mut fair = divide_fairly(room, &competing).into_iter();
         for (claim, share) in claims.iter().zip(&mut self.accounts) {
             let fair = if weighed(claim) { fair.next() } else { None };
             let fair = fair.filter(|_| full);
@@ -312,8 +312,8 @@
                 let held = dominant_share(&held, whole);
                 Claim {
                     weight: holding.weight,
-                    held,
-                    wants: dominant_share(&wants, whole).max(held),
+                    usage: held,
+                    demand: dominant_share(&wants, whole).max(held),
                 }
             });
             claims.collect()
@@ -325,7 +325,7 @@
         let shares = &mut self.account_shares.accounts;
         for (at, share) in shares.iter_mut().enumerate() {
             let standing = share.standings[Kind::All as usize];
-            let over = standing.is_over(claims[at].held);
+            let over = standing.is_over(claims[at].usage);
             if over && share.told.is_none_or(|at| now >= at + TELL_GAP) {
                 share.told = Some(now);
                 told.push(at as AccountIndex);
@@ -336,7 +336,7 @@
             let name = self.ledger.name(account).unwrap_or_default();
             self.actions.push(Action::OverShare {
                 account: name.to_string(),
-                held: claims[account as usize].held,
+                held: claims[account as usize].usage,
             });
         }
     }
--- a/puffinknot-core/src/jobs/scheduler/admission.rs
+++ b/puffinknot-core/src/jobs/scheduler/admission.rs
@@ -133,14 +133,15 @@
         });
         let queue = &live.job.queue;
         let wait = backlog.wait(own, queue, place(&rank))?;
-        if wait.least() == 0 {
+        if wait.effective() == 0 {
             return None;
         }
         let of_use =
             live.arrived_at + OF_USE * (live.deadline - live.arrived_at);
-        let ends = now + wait.least() + self.whole_chain(id, live);
+        let ends = now + wait.effective() + self.whole_chain(id, live);
         let part = own.map_or(1.0, |(_, part)| part);
-        let takes = room.busy_with(&self.work_of(id, live, |_| true), part);
+        let takes =
+            room.time_with_all(&self.work_of(id, live, |_| true), part);
         (ends > of_use).then_some(Refusal { wait, ends, of_use, takes })
     }
 
@@ -156,7 +157,7 @@
         let others = held.filter(|(other, _)| **other != account);
         let others =
             others.fold(Resources::default(), |sum, (_, held)| sum.plus(held));
-        Some(share.max(1.0 - room.part_of(&others)))
+        Some(share.max(1.0 - room.fraction_of(&others)))
     }
 
     /// An account's share among those that compete for room, by weight.
--- a/puffinknot-core/src/jobs/scheduler/advice.rs
+++ b/puffinknot-core/src/jobs/scheduler/advice.rs
@@ -151,7 +151,8 @@
         // Steps that wait come here again and again.
         if live.queue.advice.is_none()
             || !state.advice.open_calls.is_empty()
-            || state.advice.all_asked == Some(self.executors.described())
+            || state.advice.all_asked
+                == Some(self.executors.descriptions_version())
         {
             return;
         }
@@ -194,7 +195,7 @@
             self.change_advice(key, |advice| advice.widened_at = now);
             return;
         }
-        let described = self.executors.described();
+        let described = self.executors.descriptions_version();
         self.change_advice(key, |advice| advice.all_asked = Some(described));
     }
 
@@ -262,7 +263,7 @@
     /// How many executors each call asks about, of so many.
     fn part(&self, cost: &AdviceCost, executors: usize) -> usize {
         let batch = self.config.max_advice_batch;
-        let long = cost.of(executors.min(batch)) > LONG_CALL;
+        let long = cost.call_time(executors.min(batch)) > LONG_CALL;
         let split = long
             && self.is_enabled(Mechanism::ParallelAdvice)
             && !self.advice_scarce();
@@ -320,7 +321,7 @@
                 self.work_out_enough(id);
             }
             let call = &self.calls[&id];
-            let cost = call.cost.of(call.asks(crowded));
+            let cost = call.cost.call_time(call.asks(crowded));
             let long = cost > LONG_CALL;
             if *full.of(long) {
                 continue;
--- a/puffinknot-core/src/jobs/scheduler/breakers.rs
+++ b/puffinknot-core/src/jobs/scheduler/breakers.rs
@@ -26,7 +26,7 @@
         match end.how {
             EndKind::Done => {
                 if let Some(executor) = self.executors.get_mut(&index) {
-                    executor.breaker.done();
+                    executor.breaker.record_success();
                 }
             }
             EndKind::Failed if !self.fails_by_itself(end.task) => {
@@ -34,7 +34,7 @@
                     return;
                 }
                 let executor = self.executors.get_mut(&index);
-                if executor.is_some_and(|e| e.breaker.failed(now)) {
+                if executor.is_some_and(|e| e.breaker.record_failure(now)) {
                     self.count("executors_tripped");
                 }
             }
@@ -63,8 +63,8 @@
         let (mut all, mut tripped) = (0, 0);
         for executor in of_service {
             all += 1;
-            tripped += usize::from(executor.breaker.tripped());
+            tripped += usize::from(executor.breaker.is_open());
         }
-        executor.breaker.tripped() || (tripped + 1) * MOST_TRIPPED <= all
+        executor.breaker.is_open() || (tripped + 1) * MOST_TRIPPED <= all
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/commit.rs
+++ b/puffinknot-core/src/jobs/scheduler/commit.rs
@@ -13,7 +13,8 @@
 use crate::jobs::message::{Action, Change, ExecutorIndex, Outcome};
 use crate::jobs::model::{JobId, JobState, StepKey};
 use crate::jobs::record::{
-    self, EndedJob, EnrolledExecutor, Record, RecordNumber, Shard, Stopping,
+    self, EndedJob, EnrolledExecutor, Record, RecordNumber, Shard,
+    StoppingResources,
 };
 use crate::jobs::scheduler::records::Records;
 use crate::jobs::scheduler::Scheduler;
@@ -46,7 +47,7 @@
     waves: bool,
     /// What was written last of what may still run of ended jobs, and when
     /// that was worked out.
-    pub stopping: Stopping,
+    pub stopping: StoppingResources,
     stopping_at: Millis,
     /// Since when something waits.
     since: Option<Millis>,
@@ -80,7 +81,7 @@
             shards: BTreeSet::new(),
             legacy_lists: Vec::new(),
             waves: false,
-            stopping: Stopping::new(),
+            stopping: StoppingResources::new(),
             stopping_at: 0,
             since: None,
             last: 0,
@@ -184,7 +185,7 @@
         self.commit_record(&mut changes, &mut batch, now);
         self.commit_shards(&mut changes, &mut batch, now);
         if std::mem::take(&mut self.commits.waves) {
-            let name = record::WAVES.to_string();
+            let name = record::FINISHED_MAINTENANCE.to_string();
             let value = record::encode(&self.machines.finished);
             changes.push(Change::Put { name, value });
         }
@@ -314,7 +315,7 @@
         if stopping == self.commits.stopping {
             return;
         }
-        let name = record::STOPPING.to_string();
+        let name = record::STOPPING_RESOURCES.to_string();
         let value = record::encode(&stopping);
         changes.push(Change::Put { name, value });
         self.commits.stopping = stopping;
@@ -344,8 +345,8 @@
                     info: executor.info.clone(),
                     machine: executor.machine.clone(),
                 });
-                executor.kept_speed = executor.speed.kept();
-                shard.speeds.push(executor.kept_speed);
+                executor.stored_speed = executor.speed.to_stored();
+                shard.speeds.push(executor.stored_speed);
                 indices.push(*index);
             }
         }
--- a/puffinknot-core/src/jobs/scheduler/cordons.rs
+++ b/puffinknot-core/src/jobs/scheduler/cordons.rs
@@ -22,7 +22,7 @@
         let covers = |executor: &Executor| cordons.covers(&executor.info.dc);
         let freed = |e: &Executor| e.cordoned && !covers(e);
         self.needs_placement |= self.executors.values().any(freed);
-        self.executors.cordon(covers);
+        self.executors.update_cordons(covers);
         self.cordons = cordons;
         self.count("cordons_changed");
     }
--- a/puffinknot-core/src/jobs/scheduler/crash_suspects.rs
+++ b/puffinknot-core/src/jobs/scheduler/crash_suspects.rs
@@ -107,16 +107,16 @@
                 run: on.run,
                 alone: possible == 1 && may_have(&on),
                 confirmed: on.start_confirmed,
-                seen: executor.broke_off,
+                seen: executor.connection_lost,
                 executors: self.spread(task.step),
                 ran: executor.max_runtime(on),
-                survived: executor.survived(on),
+                survived: executor.min_runtime(on),
                 address: executor.info.address.clone(),
             },
         });
         let suspicions: Vec<Suspicion> = suspicions.collect();
         // How old a run is that a predecessor has started is not known.
-        let suspects = suspicions.iter().filter(|s| !s.loss.clears());
+        let suspects = suspicions.iter().filter(|s| !s.loss.rules_out_task());
         let suspects = suspects.map(|s| self.counted(s.task)).collect();
         Some(Crash { suspects, suspicions })
     }
@@ -141,9 +141,9 @@
     /// Takes down what a crash tells, and gives up those tasks of which it
     /// leaves no doubt.
     pub(super) fn record_crash(&mut self, crash: Crash, now: Millis) {
-        self.crash_rate.crashed(crash.suspects, now);
+        self.crash_rate.record_crash(crash.suspects, now);
         for Suspicion { task, executor, loss } in crash.suspicions {
-            let rate = self.crash_rate.without(self.counted(task), now);
+            let rate = self.crash_rate.rate_without(self.counted(task), now);
             let Some(losses) = self.record_loss(task, &loss, now) else {
                 continue;
             };
@@ -169,7 +169,7 @@
             let living = executors.filter(|e| {
                 e.liveness == Liveness::Ready && e.unanswered_since.is_none()
             });
-            self.crash_rate.count(living.count(), now);
+            self.crash_rate.record_alive(living.count(), now);
         }
     }
 
@@ -191,7 +191,7 @@
         let losses = state.losses.entry(counted).or_default();
         let known = losses.runs > 0;
         let suspected = losses.add(loss, now);
-        losses.weigh(|at| self.crash_rate.known_without(key, at, now));
+        losses.weigh(|at| self.crash_rate.known_rate_without(key, at, now));
         let recorded = suspected.then(|| losses.clone());
         let waits = GANG_WAITS << losses.runs.min(MOST_DOUBLED);
         state.trial_wait_until = now + waits;
@@ -286,18 +286,18 @@
         task: TaskKey,
         now: Millis,
     ) -> bool {
-        if !self.suspected_losses(task).is_some_and(CrashEvidence::may_settle)
+        if !self.suspected_losses(task).is_some_and(CrashEvidence::may_decide)
         {
             return false;
         }
         let counted = self.counted(task);
-        let rate = self.crash_rate.without(counted, now);
+        let rate = self.crash_rate.rate_without(counted, now);
         let Some(live) = self.jobs.get_mut(&task.step.job) else {
             return false;
         };
         let state = live.step_state(task.step.time, task.step.step);
         let losses = state.and_then(|s| s.losses.get_mut(&counted.index));
-        let awaits = losses.is_some_and(|l| l.puts_off(rate, now));
+        let awaits = losses.is_some_and(|l| l.defers_trial(rate, now));
         if awaits {
             self.count("trials_awaiting_calm");
         }
@@ -315,7 +315,7 @@
         let Some(executor) = self.executors.get(&at) else { return false };
         executor.free.fits(&step.footprint())
             && executor.breaker.admits(now)
-            && !executor.is_closed_to(task, now)
+            && !executor.is_closed_by_trial_to(task, now)
             && self.has_place(task.step, step, at)
     }
 
@@ -331,10 +331,10 @@
         let executor = self.executors.get(&at)?;
         let cost = match losses.weight {
             0 => self.fit_cost(at, step),
-            _ => executor.at_risk(now),
+            _ => executor.work_at_risk(now),
         };
         Some(TrialPlace {
-            not_kept: !executor.is_kept_for(task, now),
+            not_kept: !executor.is_reserved_for_trial(task, now),
             again: losses.addresses.contains(&executor.info.address),
             not_ready: !executor.all_harmless(),
             cost,
@@ -348,7 +348,7 @@
         at: ExecutorIndex,
         now: Millis,
     ) -> bool {
-        self.executors.get(&at).is_some_and(|e| e.is_closed(now))
+        self.executors.get(&at).is_some_and(|e| e.is_closed_by_trial(now))
     }
 
     /// Whether a crash of an executor would tell nothing of a gang that may
@@ -427,7 +427,7 @@
         now: Millis,
     ) {
         let Some(executor) = self.executors.get_mut(&at) else { return };
-        if executor.is_kept_for(task, now) {
+        if executor.is_reserved_for_trial(task, now) {
             return;
         }
         let harmless = executor.harmless_from().max(now);
--- a/puffinknot-core/src/jobs/scheduler/departures.rs
+++ b/puffinknot-core/src/jobs/scheduler/departures.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Phase, PlacedRun};
+use crate::jobs::executor::{PlacedRun, RunPhase};
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{Action, ExecutorIndex};
 use crate::jobs::model::{Step, TaskKey};
@@ -101,7 +101,7 @@
         let Some(state) = self.step_state(task.step) else { return false };
         let place = state.placements.get(&task.index);
         let here = place.is_some_and(|(_, run)| *run == on.run);
-        if !here || matches!(on.phase, Phase::Stopping(_)) {
+        if !here || matches!(on.phase, RunPhase::Stopping(_)) {
             return false;
         }
         let ends = match step.lasting {
--- a/puffinknot-core/src/jobs/scheduler/event_lag.rs
+++ b/puffinknot-core/src/jobs/scheduler/event_lag.rs
@@ -182,7 +182,8 @@
     /// Whether an executor has left unanswered what was asked of it last, and
     /// since the leader stood still.
     pub(super) fn found_silent(&self, at: &Executor) -> bool {
-        let asked = at.missed_renewal.filter(|_| at.failures >= FAILURES);
+        let asked =
+            at.missed_renewal.filter(|_| at.renewal_failures >= FAILURES);
         at.incarnation_end.is_some() || asked >= Some(self.event_lag.resumed)
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/failure_domains.rs
+++ b/puffinknot-core/src/jobs/scheduler/failure_domains.rs
@@ -59,7 +59,7 @@
     pub(super) fn mark_responsive(&mut self, index: ExecutorIndex) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.unanswered_since = None;
-        executor.broke_off = false;
+        executor.connection_lost = false;
         if std::mem::take(&mut executor.unresponsive) {
             self.needs_placement = true;
         }
--- a/puffinknot-core/src/jobs/scheduler/gangs.rs
+++ b/puffinknot-core/src/jobs/scheduler/gangs.rs
@@ -443,7 +443,7 @@
         let Some(state) = live.steps.get(&(key.time, key.step)) else {
             return;
         };
-        let call = cost.of(executors.len());
+        let call = cost.call_time(executors.len());
         if when > now + call + LEAD {
             return;
         }
--- a/puffinknot-core/src/jobs/scheduler/in_flight.rs
+++ b/puffinknot-core/src/jobs/scheduler/in_flight.rs
@@ -10,7 +10,7 @@
 */
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Liveness, Phase, PlacedRun};
+use crate::jobs::executor::{Liveness, PlacedRun, RunPhase};
 use crate::jobs::message::{ExecutorIndex, IncarnationEnd};
 use crate::jobs::model::TaskKey;
 use crate::jobs::scheduler::Scheduler;
@@ -125,11 +125,11 @@
     ) {
         let run = on.run;
         let wanted = self.move_place(task, run, former, next)
-            && !matches!(on.phase, Phase::Stopping(_));
+            && !matches!(on.phase, RunPhase::Stopping(_));
         let on = PlacedRun {
-            phase: Phase::Starting,
+            phase: RunPhase::Starting,
             start_unsure_since: Some(now),
-            confirmed: 0,
+            confirmed_at: 0,
             measures_speed: false,
             start_clock: None,
             ..on
--- a/puffinknot-core/src/jobs/scheduler/incarnations.rs
+++ b/puffinknot-core/src/jobs/scheduler/incarnations.rs
@@ -121,8 +121,8 @@
         executor.enrolled = false;
         executor.speed = Speed::default();
         self.commits.executor_changed(&executor.info.id);
-        if let Some(info) = executor.take_entry_of(born) {
-            executor.description = DescriptionSource::ByEntry;
+        if let Some(info) = executor.take_entry_of_incarnation(born) {
+            executor.description = DescriptionSource::Entry;
             self.describe(index, info);
         }
         self.count("executors_reborn");
@@ -146,8 +146,8 @@
         // is certain.
         let at = before.incarnation_end.map_or(now, |(_, at)| at);
         before.incarnation_end = Some((IncarnationEnd::AnotherAnswers, at));
-        let (info, described) = match before.take_entry_of(born) {
-            Some(info) => (info, DescriptionSource::ByEntry),
+        let (info, described) = match before.take_entry_of_incarnation(born) {
+            Some(info) => (info, DescriptionSource::Entry),
             None => {
                 let info = ExecutorInfo { born, ..before.info.clone() };
                 (info, DescriptionSource::Unknown)
@@ -174,7 +174,7 @@
         now: Millis,
     ) {
         let Some(before) = self.executors.get(&former) else { return };
-        let open = before.runs.iter().filter(|(_, on)| !on.listed);
+        let open = before.runs.iter().filter(|(_, on)| !on.reported);
         let open: Vec<(TaskKey, PlacedRun)> =
             open.map(|(task, on)| (*task, on.clone())).collect();
         for (task, on) in open {
@@ -192,7 +192,7 @@
     pub(super) fn forget_carried_over(&mut self, former: ExecutorIndex) {
         let newest = self.newest_life(former);
         let Some(next) = self.executors.get(&newest) else { return };
-        let there = next.runs.iter().filter(|(_, on)| on.listed);
+        let there = next.runs.iter().filter(|(_, on)| on.reported);
         let there: BTreeSet<(TaskKey, u64)> =
             there.map(|(task, on)| (*task, on.run)).collect();
         if let Some(former) = self.executors.get_mut(&former) {
@@ -212,7 +212,7 @@
     ) {
         self.count("entries_of_other_lives");
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        executor.other = Some(info);
+        executor.other_incarnation = Some(info);
         self.probe_now(index, now);
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/ledger.rs
+++ b/puffinknot-core/src/jobs/scheduler/ledger.rs
@@ -19,7 +19,7 @@
 use crate::jobs::message::{AccountIndex, ExecutorIndex};
 use crate::jobs::model::{JobId, StepKey, TaskKey};
 use crate::jobs::policy::Policy;
-use crate::jobs::record::Stopping;
+use crate::jobs::record::StoppingResources;
 use crate::jobs::scheduler::run_time_estimate::OVERRUN_GRACE;
 use crate::jobs::scheduler::Scheduler;
 
@@ -178,7 +178,7 @@
     }
 
     /// What may still run of jobs that a predecessor has given up.
-    pub fn inherit(&mut self, stopping: &Stopping) {
+    pub fn inherit(&mut self, stopping: &StoppingResources) {
         for (name, amount) in stopping {
             let index = self.index(name) as usize;
             self.entries[index].inherited = *amount;
@@ -361,8 +361,8 @@
     }
 
     /// What may still run of jobs that have ended, by account.
-    pub(super) fn stopping(&self) -> Stopping {
-        let mut stopping = Stopping::new();
+    pub(super) fn stopping(&self) -> StoppingResources {
+        let mut stopping = StoppingResources::new();
         let runs = self.executors.values().flat_map(|e| &e.runs);
         for (task, run) in runs {
             let live = self.jobs.get(&task.step.job);
--- a/puffinknot-core/src/jobs/scheduler/live_job.rs
+++ b/puffinknot-core/src/jobs/scheduler/live_job.rs
@@ -121,7 +121,7 @@
     /// The losses of a task, if it needs a trial. A gang counts as its
     /// first.
     pub fn suspected_losses(&self, counted: u32) -> Option<&CrashEvidence> {
-        self.losses.get(&counted).filter(|losses| losses.suspect())
+        self.losses.get(&counted).filter(|losses| losses.needs_isolation())
     }
 
     /// Where a task is, or all members of its gang are, and in which run.
@@ -279,7 +279,7 @@
 
     /// Whether every step of every repetition is done.
     pub fn is_complete(&self) -> bool {
-        let all = self.job.times() as usize * self.job.steps.len();
+        let all = self.job.repetitions() as usize * self.job.steps.len();
         let done = self.steps.iter().filter(|(&(_, number), run)| {
             run.is_complete(&self.job.steps[number as usize])
         });
@@ -294,7 +294,7 @@
         number: u32,
     ) -> Option<&mut StepState> {
         let step = self.job.steps.get(number as usize)?;
-        if time >= self.job.times() {
+        if time >= self.job.repetitions() {
             return None;
         }
         let run = self.steps.entry((time, number));
--- a/puffinknot-core/src/jobs/scheduler/maintenance.rs
+++ b/puffinknot-core/src/jobs/scheduler/maintenance.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Executor, Liveness, Phase};
+use crate::jobs::executor::{Executor, Liveness, RunPhase};
 use crate::jobs::message::{
     Action, ExecutorIndex, MachineInfo, MachineState, MaintenanceFailure,
     MaintenanceWave,
@@ -119,7 +119,7 @@
     /// carried out.
     pub fn was_in_maintenance(&self, executor: &Executor) -> bool {
         let seen = self.in_upkeep_at.get(&executor.machine);
-        seen.is_some_and(|at| executor.heard_at() < Some(*at))
+        seen.is_some_and(|at| executor.last_heard_at() < Some(*at))
     }
 
     /// Whether the list shows a machine down for its upkeep.
@@ -430,7 +430,9 @@
                 !e.maintenance_ordered && e.liveness == Liveness::Ready
             });
             let on = executor.and_then(|e| e.runs.get(&task));
-            on.is_some_and(|on| on.run == *run && on.phase == Phase::Running)
+            on.is_some_and(|on| {
+                on.run == *run && on.phase == RunPhase::Running
+            })
         });
         let away = step.count.saturating_sub(at_work.count() as u32);
         away + lost <= most
--- a/puffinknot-core/src/jobs/scheduler/membership.rs
+++ b/puffinknot-core/src/jobs/scheduler/membership.rs
@@ -40,8 +40,8 @@
                 return self.another_listed(index, info, now);
             }
             self.needs_placement |=
-                executor.description != DescriptionSource::ByEntry;
-            executor.description = DescriptionSource::ByEntry;
+                executor.description != DescriptionSource::Entry;
+            executor.description = DescriptionSource::Entry;
             if executor.info != info {
                 self.describe(index, info);
                 self.needs_placement = true;
@@ -66,7 +66,7 @@
         info: ExecutorInfo,
     ) {
         let cordoned = self.cordons.covers(&info.dc);
-        self.executors.describe(index, info, cordoned);
+        self.executors.set_info(index, info, cordoned);
         if let Some(executor) = self.executors.get_mut(&index) {
             executor.recompute_free();
         }
@@ -76,7 +76,7 @@
     /// goes there.
     fn needs_service(&self, service: &str) -> bool {
         let mut jobs = self.jobs.values();
-        self.policy.serves(service)
+        self.policy.has_service(service)
             || jobs.any(|live| live.queue.service == service)
     }
 
@@ -85,7 +85,7 @@
         &'a self,
         address: &'a str,
     ) -> impl Iterator<Item = (ExecutorIndex, &'a Executor)> {
-        let there = self.executors.at(address);
+        let there = self.executors.at_address(address);
         there.filter_map(|index| Some((index, self.executors.get(&index)?)))
     }
 
@@ -167,7 +167,7 @@
         if executor.incarnation_end.is_none() {
             executor.incarnation_end = Some((why, now));
             executor.unanswered_since.get_or_insert(now);
-            executor.falls_silent(now);
+            executor.mark_silent(now);
         }
     }
 
@@ -200,8 +200,8 @@
             why,
             runs: executor.runs.len() as u32,
             listed: executor.listed,
-            heard_before: executor.heard_before(now),
-            lease_left: executor.lease_left(now),
+            heard_before: executor.silence(now),
+            lease_left: executor.lease_remaining(now),
         });
         self.count("executors_over");
         self.count(why.counter());
@@ -230,7 +230,7 @@
         let given_up = executor.runs.iter().map(|(task, on)| {
             let id = executor.info.id.clone();
             let (ran, survived) =
-                (executor.max_runtime(on), executor.survived(on));
+                (executor.max_runtime(on), executor.min_runtime(on));
             (id, *task, on.run, ran, survived)
         });
         let given_up: Vec<_> = given_up.collect();
@@ -254,7 +254,7 @@
         let lapsed = self.executors.iter().filter_map(|(index, executor)| {
             let known = || confirmed.min(self.news_until(executor, now));
             let why = match executor.liveness {
-                Liveness::Silent if executor.expiry < known() => {
+                Liveness::Silent if executor.lease_expiry < known() => {
                     IncarnationEnd::Lapsed
                 }
                 // No lease was given to it in this tenure.
--- a/puffinknot-core/src/jobs/scheduler/placement.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement.rs
@@ -171,7 +171,7 @@
         let label = step.label.as_deref();
         let may = |executor: &Executor| {
             executor.usable()
-                && (executor.description == DescriptionSource::ByEntry
+                && (executor.description == DescriptionSource::Entry
                     || self.entries_read)
                 && executor.breaker.admits(now)
                 && executor.info.service == live.queue.service
@@ -282,7 +282,7 @@
                     return false;
                 };
                 let most = step.max_per_executor;
-                !executor.is_closed(now)
+                !executor.is_closed_by_trial(now)
                     && executor.free_for(&key).fits(&step.footprint())
                     && executor.breaker.admits(now)
                     && (most == 0 || on.get(at).copied().unwrap_or(0) < most)
--- a/puffinknot-core/src/jobs/scheduler/preemption.rs
+++ b/puffinknot-core/src/jobs/scheduler/preemption.rs
@@ -16,7 +16,7 @@
 
 use crate::config::Resources;
 use crate::ids::Millis;
-use crate::jobs::executor::{Executor, Phase, PlacedRun};
+use crate::jobs::executor::{Executor, PlacedRun, RunPhase};
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{Action, ExecutorIndex};
 use crate::jobs::model::{Step, StepKey, TaskKey};
@@ -305,7 +305,8 @@
             return executor.free;
         }
         let runs = executor.runs.values();
-        let stay = runs.filter(|on| !matches!(on.phase, Phase::Stopping(_)));
+        let stay =
+            runs.filter(|on| !matches!(on.phase, RunPhase::Stopping(_)));
         let used = stay.map(|on| &on.need).chain(executor.reserved.values());
         let used = used.fold(Resources::default(), |sum, n| sum.plus(n));
         executor.info.capacity.minus(&used)
@@ -329,7 +330,7 @@
             && step.checkpoints
             && !step.gang
             && !step.lasting
-            && on.phase == Phase::Running
+            && on.phase == RunPhase::Running
             && on.expected_end > now + ENDS_SOON
             && here == Some(run)
             && !state.preempted.contains(&task.index);
--- a/puffinknot-core/src/jobs/scheduler/records.rs
+++ b/puffinknot-core/src/jobs/scheduler/records.rs
@@ -200,7 +200,7 @@
     ) -> (String, Vec<u8>) {
         self.chunk.jobs.extend_from_slice(jobs);
         let (token, number) = (self.token, self.chunk_number);
-        let name = format!("{}{token}-{number}", record::ENDED);
+        let name = format!("{}{token}-{number}", record::ENDED_PREFIX);
         let value = record::encode(&self.chunk);
         if self.chunk.jobs.len() >= CHUNK {
             self.chunk = EndedChunk::default();
--- a/puffinknot-core/src/jobs/scheduler/renewals.rs
+++ b/puffinknot-core/src/jobs/scheduler/renewals.rs
@@ -4,7 +4,8 @@
 
 use crate::ids::Millis;
 use crate::jobs::executor::{
-    Charge, Executor, Liveness, Phase, PlacedRun, DRIFT, GRAIN,
+    Charge, Executor, Liveness, PlacedRun, RunPhase, CLOCK_TOLERANCE_MS,
+    MAX_CLOCK_DRIFT_DIVISOR,
 };
 use crate::jobs::message::{
     AccountIndex, Action, EndReport, ExecutorIndex, ExecutorReport,
@@ -95,10 +96,10 @@
         // An executor that did not answer gets no more time, or what runs
         // there could never be given up.
         let clock = executor.clock_at(now);
-        let clock = clock.filter(|_| executor.failures == 0);
+        let clock = clock.filter(|_| executor.renewal_failures == 0);
         let due = clock.map(|clock| clock + lease);
         if due.is_some() {
-            executor.expiry = expiry(now, lease);
+            executor.lease_expiry = expiry(now, lease);
         }
         executor.renewing = true;
         executor.probe &= !asked;
@@ -107,10 +108,10 @@
         }
         executor.renewal_sent_at = now;
         executor.renewal_wait = wait;
-        executor.withheld =
+        executor.acks_withheld =
             executor.acknowledged_end > 0 && !may_note(executor, now);
         let last_seen =
-            if executor.withheld { 0 } else { executor.acknowledged_end };
+            if executor.acks_withheld { 0 } else { executor.acknowledged_end };
         self.actions.push(Action::RenewLease {
             executor: index,
             sent_at: now,
@@ -174,17 +175,17 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.missed_renewal = Some(executor.renewal_sent_at);
         // An executor that is silent is missed when the wait is over.
-        if executor.failures == 0
+        if executor.renewal_failures == 0
             && now < executor.renewal_sent_at + executor.renewal_wait
         {
-            executor.broke_off = true;
+            executor.connection_lost = true;
             executor.unanswered_since = Some(now);
         }
-        let doublings = executor.failures.min(RETRY_DOUBLINGS);
-        executor.failures += 1;
+        let doublings = executor.renewal_failures.min(RETRY_DOUBLINGS);
+        executor.renewal_failures += 1;
         executor.next_renewal = now + (RETRY << doublings);
-        let silent = executor.failures >= FAILURES;
-        if silent && executor.falls_silent(now) {
+        let silent = executor.renewal_failures >= FAILURES;
+        if silent && executor.mark_silent(now) {
             self.count("executors_silent");
         }
         self.mark_unresponsive(index, now);
@@ -212,7 +213,8 @@
         if first {
             // Its answer shows no end of the lease that a predecessor gave
             // it. None was given after the answer, and none is longer.
-            executor.expiry = executor.expiry.max(expiry(now, lease));
+            executor.lease_expiry =
+                executor.lease_expiry.max(expiry(now, lease));
             self.actions.push(Action::ExecutorHeard {
                 id: executor.info.id.clone(),
                 born: answer.born,
@@ -225,7 +227,7 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         let given = ReportTiming::new(executor, answer.clock, received);
         executor.report_age = now.saturating_sub(given.made_at());
-        executor.clock_bound.take(answer.clock, received);
+        executor.clock_bound.observe(answer.clock, received);
         executor.missed_renewal = None;
         // An answer that was held up may be older than one that came before
         // it. It still tells of ends, which are numbered, but not of what
@@ -234,19 +236,19 @@
         let outdated = clock.is_some_and(|newest| answer.clock < newest);
         if !outdated {
             executor.clock = Some((answer.clock, received));
-            executor.clock_asked = sent_at;
+            executor.clock_requested_at = sent_at;
             executor.reported_at =
                 executor.reported_at.max(Some(given.made_at()));
         }
         self.note_late(index, first, sent_at, now);
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        if executor.failures > 0 {
+        if executor.renewal_failures > 0 {
             // Ends there are heard of late.
             for run in executor.runs.values_mut() {
                 run.measures_speed = false;
             }
         }
-        executor.failures = 0;
+        executor.renewal_failures = 0;
         if matches!(
             executor.incarnation_end,
             Some((IncarnationEnd::LeftMachine, _))
@@ -267,7 +269,7 @@
             let reported = executor.acknowledged_end == executor.received_end;
             let rest = idle && reported && fresh.is_empty();
             executor.next_renewal = now
-                + match (rest, executor.withheld) {
+                + match (rest, executor.acks_withheld) {
                     (true, _) => pause,
                     (_, true) => WITHHELD,
                     _ => 0,
@@ -315,15 +317,18 @@
             running.iter().any(|row| row.task == *task && row.run == run)
         };
         let missing = executor.runs.iter().filter(|(task, on)| {
-            let settled =
-                matches!(on.phase, Phase::Running | Phase::Stopping(true));
-            settled && on.confirmed < sent_at && !listed(task, on.run)
+            let settled = matches!(
+                on.phase,
+                RunPhase::Running | RunPhase::Stopping(true)
+            );
+            settled && on.confirmed_at < sent_at && !listed(task, on.run)
         });
         let missing: Vec<(TaskKey, u64)> =
             missing.map(|(task, on)| (*task, on.run)).collect();
         let absent = executor.runs.iter().filter(|(task, on)| {
-            let since =
-                on.start_unsure_since.filter(|_| on.phase == Phase::Starting);
+            let since = on
+                .start_unsure_since
+                .filter(|_| on.phase == RunPhase::Starting);
             // It is stopped by that, whether it arrives yet or not.
             since.is_some_and(|since| since <= sent_at)
                 && !listed(task, on.run)
@@ -350,11 +355,11 @@
         let Some(executor) = self.executors.get_mut(&index) else { return };
         if let Some(on) = executor.runs.get_mut(&row.task) {
             if on.run == row.run {
-                on.listed = true;
+                on.reported = true;
                 on.start_confirmed = true;
-                if on.phase == Phase::Starting {
-                    on.phase = Phase::Running;
-                    on.confirmed = now;
+                if on.phase == RunPhase::Starting {
+                    on.phase = RunPhase::Running;
+                    on.confirmed_at = now;
                 }
                 return;
             }
@@ -400,18 +405,18 @@
             need: need.unwrap_or(capacity),
             charge,
             urgent,
-            phase: Phase::Running,
+            phase: RunPhase::Running,
             placed_at: now,
-            stop_again: 0,
-            confirmed: now,
+            stop_retry_at: 0,
+            confirmed_at: now,
             start_unsure_since: None,
             start_confirmed: true,
             start_clock: None,
-            listed: true,
+            reported: true,
             expected_end: now + run_time / 2,
             measures_speed: false,
             // It has been there for some time.
-            window: 0,
+            crash_window: 0,
         };
         self.put_run(index, row.task, on);
         if wanted {
@@ -457,12 +462,12 @@
 /// answer, nor while a start is open that may have been carried out by it.
 fn may_note(executor: &Executor, now: Millis) -> bool {
     let open =
-        |on: &PlacedRun| on.phase == Phase::Starting && on.placed_at < now;
+        |on: &PlacedRun| on.phase == RunPhase::Starting && on.placed_at < now;
     executor.incarnation_unsure_since.is_none()
         && !executor.runs.values().any(open)
 }
 
 /// When a lease that is given now has certainly run out.
 pub(super) fn expiry(now: Millis, lease: Millis) -> Millis {
-    now + lease + lease / DRIFT + GRAIN
+    now + lease + lease / MAX_CLOCK_DRIFT_DIVISOR + CLOCK_TOLERANCE_MS
 }
--- a/puffinknot-core/src/jobs/scheduler/requests.rs
+++ b/puffinknot-core/src/jobs/scheduler/requests.rs
@@ -257,7 +257,8 @@
     /// Lets those steps begin whose turn has come.
     pub(super) fn release_due(&mut self, now: Millis) {
         let waiting = self.jobs.iter().filter(|(_, live)| {
-            live.job.repeats.is_some() && live.due_repeats < live.job.times()
+            live.job.repeats.is_some()
+                && live.due_repeats < live.job.repetitions()
         });
         let jobs: Vec<JobId> = waiting.map(|(id, _)| *id).collect();
         for job in jobs {
--- a/puffinknot-core/src/jobs/scheduler/restore.rs
+++ b/puffinknot-core/src/jobs/scheduler/restore.rs
@@ -19,8 +19,9 @@
 use crate::jobs::policy::{Policy, Queue};
 use crate::jobs::record::{
     self, EndedChunk, EnrolledExecutor, FinishedMaintenance, LegacyEnrolled,
-    MachinesByExecutor, Progress, Record, RecordNumber, Shard, Stopping,
-    ENDED, EXECUTORS, MACHINES, RECORD, SHARDS, STOPPING, WAVES,
+    MachinesByExecutor, Progress, Record, RecordNumber, Shard,
+    StoppingResources, ENDED_PREFIX, FINISHED_MAINTENANCE, LEGACY_EXECUTORS,
+    LEGACY_MACHINES, RECORD_PREFIX, SHARD_PREFIX, STOPPING_RESOURCES,
 };
 use crate::jobs::scheduler::maintenance::Machines;
 use crate::jobs::scheduler::{Scheduler, SchedulerConfig};
@@ -42,11 +43,11 @@
         let named = |prefix: &'static str| {
             kept.iter().filter(move |k| k.name.starts_with(prefix))
         };
-        for kept in named(ENDED) {
+        for kept in named(ENDED_PREFIX) {
             scheduler.restore_ended(kept, now)?;
         }
         let mut records: Vec<(RecordNumber, Record)> = Vec::new();
-        for kept in named(RECORD) {
+        for kept in named(RECORD_PREFIX) {
             let Some(number) = record::record_number(&kept.name) else {
                 return Err(format!("{} is no record", kept.name));
             };
@@ -54,25 +55,25 @@
         }
         records.sort_by_key(|(number, _)| *number);
         scheduler.restore_records(records, now);
-        for kept in named(SHARDS) {
+        for kept in named(SHARD_PREFIX) {
             let shard = Shard::read(&kept.value)?;
             scheduler.restore_shard(shard, now);
         }
-        for kept in named(EXECUTORS) {
+        for kept in named(LEGACY_EXECUTORS) {
             let enrolled: LegacyEnrolled = record::decode(&kept.value)?;
             scheduler.restore_enrolled(enrolled, now);
         }
-        for kept in named(MACHINES) {
+        for kept in named(LEGACY_MACHINES) {
             scheduler.restore_machines(record::decode(&kept.value)?);
             scheduler.commits.legacy_lists.push(kept.name.clone());
         }
         scheduler.machines = Machines::new(now);
-        for kept in named(WAVES) {
+        for kept in named(FINISHED_MAINTENANCE) {
             let finished: FinishedMaintenance = record::decode(&kept.value)?;
             scheduler.machines.finished = finished;
         }
-        for kept in named(STOPPING) {
-            let stopping: Stopping = record::decode(&kept.value)?;
+        for kept in named(STOPPING_RESOURCES) {
+            let stopping: StoppingResources = record::decode(&kept.value)?;
             scheduler.ledger.inherit(&stopping);
             scheduler.commits.stopping = stopping;
         }
@@ -81,7 +82,7 @@
             scheduler.unheard_executors.insert(*index);
             executor.enrolled = true;
             executor.listed = false;
-            executor.description = DescriptionSource::ByPredecessor;
+            executor.description = DescriptionSource::Predecessor;
         }
         let until = now + scheduler.config.inherited_order_lifetime;
         scheduler.takeover_deadline = Some(until);
@@ -101,9 +102,9 @@
             let index = self.enrol(info, now);
             if let Some(executor) = self.executors.get_mut(&index) {
                 executor.machine = machine;
-                executor.kept_speed = speed;
+                executor.stored_speed = speed;
                 if learns {
-                    executor.speed = Speed::from_kept(speed, now);
+                    executor.speed = Speed::from_stored(speed, now);
                 }
             }
         }
@@ -118,7 +119,7 @@
                 self.enrol(info, now);
             }
         }
-        self.commits.legacy_lists.push(EXECUTORS.to_string());
+        self.commits.legacy_lists.push(LEGACY_EXECUTORS.to_string());
     }
 
     fn restore_machines(&mut self, shown: MachinesByExecutor) {
--- a/puffinknot-core/src/jobs/scheduler/runs.rs
+++ b/puffinknot-core/src/jobs/scheduler/runs.rs
@@ -3,7 +3,7 @@
 */
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Charge, Phase, PlacedRun};
+use crate::jobs::executor::{Charge, PlacedRun, RunPhase};
 use crate::jobs::message::{
     Action, EndKind, EndReport, ExecutorIndex, IncarnationEnd, OrderFailure,
 };
@@ -49,11 +49,11 @@
         let checkpoint =
             state.checkpoints.get(&saved).cloned().unwrap_or_default();
         let tells = is_informative(step, executor, &checkpoint);
-        executor.expiry = executor.expiry.max(expiry(now, lease));
+        executor.lease_expiry = executor.lease_expiry.max(expiry(now, lease));
         // Its end is wanted at once, also if it was idle and left alone.
         executor.next_renewal = executor.next_renewal.min(now);
         self.renewal_queue.enqueue(index);
-        executor.breaker.started(now);
+        executor.breaker.record_start(now);
         self.actions.push(Action::Start {
             executor: index,
             task,
@@ -68,17 +68,17 @@
             need,
             charge,
             urgent,
-            phase: Phase::Starting,
+            phase: RunPhase::Starting,
             placed_at: now,
-            stop_again: 0,
-            confirmed: 0,
+            stop_retry_at: 0,
+            confirmed_at: 0,
             start_unsure_since: None,
             start_confirmed: false,
             start_clock: None,
-            listed: false,
+            reported: false,
             expected_end: ends,
             measures_speed: tells,
-            window,
+            crash_window: window,
         };
         self.put_run(index, task, on);
         self.start_trial(index, task, run, now);
@@ -104,7 +104,7 @@
         }
         let Some(executor) = self.executors.get_mut(&index) else { return };
         let Some(on) = executor.runs.get(&task) else { return };
-        let own = |clock| executor.fits_clock(clock, on.placed_at, now);
+        let own = |clock| executor.clock_matches(clock, on.placed_at, now);
         let began = answer.unwrap_or(None);
         let by_this_life = answer.map(|clock| clock.is_none_or(own));
         let Some(on) = executor.runs.get_mut(&task) else { return };
@@ -117,10 +117,10 @@
             }
             Ok(true) => {
                 on.start_clock = on.start_clock.or(began);
-                on.confirmed = now;
+                on.confirmed_at = now;
                 on.start_confirmed = true;
-                if on.phase == Phase::Starting {
-                    on.phase = Phase::Running;
+                if on.phase == RunPhase::Starting {
+                    on.phase = RunPhase::Running;
                 }
                 self.begun(task);
                 self.mark_responsive(index);
@@ -178,11 +178,11 @@
     ) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         let Some(on) = executor.runs.get_mut(&task) else { return };
-        if on.run != run || matches!(on.phase, Phase::Stopping(_)) {
+        if on.run != run || matches!(on.phase, RunPhase::Stopping(_)) {
             return;
         }
-        on.phase = Phase::Stopping(false);
-        on.stop_again = 0;
+        on.phase = RunPhase::Stopping(false);
+        on.stop_retry_at = 0;
         self.needs_placement = true;
         self.count("stops");
         self.actions.push(Action::Stop { executor: index, task, run });
@@ -203,8 +203,8 @@
         let Some(on) = executor.runs.get_mut(&task) else { return };
         match answer {
             Ok(()) => {
-                on.phase = Phase::Stopping(true);
-                on.confirmed = now;
+                on.phase = RunPhase::Stopping(true);
+                on.confirmed_at = now;
                 if on.start_unsure_since.is_some() {
                     // It may never have been there: an account that is asked
                     // for from now on shows it.
@@ -212,7 +212,7 @@
                 }
             }
             Err(why) => {
-                on.stop_again = now + STOP_AGAIN;
+                on.stop_retry_at = now + STOP_AGAIN;
                 if why == OrderFailure::Unknown {
                     self.order_unanswered(now);
                 }
@@ -249,9 +249,9 @@
     pub(super) fn resend_stops(&mut self, now: Millis) {
         for (&index, executor) in self.executors.iter_mut() {
             for (task, on) in &mut executor.runs {
-                let due = on.stop_again != 0 && on.stop_again <= now;
-                if on.phase == Phase::Stopping(false) && due {
-                    on.stop_again = 0;
+                let due = on.stop_retry_at != 0 && on.stop_retry_at <= now;
+                if on.phase == RunPhase::Stopping(false) && due {
+                    on.stop_retry_at = 0;
                     self.actions.push(Action::Stop {
                         executor: index,
                         task: *task,
--- a/puffinknot-core/src/jobs/scheduler/speeds.rs
+++ b/puffinknot-core/src/jobs/scheduler/speeds.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 use crate::ids::Millis;
-use crate::jobs::executor::{Executor, Phase};
+use crate::jobs::executor::{Executor, RunPhase};
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{Action, EndKind, EndReport, ExecutorIndex};
 use crate::jobs::model::{Step, StepKey, TaskKey};
@@ -167,12 +167,12 @@
             findings = compare(&state.times, speed_of, error, expected);
             let thought = findings.iter().map(|f| speed_of(f.at).mean());
             let thought: Vec<f64> = thought.collect();
-            error.note_uneven(&findings, &thought);
+            error.observe_task_variance(&findings, &thought);
         }
-        error.note(step.estimate, &state.times);
+        error.observe_step(step.estimate, &state.times);
         for finding in findings {
             self.change_speed(finding.at, |speed| {
-                speed.note(finding.longer, finding.variance, now);
+                speed.observe(finding.log_ratio, finding.variance, now);
             });
         }
     }
@@ -217,7 +217,7 @@
         let overdue = executor.runs.iter().filter(|(_, on)| {
             let should = on.expected_end.saturating_sub(on.placed_at);
             on.measures_speed
-                && on.phase == Phase::Running
+                && on.phase == RunPhase::Running
                 && should > 0
                 && given.elapsed(on) > OVERDUE * should
         });
@@ -267,12 +267,14 @@
             return;
         }
         let by = match ended {
-            0 => error.spread(),
-            ended => error.uneven() / ended as f64,
+            0 => error.estimate_variance(),
+            ended => error.task_variance() / ended as f64,
         };
-        let variance = by + error.uneven();
+        let variance = by + error.task_variance();
         let longer = (ran as f64 / usual as f64).ln();
-        self.change_speed(index, |speed| speed.overdue(longer, variance, now));
+        self.change_speed(index, |speed| {
+            speed.observe_overdue(longer, variance, now)
+        });
     }
 
     /// Lets what is known of executors fade, and has the store keep what has
@@ -296,8 +298,8 @@
             if executor.speed.slowness() != 0.0 {
                 fades.push(*at);
             }
-            let kept = i32::from(executor.speed.kept());
-            let off = kept - i32::from(executor.kept_speed);
+            let kept = i32::from(executor.speed.to_stored());
+            let off = kept - i32::from(executor.stored_speed);
             if executor.shard == shard && off.abs() >= MATERIAL {
                 changed = Some(executor.info.id.clone());
             }
--- a/puffinknot-core/src/jobs/scheduler/throttle.rs
+++ b/puffinknot-core/src/jobs/scheduler/throttle.rs
@@ -8,7 +8,7 @@
 */
 
 use crate::ids::Millis;
-use crate::jobs::executor::Phase;
+use crate::jobs::executor::RunPhase;
 use crate::jobs::message::{Action, ExecutorIndex, OrderFailure, RunReport};
 use crate::jobs::model::TaskKey;
 use crate::jobs::scheduler::Scheduler;
@@ -89,8 +89,9 @@
         for (task, run, percent) in changes {
             let on =
                 self.executors.get(&index).and_then(|e| e.runs.get(&task));
-            let ours = on
-                .is_some_and(|on| on.run == run && on.phase == Phase::Running);
+            let ours = on.is_some_and(|on| {
+                on.run == run && on.phase == RunPhase::Running
+            });
             if ours {
                 self.count("paced");
                 self.actions.push(Action::Throttle {
--- a/puffinknot-core/src/jobs/scheduler/urgent_headroom.rs
+++ b/puffinknot-core/src/jobs/scheduler/urgent_headroom.rs
@@ -17,7 +17,7 @@
 use crate::config::Resources;
 use crate::ids::Millis;
 use crate::jobs::executor::{Executor, PlacedRun};
-use crate::jobs::headroom::{Demand, Headroom, MOST_KEPT};
+use crate::jobs::headroom::{Demand, Headroom, MAX_RESERVED_DIVISOR};
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{AccountIndex, Action, ExecutorIndex};
 use crate::jobs::model::StepKey;
@@ -73,14 +73,17 @@
         let demands = self.urgent_demands(order);
         let demand = demands.values().fold(Demand::default(), Demand::plus);
         self.urgent_headroom.headroom.observe(&demand, now);
-        let Some(slot) = self.urgent_headroom.headroom.slot() else { return };
+        let Some(slot) = self.urgent_headroom.headroom.typical_need() else {
+            return;
+        };
         let usable = self.executors.values().filter(|e| e.usable());
         let (mut free, mut whole) = (0, 0);
         for executor in usable {
             free += u64::from(fit_count(&executor.free, &slot));
             whole += u64::from(fit_count(&executor.info.capacity, &slot));
         }
-        let wanted = self.urgent_headroom.headroom.wanted(&demand, whole);
+        let wanted =
+            self.urgent_headroom.headroom.wanted_tasks(&demand, whole);
         let wanted = wanted.min(self.wanted_within(&demands, whole, now));
         self.urgent_headroom.slot = slot;
         self.urgent_headroom.spare = Some(free.saturating_sub(wanted));
@@ -109,11 +112,11 @@
             let demand = demands.get(account).copied().unwrap_or_default();
             headroom.observe(&demand, now);
             if self.is_due_room(*account) {
-                wanted += headroom.wanted(&demand, whole);
+                wanted += headroom.wanted_tasks(&demand, whole);
             }
         }
         self.urgent_headroom.by_account = by_account;
-        wanted.min(whole / MOST_KEPT)
+        wanted.min(whole / MAX_RESERVED_DIVISOR)
     }
 
     /// Whether room may be kept for urgent work of an account.
@@ -139,7 +142,7 @@
         };
         for run in runs.filter(within) {
             let demand = demands.entry(run.charge.account).or_default();
-            demand.runs(&run.need);
+            demand.add_running(&run.need);
         }
         let waiting = order.iter().filter(|(rank, _)| {
             rank.class == PriorityClass::Urgent
@@ -154,7 +157,7 @@
             let account =
                 self.jobs.get(&key.job).and_then(|live| live.account);
             let demand = demands.entry(account).or_default();
-            demand.wait(state.waiting.len() as u32, &step.footprint());
+            demand.add_waiting(state.waiting.len() as u32, &step.footprint());
         }
         demands
     }
@@ -216,7 +219,7 @@
         let state = live.and_then(|live| live.step_state(key.time, key.step));
         let before = state.map(|s| std::mem::replace(&mut s.held_back, true));
         if before == Some(false) {
-            self.actions.push(Action::HeldBack { step: key });
+            self.actions.push(Action::StepDeferred { step: key });
         }
     }
 
--- a/puffinknot-core/src/jobs/speed.rs
+++ b/puffinknot-core/src/jobs/speed.rs
@@ -78,7 +78,7 @@
 
 impl Speed {
     /// What a predecessor has kept of an executor, see [`Speed::kept`].
-    pub fn from_kept(kept: i8, now: Millis) -> Speed {
+    pub fn from_stored(kept: i8, now: Millis) -> Speed {
         if kept == 0 {
             return Speed::default();
         }
@@ -88,7 +88,7 @@
     }
 
     /// A byte to know it by later; zero if it is not known to differ.
-    pub fn kept(&self) -> i8 {
+    pub fn to_stored(&self) -> i8 {
         let parts = (self.shown * KEPT_PARTS).round();
         parts.clamp(f64::from(i8::MIN), f64::from(i8::MAX)) as i8
     }
@@ -119,7 +119,7 @@
 
     /// Takes in that a run was longer than it should by a logarithm, which has
     /// a variance by itself.
-    pub fn note(&mut self, longer: f64, variance: f64, now: Millis) {
+    pub fn observe(&mut self, longer: f64, variance: f64, now: Millis) {
         self.fade(now);
         let variance = variance.max(LEAST);
         let mean = self.mean();
@@ -147,10 +147,15 @@
 
     /// Takes in that a run has gone on for longer than it should by a
     /// logarithm, and goes on.
-    pub fn overdue(&mut self, longer: f64, variance: f64, now: Millis) {
+    pub fn observe_overdue(
+        &mut self,
+        longer: f64,
+        variance: f64,
+        now: Millis,
+    ) {
         self.fade(now);
         if longer > self.mean() {
-            self.note(longer, variance, now);
+            self.observe(longer, variance, now);
         }
     }
 
@@ -218,7 +223,7 @@
     /// The executor.
     pub at: ExecutorIndex,
     /// The logarithm.
-    pub longer: f64,
+    pub log_ratio: f64,
     /// Its variance.
     pub variance: f64,
 }
@@ -244,17 +249,17 @@
     let unsure: f64 = groups.iter().map(|group| group.unsure).sum();
     let findings = groups.iter().map(|group| {
         let others = count - group.count;
-        let mut weight = 1.0 / error.spread();
+        let mut weight = 1.0 / error.estimate_variance();
         let mut usual = weight * expected;
         if others > 0.0 {
             let unsure = (unsure - group.unsure) / (others * others);
-            let seen = 1.0 / (error.uneven() / others + unsure);
+            let seen = 1.0 / (error.task_variance() / others + unsure);
             usual += seen * (sum - group.usual()) / others;
             weight += seen;
         }
         let longer = group.sum / group.count - usual / weight;
-        let variance = 1.0 / weight + error.uneven() / group.count;
-        SpeedSample { at: group.at, longer, variance }
+        let variance = 1.0 / weight + error.task_variance() / group.count;
+        SpeedSample { at: group.at, log_ratio: longer, variance }
     });
     findings.collect()
 }
@@ -304,7 +309,7 @@
 impl EstimateError {
     /// Takes in a step that is done: its guess, in milliseconds, and what it
     /// took.
-    pub fn note(&mut self, guess: Millis, times: &StepTimes) {
+    pub fn observe_step(&mut self, guess: Millis, times: &StepTimes) {
         let Some(usual) = times.usual() else { return };
         let off = usual - (guess.max(1) as f64).ln();
         self.steps = (self.steps + 1.0).min(STEPS);
@@ -316,16 +321,20 @@
     }
 
     /// Takes in how much the tasks of a step differ, by executors.
-    pub fn note_uneven(&mut self, findings: &[SpeedSample], slow: &[f64]) {
+    pub fn observe_task_variance(
+        &mut self,
+        findings: &[SpeedSample],
+        slow: &[f64],
+    ) {
         let count = findings.len() as f64;
         if count < 2.0 {
             return;
         }
         // One that has changed would make all seem uneven.
-        let most = FAR * self.uneven().sqrt();
+        let most = FAR * self.task_variance().sqrt();
         let off = findings.iter().zip(slow);
         let squares = off.map(|(finding, slow)| {
-            let off = (finding.longer - slow).clamp(-most, most);
+            let off = (finding.log_ratio - slow).clamp(-most, most);
             off * off
         });
         // Each is compared with the mean of the others.
@@ -354,13 +363,13 @@
     }
 
     /// The variance of guesses of a queue around their bias.
-    pub fn spread(&self) -> f64 {
+    pub fn estimate_variance(&self) -> f64 {
         let known = self.steps >= FEW_STEPS;
         (if known { self.spread } else { SPREAD }).max(LEAST)
     }
 
     /// The variance of the tasks of one step among each other.
-    pub fn uneven(&self) -> f64 {
+    pub fn task_variance(&self) -> f64 {
         let known = self.compared >= FEW_STEPS;
         (if known { self.uneven } else { UNEVEN }).max(LEAST)
     }
@@ -374,8 +383,8 @@
         let by_guess = (guess as f64).ln();
         let mut log = by_guess + self.bias();
         if let Some(usual) = times.usual() {
-            let guessed = 1.0 / self.spread();
-            let seen = times.len() as f64 / self.uneven();
+            let guessed = 1.0 / self.estimate_variance();
+            let seen = times.len() as f64 / self.task_variance();
             log = (log * guessed + usual * seen) / (guessed + seen);
         }
         if (log - by_guess).abs() < MARGIN {
--- a/src/cell/decisions.rs
+++ b/src/cell/decisions.rs
@@ -156,7 +156,7 @@
         Action::ExecutorSpeed { id, percent } => {
             info!(executor = id, percent, token, "executor_speed");
         }
-        Action::HeldBack { step } => info!(%step, token, "held_back"),
+        Action::StepDeferred { step } => info!(%step, token, "held_back"),
         Action::RunOverdue { executor, task, run, ran, should } => {
             info!(executor, %task, run, ran, should, token, "run_overdue");
         }
--- a/src/cell/lead/orders.rs
+++ b/src/cell/lead/orders.rs
@@ -88,7 +88,7 @@
                 | Action::OverShare { .. }
                 | Action::Preempted { .. }
                 | Action::ExecutorSpeed { .. }
-                | Action::HeldBack { .. }
+                | Action::StepDeferred { .. }
                 | Action::RunOverdue { .. }
                 | Action::RunsEvicted { .. }
                 | Action::ExecutorHeard { .. }
--- a/src/cell/store.rs
+++ b/src/cell/store.rs
@@ -12,7 +12,9 @@
 use std::time::Duration;
 
 use puffinknot_core::ids::{Millis, Revision};
-use puffinknot_core::jobs::mechanism::Mechanism::{MadeAgain, StorePatience};
+use puffinknot_core::jobs::mechanism::Mechanism::{
+    StorePatience, StoreRetries,
+};
 use puffinknot_core::jobs::Mechanisms;
 use tokio::sync::Notify;
 use tokio::time::timeout;
@@ -109,7 +111,7 @@
             answered: Cell::new(0),
             failures: Cell::new(0),
             regained: Notify::new(),
-            tells_regained: without.enabled(MadeAgain),
+            tells_regained: without.enabled(StoreRetries),
         }
     }
 
--- a/tests/crash_rate.rs
+++ b/tests/crash_rate.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use puffinknot_core::jobs::crash_rate::{CrashRate, LEAST_RATE};
+use puffinknot_core::jobs::crash_rate::{CrashRate, MIN_CRASH_RATE};
 use puffinknot_core::jobs::TaskKey;
 
 fn task(job: u64) -> TaskKey {
@@ -16,7 +16,7 @@
 /// Ten executors that have lived for so long.
 fn watched(rate: &mut CrashRate, until: u64) {
     for now in (0..=until).step_by(200) {
-        rate.count(10, now);
+        rate.record_alive(10, now);
     }
 }
 
@@ -24,9 +24,9 @@
 fn at_first_executors_may_crash_often() {
     let mut rate = CrashRate::default();
     watched(&mut rate, 200);
-    assert!(rate.without(task(1), 200) > 1.5 * LEAST_RATE);
+    assert!(rate.rate_without(task(1), 200) > 1.5 * MIN_CRASH_RATE);
     watched(&mut rate, 20_000);
-    assert_eq!(rate.without(task(1), 20_000), LEAST_RATE);
+    assert_eq!(rate.rate_without(task(1), 20_000), MIN_CRASH_RATE);
 }
 
 #[test]
@@ -34,11 +34,11 @@
     let mut rate = CrashRate::default();
     watched(&mut rate, 5_000);
     for _ in 0..5 {
-        rate.crashed(suspects(&[1, 2]), 5_000);
+        rate.record_crash(suspects(&[1, 2]), 5_000);
     }
-    assert_eq!(rate.without(task(1), 5_000), LEAST_RATE);
-    assert_eq!(rate.without(task(2), 5_000), LEAST_RATE);
-    let other = rate.without(task(3), 5_000);
+    assert_eq!(rate.rate_without(task(1), 5_000), MIN_CRASH_RATE);
+    assert_eq!(rate.rate_without(task(2), 5_000), MIN_CRASH_RATE);
+    let other = rate.rate_without(task(3), 5_000);
     assert!((0.1..0.15).contains(&other), "{other}");
 }
 
@@ -47,16 +47,19 @@
     let mut rate = CrashRate::default();
     watched(&mut rate, 5_000);
     for _ in 0..5 {
-        rate.crashed(suspects(&[1]), 5_000);
+        rate.record_crash(suspects(&[1]), 5_000);
     }
     rate.explain(task(1));
-    assert_eq!(rate.without(task(2), 5_000), LEAST_RATE);
-    assert_eq!(rate.known_without(task(2), 5_000, 6_000), Some(LEAST_RATE));
+    assert_eq!(rate.rate_without(task(2), 5_000), MIN_CRASH_RATE);
+    assert_eq!(
+        rate.known_rate_without(task(2), 5_000, 6_000),
+        Some(MIN_CRASH_RATE)
+    );
 }
 
 #[test]
 fn a_rate_of_long_ago_is_not_known() {
     let mut rate = CrashRate::default();
     watched(&mut rate, 100_000);
-    assert_eq!(rate.known_without(task(1), 10_000, 100_000), None);
+    assert_eq!(rate.known_rate_without(task(1), 10_000, 100_000), None);
 }
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -2,11 +2,11 @@
 
 use puffinknot_core::config::Resources;
 use puffinknot_core::jobs::fair_share::{
-    dominant_share, fair_shares, Claim, RecentMean,
+    dominant_share, fair_shares, Claim, DecayingMean,
 };
 
 fn claim(weight: f64, held: f64, wants: f64) -> Claim {
-    Claim { weight, held, wants }
+    Claim { weight, usage: held, demand: wants }
 }
 
 fn near(found: &[f64], expected: &[f64]) {
@@ -44,10 +44,10 @@
             claim(at, at.sin().abs(), at.sin().abs() + at.cos().abs())
         })
         .collect();
-    let held: f64 = claims.iter().map(|claim| claim.held).sum();
+    let held: f64 = claims.iter().map(|claim| claim.usage).sum();
     near(&[fair_shares(&claims).iter().sum()], &[held]);
     for (fair, claim) in fair_shares(&claims).iter().zip(&claims) {
-        assert!(*fair <= claim.wants);
+        assert!(*fair <= claim.demand);
     }
 }
 
@@ -59,7 +59,7 @@
 
 #[test]
 fn what_was_falls_by_half_in_a_period() {
-    let mut mean = RecentMean::default();
+    let mut mean = DecayingMean::default();
     mean.update(1.0, 1_000, 1_000);
     near(&[mean.get()], &[0.5]);
     for now in 0..400 {
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -7,8 +7,8 @@
 
 fn tripped() -> CircuitBreaker {
     let mut health = CircuitBreaker::default();
-    while !health.tripped() {
-        health.failed(NOW);
+    while !health.is_open() {
+        health.record_failure(NOW);
     }
     health
 }
@@ -17,10 +17,10 @@
 fn failures_in_a_row_trip_it_and_one_that_is_done_ends_that() {
     let mut health = CircuitBreaker::default();
     for _ in 0..50 {
-        health.failed(NOW);
-        health.failed(NOW);
+        health.record_failure(NOW);
+        health.record_failure(NOW);
         assert!(health.admits(NOW));
-        health.done();
+        health.record_success();
     }
     assert!(!tripped().admits(NOW));
 }
@@ -30,9 +30,9 @@
     let mut health = tripped();
     let later = NOW + 60_000;
     assert!(health.admits(later));
-    health.started(later);
+    health.record_start(later);
     assert!(!health.admits(later), "one at a time");
-    health.done();
+    health.record_success();
     assert!(health.admits(later));
 }
 
@@ -43,19 +43,19 @@
         (0..).find(|after| health.admits(from + after)).expect("admitted")
     };
     let first = wait(&health, NOW);
-    health.failed(NOW);
+    health.record_failure(NOW);
     assert!(wait(&health, NOW) > first);
     for _ in 0..20 {
-        health.failed(NOW);
+        health.record_failure(NOW);
     }
     let last = wait(&health, NOW);
-    health.failed(NOW);
+    health.record_failure(NOW);
     assert_eq!(wait(&health, NOW), last);
 }
 
 #[test]
 fn only_the_failure_that_trips_it_says_so() {
     let mut health = CircuitBreaker::default();
-    let said: Vec<bool> = (0..5).map(|_| health.failed(NOW)).collect();
+    let said: Vec<bool> = (0..5).map(|_| health.record_failure(NOW)).collect();
     assert_eq!(said.iter().filter(|said| **said).count(), 1);
 }
--- a/tests/jobs/absence.rs
+++ b/tests/jobs/absence.rs
@@ -311,7 +311,7 @@
 fn a_list_of_executors_without_machines_is_readable() {
     let info = World::new(1).executors[0].info.clone();
     let kept = StoredValue {
-        name: record::EXECUTORS.into(),
+        name: record::LEGACY_EXECUTORS.into(),
         value: record::encode(&vec![info]),
         revision: 0,
     };
--- a/tests/jobs/backlog.rs
+++ b/tests/jobs/backlog.rs
@@ -40,7 +40,7 @@
     let none = ServiceCapacity::default();
     assert_eq!(none.time_for(&work(1, 1), 1.0), None);
     let backlog: Backlog<u64> = Backlog::new(none);
-    assert!(backlog.wait(None, "q", 1).is_some_and(|w| w.least() == 0));
+    assert!(backlog.wait(None, "q", 1).is_some_and(|w| w.effective() == 0));
 }
 
 #[test]
@@ -51,7 +51,7 @@
     backlog.add(None, "other", &work(10, 800), None);
     backlog.add(None, "own", &work(10, 400), None);
     let wait = |queue, place| {
-        backlog.wait(None, queue, place).map(|wait| wait.least())
+        backlog.wait(None, queue, place).map(|wait| wait.effective())
     };
     assert_eq!(wait("own", 5), Some(500));
     assert_eq!(wait("own", 9), Some(700));
@@ -65,9 +65,9 @@
     backlog.add(Some(1), "q", &work(10, 900), None);
     backlog.add(Some(2), "q", &work(10, 100), None);
     let hot = backlog.wait(Some((1, 0.5)), "q", 2).expect("room");
-    assert_eq!((hot.least(), hot.over_share()), (1_800, true));
+    assert_eq!((hot.effective(), hot.over_share()), (1_800, true));
     let quiet = backlog.wait(Some((2, 0.5)), "q", 2).expect("room");
-    assert_eq!((quiet.least(), quiet.over_share()), (200, false));
+    assert_eq!((quiet.effective(), quiet.over_share()), (200, false));
     let idle = backlog.wait(Some((3, 0.5)), "q", 2).expect("room");
-    assert_eq!(idle.least(), 0);
+    assert_eq!(idle.effective(), 0);
 }
--- a/tests/jobs/behind.rs
+++ b/tests/jobs/behind.rs
@@ -107,7 +107,7 @@
     let at = world.executors_with(1)[0];
     world.executors[at].cut = true;
     let known = world.scheduler.executor(at as u32).expect("an executor");
-    let lapses = known.expiry;
+    let lapses = known.lease_expiry;
     world.run(lapses - world.now - 400);
     world.executors[at].cut = false;
     lapses
--- a/tests/jobs/reborn.rs
+++ b/tests/jobs/reborn.rs
@@ -533,7 +533,7 @@
 /// What the store keeps of executors.
 fn shards(world: &World) -> Vec<(String, Vec<u8>)> {
     let kept = world.store.iter();
-    let kept = kept.filter(|(name, _)| name.starts_with(record::SHARDS));
+    let kept = kept.filter(|(name, _)| name.starts_with(record::SHARD_PREFIX));
     kept.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
 
--- a/tests/jobs/size.rs
+++ b/tests/jobs/size.rs
@@ -16,7 +16,7 @@
 /// What the store keeps of executors.
 fn shards(world: &World) -> BTreeMap<String, Vec<u8>> {
     let kept = world.store.iter();
-    let kept = kept.filter(|(name, _)| name.starts_with(record::SHARDS));
+    let kept = kept.filter(|(name, _)| name.starts_with(record::SHARD_PREFIX));
     kept.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
 
@@ -70,13 +70,13 @@
         executors.extend(shard.executors.into_iter().map(|e| e.info));
     }
     assert_eq!(executors.len(), 8);
-    world.store.retain(|name, _| !name.starts_with(record::SHARDS));
+    world.store.retain(|name, _| !name.starts_with(record::SHARD_PREFIX));
     let whole = record::encode(&LegacyEnrolled { executors });
-    world.store.insert(record::EXECUTORS.into(), whole);
+    world.store.insert(record::LEGACY_EXECUTORS.into(), whole);
     world.replace_leader();
     assert_eq!(world.scheduler.executor_count(), 8);
     world.run(LEASE);
-    assert!(!world.store.contains_key(record::EXECUTORS));
+    assert!(!world.store.contains_key(record::LEGACY_EXECUTORS));
     let kept = shards(&world);
     let kept = kept.values().map(|value| {
         let shard: Shard = record::decode(value).expect("a shard");
--- a/tests/jobs/speeds.rs
+++ b/tests/jobs/speeds.rs
@@ -207,7 +207,8 @@
 fn a_shard_of_an_earlier_version_can_be_read() {
     let mut world = uneven(4, 1, Mechanisms::default());
     teach(&mut world, 1, 8);
-    let names = world.store.keys().filter(|n| n.starts_with(record::SHARDS));
+    let names =
+        world.store.keys().filter(|n| n.starts_with(record::SHARD_PREFIX));
     let names: Vec<String> = names.cloned().collect();
     for name in names {
         let shard = Shard::read(&world.store[&name]).expect("a shard");
@@ -315,7 +316,7 @@
     let none = StepTimes::default();
     for number in 0..40 {
         let noise = [70, 85, 100, 115, 130][number % 5];
-        error.note(1_000, &alike(20 * noise));
+        error.observe_step(1_000, &alike(20 * noise));
     }
     let corrected = error.run_time(1_000, &none);
     assert!((1_800..2_100).contains(&corrected), "{corrected}");
@@ -352,7 +353,7 @@
         let speed_of = |at: u32| known[at as usize];
         for finding in compare(&times, speed_of, &error, expected) {
             let speed = &mut speeds[finding.at as usize];
-            speed.note(finding.longer, finding.variance, round * 500);
+            speed.observe(finding.log_ratio, finding.variance, round * 500);
             differ += usize::from(speed.slowness() != 0.0);
         }
     }
@@ -363,9 +364,9 @@
 #[test]
 fn what_is_kept_of_a_speed_is_a_byte() {
     for kept in [-100_i8, -20, 20, 100] {
-        assert_eq!(Speed::from_kept(kept, 0).kept(), kept);
+        assert_eq!(Speed::from_stored(kept, 0).to_stored(), kept);
     }
-    assert_eq!(Speed::from_kept(0, 0), Speed::default());
+    assert_eq!(Speed::from_stored(0, 0), Speed::default());
 }
 
 /// All members of a gang take the same time, and tell of one guess.
--- a/tests/jobs/urgent.rs
+++ b/tests/jobs/urgent.rs
@@ -4,7 +4,9 @@
 
 use puffinknot_core::config::Resources;
 use puffinknot_core::ids::Millis;
-use puffinknot_core::jobs::headroom::{Demand, Headroom, MOST_KEPT};
+use puffinknot_core::jobs::headroom::{
+    Demand, Headroom, MAX_RESERVED_DIVISOR,
+};
 use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms};
 
 use super::world::{job, room, step, World, WORK};
@@ -253,7 +255,8 @@
     // All that may wait is done by when all executors but the part that may be
     // kept have worked it off, and a second for each start.
     let work = 200 * 5 * WORK / (4 * EXECUTORS as u64);
-    let bound = work * MOST_KEPT / (MOST_KEPT - 1) + 10_000;
+    let bound =
+        work * MAX_RESERVED_DIVISOR / (MAX_RESERVED_DIVISOR - 1) + 10_000;
     world.run(bound);
     assert!(world.unfinished().is_empty());
     world.check();
@@ -309,9 +312,9 @@
 fn demand(running: u32, waiting: u32, need: &Resources) -> Demand {
     let mut demand = Demand::default();
     for _ in 0..running {
-        demand.runs(need);
+        demand.add_running(need);
     }
-    demand.wait(waiting, need);
+    demand.add_waiting(waiting, need);
     demand
 }
 
@@ -322,12 +325,12 @@
     headroom.observe(&demand(60, 40, &need), 1_000);
     let calm = demand(20, 0, &need);
     headroom.observe(&calm, 1_000);
-    assert_eq!(headroom.wanted(&calm, 10_000), 80);
+    assert_eq!(headroom.wanted_tasks(&calm, 10_000), 80);
     headroom.observe(&calm, 16_000);
-    assert_eq!(headroom.wanted(&calm, 10_000), 30, "half of the peak");
+    assert_eq!(headroom.wanted_tasks(&calm, 10_000), 30, "half of the peak");
     headroom.observe(&calm, 200_000);
-    assert_eq!(headroom.wanted(&calm, 10_000), 0, "it is forgotten");
+    assert_eq!(headroom.wanted_tasks(&calm, 10_000), 0, "it is forgotten");
     headroom.observe(&demand(0, 5_000, &need), 200_000);
-    assert_eq!(headroom.wanted(&calm, 400), 400 / MOST_KEPT);
-    assert_eq!(headroom.slot(), Some(room(1_500, 150)));
+    assert_eq!(headroom.wanted_tasks(&calm, 400), 400 / MAX_RESERVED_DIVISOR);
+    assert_eq!(headroom.typical_need(), Some(room(1_500, 150)));
 }
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -791,7 +791,7 @@
                 | Action::NotAdmitted { .. }
                 | Action::Preempted { .. }
                 | Action::ExecutorSpeed { .. }
-                | Action::HeldBack { .. }
+                | Action::StepDeferred { .. }
                 | Action::RunOverdue { .. }
                 | Action::RunsEvicted { .. } => {}
                 Action::TaskSuspected { executor, .. } => {
