--- a/puffinknot-core/src/jobs/executor.rs
+++ b/puffinknot-core/src/jobs/executor.rs
@@ -243,7 +243,7 @@
     pub breaker: CircuitBreaker,
     /// How long runs there take.
     pub speed: Speed,
-    /// What the store keeps of that, see [`Speed::kept`].
+    /// What the store keeps of that, see [`Speed::to_stored`].
     pub stored_speed: i8,
 }
 
--- a/puffinknot-core/src/jobs/record.rs
+++ b/puffinknot-core/src/jobs/record.rs
@@ -127,10 +127,10 @@
 pub struct Shard {
     /// Each of them.
     pub executors: Vec<EnrolledExecutor>,
-    /// How long runs take on each, see [`Speed::kept`]; empty if none is known
+    /// How long runs take on each, see [`Speed::to_stored`]; empty if none is known
     /// to differ.
     ///
-    /// [`Speed::kept`]: crate::jobs::speed::Speed::kept
+    /// [`Speed::to_stored`]: crate::jobs::speed::Speed::to_stored
     pub speeds: Vec<i8>,
 }
 
--- a/puffinknot-core/src/jobs/scheduler/live_job.rs
+++ b/puffinknot-core/src/jobs/scheduler/live_job.rs
@@ -32,7 +32,7 @@
     /// The executors that were asked about.
     pub asked: BTreeSet<ExecutorIndex>,
     /// All executors that may run the step were asked about when
-    /// [`Executors::described`](crate::jobs::executors::Executors::described)
+    /// [`Executors::descriptions_version`](crate::jobs::executors::Executors::descriptions_version)
     /// was this.
     pub all_asked: Option<u64>,
     /// Whether the first answer has come.
--- a/puffinknot-core/src/jobs/speed.rs
+++ b/puffinknot-core/src/jobs/speed.rs
@@ -77,7 +77,7 @@
 }
 
 impl Speed {
-    /// What a predecessor has kept of an executor, see [`Speed::kept`].
+    /// What a predecessor has kept of an executor, see [`Speed::to_stored`].
     pub fn from_stored(kept: i8, now: Millis) -> Speed {
         if kept == 0 {
             return Speed::default();
