--- a/puffinknot-core/src/jobs/accounts.rs
+++ b/puffinknot-core/src/jobs/accounts.rs
@@ -1,12 +1,12 @@
 /*!
-Client accounts: whose jobs they are, and how much of a cell they may use.
+Client accounts: who owns jobs, and how much of a cell each owner may use.
 
-A call that hands in or asks for a job bears an API key, and belongs to the
-account whose key that is. Accounts know nothing of each other: a job is found
-only with a key of the account that handed it in.
+A call that submits or queries a job carries an API key, which identifies its
+account. Accounts are isolated from each other: a job is found only with a key
+of the account that submitted it.
 
-A key is never kept as it was sent. What is compared, passed between nodes and
-held in memory is its digest, which neither logs nor errors show.
+A key is never kept in plain text. Nodes compare, exchange and keep in memory
+only its digest, which appears neither in logs nor in errors.
 */
 
 use std::collections::BTreeMap;
@@ -19,32 +19,32 @@
 use crate::config::Resources;
 use crate::jobs::policy::Policy;
 
-/// The bytes of a digest.
-const DIGEST: usize = 32;
-/// The bytes of a digest by which keys are found.
-const INDEX: usize = 8;
+/// The length of a digest.
+const DIGEST_BYTES: usize = 32;
+/// The length of the prefix of a digest by which keys are indexed.
+const INDEX_BYTES: usize = 8;
 
-/// The digest of an API key. Its text form shows nothing of it.
+/// The SHA-256 digest of an API key. Its debug form reveals nothing of it.
 #[derive(Clone, Copy, Serialize, Deserialize)]
-pub struct KeyDigest([u8; DIGEST]);
+pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> KeyDigest {
         KeyDigest(Sha256::digest(key).into())
     }
 
-    /// What keys are found by. How long that takes says something of the
-    /// digest, from which nothing follows for the key.
-    fn index(&self) -> [u8; INDEX] {
-        let mut index = [0; INDEX];
-        index.copy_from_slice(&self.0[..INDEX]);
+    /// The prefix by which keys are indexed. The lookup does not take constant
+    /// time, so that it leaks a part of the digest, but nothing of the key.
+    fn index(&self) -> [u8; INDEX_BYTES] {
+        let mut index = [0; INDEX_BYTES];
+        index.copy_from_slice(&self.0[..INDEX_BYTES]);
         index
     }
 }
 
 impl PartialEq for KeyDigest {
-    /// Takes the same time whatever the digests are.
+    /// Compares in constant time.
     fn eq(&self, other: &KeyDigest) -> bool {
         self.0.ct_eq(&other.0).into()
     }
@@ -58,42 +58,43 @@
     }
 }
 
-/// A client account, as the operators' policy has it.
+/// A client account, as the operators' policy defines it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Account {
     /// Its name.
     pub name: String,
     /// Its API keys.
     pub keys: Vec<KeyDigest>,
-    /// Its part of a full cell against others, and the jobs a second that are
-    /// its due; zero means that it is never beyond either.
+    /// Its share of a full cell relative to others, and the jobs per second
+    /// that it is entitled to; zero exempts it from both limits.
     pub weight: f64,
-    /// The most that it may have running on all executors together; zero
-    /// means that there is no limit.
+    /// The most resources that its running tasks may take on all executors
+    /// together; zero means no limit.
     pub limit: Resources,
 }
 
-/// What is left of a limit; what has none is left without bound.
-pub fn left(limit: &Resources, holds: &Resources) -> Resources {
-    let left = |limit: u32, holds: u32| match limit {
+/// The resources left under a limit after `used`, unbounded where the limit is
+/// zero.
+pub fn left(limit: &Resources, used: &Resources) -> Resources {
+    let left = |limit: u32, used: u32| match limit {
         0 => u32::MAX,
-        limit => limit.saturating_sub(holds),
+        limit => limit.saturating_sub(used),
     };
     Resources {
-        cpu_millis: left(limit.cpu_millis, holds.cpu_millis),
-        memory_mb: left(limit.memory_mb, holds.memory_mb),
-        accelerators: left(limit.accelerators, holds.accelerators),
+        cpu_millis: left(limit.cpu_millis, used.cpu_millis),
+        memory_mb: left(limit.memory_mb, used.memory_mb),
+        accelerators: left(limit.accelerators, used.accelerators),
     }
 }
 
-/// Finds the account of a key.
+/// An index from API keys to the accounts that own them.
 #[derive(Clone, Debug, Default)]
 pub struct KeyRing {
-    keys: BTreeMap<[u8; INDEX], Vec<(KeyDigest, String)>>,
+    keys: BTreeMap<[u8; INDEX_BYTES], Vec<(KeyDigest, String)>>,
 }
 
 impl KeyRing {
-    /// The keys of this policy.
+    /// Indexes the keys of all accounts of a policy.
     pub fn new(policy: &Policy) -> KeyRing {
         let mut ring = KeyRing::default();
         for account in policy.accounts.values() {
@@ -105,15 +106,15 @@
         ring
     }
 
-    /// The name of the account with this key, if there is one.
+    /// The name of the account that owns a key, if there is one.
     pub fn find(&self, key: &KeyDigest) -> Option<&str> {
-        let alike = self.keys.get(&key.index())?;
-        let known = alike.iter().find(|(known, _)| known == key);
-        known.map(|(_, account)| account.as_str())
+        let candidates = self.keys.get(&key.index())?;
+        let found = candidates.iter().find(|(known, _)| known == key);
+        found.map(|(_, account)| account.as_str())
     }
 }
 
-/// Who calls, as the node knows that took the call.
+/// The identity of a caller, as established by the node that took the call.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
--- a/puffinknot-core/src/jobs/mod.rs
+++ b/puffinknot-core/src/jobs/mod.rs
@@ -1,22 +1,24 @@
 /*!
-Batch jobs of one cell: what they consist of, and who runs their tasks.
+The batch jobs of one cell: their data model, and the scheduling of their
+tasks.
 
 A [`Job`] is a set of steps with dependencies between them; a step is a
-number of equal tasks. Jobs are handed in to a queue, whose policy
+number of equal tasks. Jobs are submitted to a queue, whose policy
 ([`Queue`]) says which executors serve it and how urgent it is.
 
 One node of the cell at a time leads it. The leader runs a [`Scheduler`]: a
-deterministic state machine that is told what happened ([`Event`]) and says
-what to do ([`Action`]). Its safety rests on three things:
+deterministic state machine that takes events ([`Event`]) as input and
+returns the actions to perform ([`Action`]). Its safety rests on three
+rules:
 
-* *Executors are the arbiters of what runs.* Every order carries the
-  leader's fencing token, and an executor refuses a lower one than the
-  highest that it has seen. Everything that runs is under a lease on the
-  executor's clock.
-* *The store is the arbiter of what was accepted and what has ended.* Only
-  the leader writes, and each of its writes holds only if nobody led since.
-* *Nothing is said before it is written*: an acceptance, a cancellation, the
-  end of a job, and the acknowledgement of an executor's report of an end.
+* *Executors decide what runs.* Every order carries the leader's fencing
+  token, and an executor refuses any token lower than the highest that it has
+  seen. Everything that runs is under a lease on the executor's clock.
+* *The store decides what was accepted and what has ended.* Only the leader
+  writes, and each of its writes succeeds only if no other node has led since.
+* *Nothing is announced before it is written*: neither an acceptance, nor a
+  cancellation, nor the end of a job, nor the acknowledgement of an end that
+  an executor has reported.
 */
 
 pub mod accounts;
--- a/puffinknot-core/src/jobs/report_age.rs
+++ b/puffinknot-core/src/jobs/report_age.rs
@@ -1,37 +1,38 @@
 /*!
-How old what an executor says is when the leader takes it in.
+How old an executor's report is when the leader processes it.
 
-The clocks of machines are not set by each other, but an account bears its
-executor's. An account that comes at once shows how far that is on; a later
-one that reads less than it must have come to since was given some time ago.
-So accounts tell of their age wherever they have waited: in the executor's
-machine, on the way, or unread at the leader. What they tell is a lower bound:
-of a life of which all accounts were as late, nothing is known.
+The clocks of machines are not synchronized, but each report carries a reading
+of its executor's clock. A report that arrives at once bounds that clock from
+below: it can only have advanced since. A later report whose reading is less
+than this bound was made earlier than it arrived, by at least the difference.
+So reports reveal how long they were delayed, be it on the executor's machine,
+on the network, or unread at the leader. The age is a lower bound only: if all
+reports of an incarnation were delayed equally, it shows nothing.
 */
 
 use crate::ids::Millis;
 use crate::jobs::executor::MAX_CLOCK_DRIFT_DIVISOR;
 
-/// The least that an executor's clock shows, by the readings so far.
+/// A lower bound on an executor's clock, from the readings so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockLowerBound {
-    /// A reading, and when the clock showed no less than that.
-    known: Option<(Millis, Millis)>,
+    /// A reading, and the local time from which the clock shows no less.
+    bound: Option<(Millis, Millis)>,
 }
 
 impl ClockLowerBound {
-    /// The least that it shows by now, if any reading is known.
+    /// The least that the clock shows at `now`, if any reading is known.
     pub fn at(&self, now: Millis) -> Option<Millis> {
-        let (reading, at) = self.known?;
+        let (reading, at) = self.bound?;
         let passed = now.saturating_sub(at);
         Some(reading + passed - passed / MAX_CLOCK_DRIFT_DIVISOR)
     }
 
-    /// Takes in a reading that was received then. Returns how much earlier it
-    /// was made at least, in milliseconds.
+    /// Adds a reading that was received at a local time. Returns the least
+    /// time that has passed since it was made, in milliseconds.
     pub fn observe(&mut self, reading: Millis, received: Millis) -> Millis {
         let least = self.at(received).unwrap_or(0);
-        self.known = Some((reading.max(least), received));
+        self.bound = Some((reading.max(least), received));
         least.saturating_sub(reading)
     }
 }
