--- a/puffinknot-core/src/jobs/cordon.rs
+++ b/puffinknot-core/src/jobs/cordon.rs
@@ -1,15 +1,14 @@
 /*!
-Data centres that take no new work.
+Data centres that accept no new work.
 
-Operators empty a data centre before repairs: nothing more is started on its
-executors until they take that back. What runs there runs on, and its leases
-are extended; only starts go elsewhere. A data centre that is emptied so is
-*cordoned*.
+Operators *cordon* a data centre before repairs: no more tasks are started on
+its executors until the cordon is removed. Tasks that run there continue, and
+their leases are renewed.
 
-That is not a part of the policy, which has versions: each cordon is a key of
-the store, by which it stands or falls. What a node knows is the set of these
-keys as of a revision of the store, so that of two nodes that differ the one
-with the higher revision is right, see [`Cordons::since`].
+Cordons are not part of the policy, which has versions: each cordon is a key
+of the store and holds as long as the key exists. A node knows the set of
+these keys as of a revision of the store, so that of two nodes that differ the
+one with the higher revision is right, see [`Cordons::since`].
 */
 
 use std::collections::BTreeMap;
@@ -18,29 +17,29 @@
 
 use crate::ids::Revision;
 
-/// Who wants a data centre to take no new work.
+/// The origin of a cordon.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum CordonSource {
-    /// The operators, by a key of the platform's.
+    /// A key that operators set through the platform.
     Platform,
-    /// The operators, by the product's own command.
+    /// The command of this product.
     Command,
 }
 
-/// Which data centre takes no new work, by whom.
+/// A cordon on one data centre.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Cordon {
     /// The data centre.
     pub dc: String,
-    /// Who wants that.
+    /// Its origin.
     pub by: CordonSource,
 }
 
-/// All cordons as of a revision of the store.
+/// The set of all cordons, as of a revision of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cordons {
     since: Revision,
@@ -48,15 +47,15 @@
 }
 
 impl Cordons {
-    /// From which revision of the store on this is known to hold; zero if
-    /// nothing is known. Never earlier than the last change of the set, so
-    /// that whoever names the higher revision has seen all that the other
-    /// has.
+    /// The revision of the store from which on this set is known to be
+    /// current; zero if nothing is known. It is never earlier than the last
+    /// change of the set, so that of two nodes the one with the higher revision
+    /// has seen all that the other has.
     pub fn since(&self) -> Revision {
         self.since
     }
 
-    /// Whether a data centre takes no new work.
+    /// Whether a data centre is cordoned.
     pub fn covers(&self, dc: &str) -> bool {
         self.all.keys().any(|cordon| cordon.dc == dc)
     }
@@ -66,12 +65,12 @@
         self.all.is_empty()
     }
 
-    /// All cordons, and the revisions at which they were written last.
+    /// All cordons, with the revisions at which they were last written.
     pub fn iter(&self) -> impl Iterator<Item = (&Cordon, Revision)> {
         self.all.iter().map(|(cordon, revision)| (cordon, *revision))
     }
 
-    /// All of them as they were read together at this revision.
+    /// The set that results from reading all cordons at a revision.
     pub fn read(
         &self,
         all: BTreeMap<Cordon, Revision>,
@@ -80,19 +79,19 @@
         if self.since > 0 && self.all == all {
             return self.clone();
         }
-        // Pages of a range may be newer than its first one.
+        // Later pages of a range read may be newer than its first page.
         let newest = all.values().copied().max().unwrap_or_default();
         Cordons { since: at.max(newest), all }
     }
 
-    /// The same with one more, which was written at this revision.
-    pub fn with(mut self, cordon: Cordon, written: Revision) -> Cordons {
-        self.since = self.since.max(written);
-        self.all.insert(cordon, written);
+    /// Adds a cordon that was written at a revision.
+    pub fn with(mut self, cordon: Cordon, at: Revision) -> Cordons {
+        self.since = self.since.max(at);
+        self.all.insert(cordon, at);
         self
     }
 
-    /// The same with one less, which was found gone at this revision.
+    /// Removes a cordon that was found missing at a revision.
     pub fn less(mut self, cordon: &Cordon, at: Revision) -> Cordons {
         if self.all.remove(cordon).is_some() {
             self.since = self.since.max(at);
