--- a/puffinknot-core/src/jobs/backlog.rs
+++ b/puffinknot-core/src/jobs/backlog.rs
@@ -1,27 +1,27 @@
 /*!
-How long what waits takes to be started, and so when something new could be.
+How long waiting work takes to be started, and so when new work could start.
 
-A [`Backlog`] holds the work that waits for the room of one service, by its
-place in the order in which it is started and by client account. It answers
-one question: if something is handed in now with this place, how long does
-the work before it take, at the least? What counts as before it:
+A [`Backlog`] holds the work that waits for the capacity of one service, by
+its position in the start order and by client account. It answers one question:
+if something is submitted now at this position, how long does the work ahead of
+it take at the least? Ahead of it are:
 
-* urgent work that the order puts first;
-* what was accepted earlier of its own queue, wherever the order has it by
-  now. It is still to be done, and a queue into which more comes than goes out
-  serves no more jobs by taking more.
+* urgent work that comes before it in the start order;
+* all work that was accepted earlier in its own queue, whatever its position.
+  It still has to be done, and a queue into which more comes than goes out
+  completes no more jobs by accepting more.
 
-Other work that the order puts first does not count: while it waits for the
-members of its gang, for advice or for an executor with enough room, smaller
-tasks pass it.
+Other work that comes before it in the start order does not count: while that
+waits for the members of its gang, for advice or for an executor with enough
+free capacity, smaller tasks pass it.
 
-[`ServiceCapacity`] says what works at the backlog: what is free, and what runs now from
-the time on at which it should end. All of it is taken to work without a gap,
-and at nothing but what goes before. No cell is faster, so that the answer errs
-to the early side.
+[`ServiceCapacity`] is what processes the backlog: the resources that are free
+now, and those in use, from the time at which the run that uses them should
+end. The estimate assumes that all of it works without gaps, and only on the
+work ahead. No cell is faster, so that the estimate errs on the early side.
 
-A job of a client account waits for the work of its own account only, in the
-part of the room that is its account's.
+A job of a client account waits only for the work of its own account, in the
+account's share of the capacity.
 */
 
 use std::collections::BTreeMap;
@@ -30,118 +30,123 @@
 use crate::ids::Millis;
 use crate::jobs::message::AccountIndex;
 
-/// An amount of work: what is held times how long, in thousandths of a core,
-/// megabytes and accelerators times milliseconds.
+/// An amount of work: resources times the time for which they are used, in
+/// thousandths of a core, megabytes and accelerators, each times milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work([u64; 3]);
 
-fn parts(room: &Resources) -> [u64; 3] {
+fn dimensions(resources: &Resources) -> [u64; 3] {
     [
-        u64::from(room.cpu_millis),
-        u64::from(room.memory_mb),
-        u64::from(room.accelerators),
+        u64::from(resources.cpu_millis),
+        u64::from(resources.memory_mb),
+        u64::from(resources.accelerators),
     ]
 }
 
 impl Work {
-    /// The work of so many tasks which each hold `need` for `time`, in
+    /// The work of a number of tasks which each use `need` for `time`
     /// milliseconds.
     pub fn of(need: &Resources, tasks: u32, time: Millis) -> Work {
-        let amount = |part: u64| {
-            part.saturating_mul(u64::from(tasks)).saturating_mul(time)
+        let amount = |resource: u64| {
+            resource.saturating_mul(u64::from(tasks)).saturating_mul(time)
         };
-        Work(parts(need).map(amount))
+        Work(dimensions(need).map(amount))
     }
 
-    /// The sum.
+    /// The sum of two amounts.
     pub fn plus(&self, other: &Work) -> Work {
         let mut sum = self.0;
-        for (part, more) in sum.iter_mut().zip(other.0) {
-            *part = part.saturating_add(more);
+        for (resource, more) in sum.iter_mut().zip(other.0) {
+            *resource = resource.saturating_add(more);
         }
         Work(sum)
     }
 }
 
-/// The time that one grain of the forecast of a [`ServiceCapacity`] covers, in
-/// milliseconds: a small part of the shortest objective.
-const GRAIN: Millis = 100;
-/// How many grains are foreseen. What runs for longer counts as free from
-/// then on.
-const GRAINS: usize = 100;
+/// The length of one interval of the forecast of a [`ServiceCapacity`]: a
+/// small part of the shortest objective.
+const INTERVAL_MS: Millis = 100;
+/// The number of intervals of the forecast. Resources that are taken for longer
+/// count as free from its end on.
+const INTERVALS: usize = 100;
 
-/// Room that works at a backlog, and what of it comes free when.
+/// The capacity that processes a backlog, and a forecast of when the parts in
+/// use become free.
 #[derive(Clone, Debug)]
 pub struct ServiceCapacity {
-    whole: [u64; 3],
-    /// What comes free in each grain; in the first what is free now.
+    total: [u64; 3],
+    /// The resources that become free in each interval; the first element is
+    /// what is free now.
     freed: Vec<[u64; 3]>,
 }
 
 impl Default for ServiceCapacity {
     fn default() -> ServiceCapacity {
-        ServiceCapacity { whole: [0; 3], freed: vec![[0; 3]; GRAINS + 1] }
+        ServiceCapacity { total: [0; 3], freed: vec![[0; 3]; INTERVALS + 1] }
     }
 }
 
 impl ServiceCapacity {
-    /// Adds an executor that has `capacity`, of which this much is free.
+    /// Adds an executor with this capacity, of which `free` is free now.
     pub fn add(&mut self, capacity: &Resources, free: &Resources) {
-        let all = self.whole.iter_mut().zip(parts(capacity));
-        all.for_each(|(sum, part)| *sum += part);
+        let sums = self.total.iter_mut().zip(dimensions(capacity));
+        sums.for_each(|(sum, resource)| *sum += resource);
         self.free_after(0, free);
     }
 
-    /// So much of it is taken by something that should end after this time,
+    /// Adds resources that are in use and should become free after this time,
     /// in milliseconds.
     pub fn free_after(&mut self, after: Millis, need: &Resources) {
-        let grain = (after.div_ceil(GRAIN) as usize).min(GRAINS);
-        let freed = self.freed[grain].iter_mut().zip(parts(need));
-        freed.for_each(|(sum, part)| *sum += part);
+        let interval = (after.div_ceil(INTERVAL_MS) as usize).min(INTERVALS);
+        let freed = self.freed[interval].iter_mut().zip(dimensions(need));
+        freed.for_each(|(sum, resource)| *sum += resource);
     }
 
-    /// The largest part of it, of any kind, that this much takes up.
-    pub fn fraction_of(&self, held: &Resources) -> f64 {
-        let parts = parts(held).into_iter().zip(self.whole);
-        let parts = parts.filter(|(_, whole)| *whole > 0);
-        parts.map(|(h, whole)| h as f64 / whole as f64).fold(0.0, f64::max)
+    /// The fraction of the capacity that `used` takes up, in the resource
+    /// where it is largest.
+    pub fn fraction_of(&self, used: &Resources) -> f64 {
+        let pairs = dimensions(used).into_iter().zip(self.total);
+        let pairs = pairs.filter(|(_, total)| *total > 0);
+        pairs.map(|(u, total)| u as f64 / total as f64).fold(0.0, f64::max)
     }
 
-    /// How long `work` keeps this part of the room, all of it, in
-    /// milliseconds.
-    pub fn time_with_all(&self, work: &Work, part: f64) -> Millis {
-        let kinds = work.0.iter().zip(self.whole);
-        let kinds = kinds.filter(|(_, whole)| *whole > 0);
-        let times = kinds.map(|(w, whole)| *w as f64 / (whole as f64 * part));
+    /// How long `work` takes if it has this fraction of the total capacity
+    /// to itself, in milliseconds.
+    pub fn time_with_all(&self, work: &Work, fraction: f64) -> Millis {
+        let pairs = work.0.iter().zip(self.total);
+        let pairs = pairs.filter(|(_, total)| *total > 0);
+        let times =
+            pairs.map(|(w, total)| *w as f64 / (total as f64 * fraction));
         times.fold(0.0, f64::max) as Millis
     }
 
-    /// How long `work` takes in this part of the room, in milliseconds;
-    /// `None` if there is none of what it needs.
-    pub fn time_for(&self, work: &Work, part: f64) -> Option<Millis> {
-        let kinds = 0..work.0.len();
-        let times = kinds.map(|kind| self.time_for_kind(work, kind, part));
+    /// How long `work` takes in this fraction of the capacity as it becomes
+    /// free, in milliseconds; `None` if a resource that it needs is missing.
+    pub fn time_for(&self, work: &Work, fraction: f64) -> Option<Millis> {
+        let resources = 0..work.0.len();
+        let times = resources
+            .map(|resource| self.time_for_resource(work, resource, fraction));
         times.collect::<Option<Vec<Millis>>>()?.into_iter().max()
     }
 
-    fn time_for_kind(
+    fn time_for_resource(
         &self,
         work: &Work,
-        kind: usize,
-        part: f64,
+        resource: usize,
+        fraction: f64,
     ) -> Option<Millis> {
-        let mut left = work.0[kind] as f64;
+        let mut left = work.0[resource] as f64;
         if left <= 0.0 {
             return Some(0);
         }
-        let mut works = 0.0;
-        for (grain, freed) in self.freed.iter().enumerate() {
-            works += freed[kind] as f64 * part;
-            let done = works * GRAIN as f64;
-            let last = grain == GRAINS;
-            if works > 0.0 && (left <= done || last) {
-                let begin = grain as Millis * GRAIN;
-                return Some(begin + (left / works) as Millis);
+        let mut free = 0.0;
+        for (interval, freed) in self.freed.iter().enumerate() {
+            free += freed[resource] as f64 * fraction;
+            let done = free * INTERVAL_MS as f64;
+            let last = interval == INTERVALS;
+            if free > 0.0 && (left <= done || last) {
+                let begin = interval as Millis * INTERVAL_MS;
+                return Some(begin + (left / free) as Millis);
             }
             left -= done;
         }
@@ -149,47 +154,47 @@
     }
 }
 
-/// What waits of one queue.
+/// The waiting work of one queue.
 #[derive(Clone, Debug)]
-struct Waiting<P> {
+struct QueueBacklog<P> {
     all: Work,
-    /// What of it is urgent, by its place.
+    /// The urgent part of it, by position.
     urgent: BTreeMap<P, Work>,
 }
 
-/// What waits of one account, or of all, by queue.
+/// The waiting work of one account or of all accounts, by queue.
 #[derive(Clone, Debug)]
-struct Lane<P>(BTreeMap<String, Waiting<P>>);
+struct ByQueue<P>(BTreeMap<String, QueueBacklog<P>>);
 
-impl<P> Default for Lane<P> {
-    fn default() -> Lane<P> {
-        Lane(BTreeMap::new())
+impl<P> Default for ByQueue<P> {
+    fn default() -> ByQueue<P> {
+        ByQueue(BTreeMap::new())
     }
 }
 
-impl<P: Ord + Copy> Lane<P> {
+impl<P: Ord + Copy> ByQueue<P> {
     fn add(&mut self, queue: &str, work: &Work, urgent: Option<P>) {
         if !self.0.contains_key(queue) {
             let (all, urgent) = (Work::default(), BTreeMap::new());
-            self.0.insert(queue.to_string(), Waiting { all, urgent });
+            self.0.insert(queue.to_string(), QueueBacklog { all, urgent });
         }
         let Some(waiting) = self.0.get_mut(queue) else { return };
         waiting.all = waiting.all.plus(work);
-        if let Some(place) = urgent {
-            let sum = waiting.urgent.entry(place).or_default();
+        if let Some(position) = urgent {
+            let sum = waiting.urgent.entry(position).or_default();
             *sum = sum.plus(work);
         }
     }
 
-    /// The work before something of this queue with this place.
-    fn before(&self, place: P, queue: &str) -> Work {
+    /// The work ahead of a submission to this queue at this position.
+    fn before(&self, position: P, queue: &str) -> Work {
         let mut sum = Work::default();
         for (name, waiting) in &self.0 {
             if name == queue {
                 sum = sum.plus(&waiting.all);
                 continue;
             }
-            for (_, work) in waiting.urgent.range(..=place) {
+            for (_, work) in waiting.urgent.range(..=position) {
                 sum = sum.plus(work);
             }
         }
@@ -197,49 +202,50 @@
     }
 }
 
-/// For how long what is before something new keeps the room, in milliseconds.
+/// How long a new submission waits for the work ahead of it, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Wait {
-    /// The work of all in the whole room.
+    /// The time for the work of all accounts in the whole capacity.
     pub by_all: Millis,
-    /// The work of its account in its part of the room, if it has one.
+    /// The time for the work of its own account in the account's share of the
+    /// capacity, if it has an account.
     pub by_account: Option<Millis>,
 }
 
 impl Wait {
-    /// How long it waits.
+    /// The wait that applies to it.
     pub fn effective(&self) -> Millis {
         self.by_account.unwrap_or(self.by_all)
     }
 
-    /// Whether its account has more than its part of all that waits.
+    /// Whether its account has more than its share of the waiting work.
     pub fn over_share(&self) -> bool {
         self.by_account.is_some_and(|own| own > self.by_all)
     }
 }
 
-/// The work that waits for the room of one service. `P` is a place in the
-/// order in which it is started, the least first.
+/// The work that waits for the capacity of one service. `P` is a position in
+/// the start order, in which the least comes first.
 #[derive(Clone, Debug)]
 pub struct Backlog<P> {
-    room: ServiceCapacity,
-    all: Lane<P>,
-    accounts: BTreeMap<AccountIndex, Lane<P>>,
+    capacity: ServiceCapacity,
+    all: ByQueue<P>,
+    accounts: BTreeMap<AccountIndex, ByQueue<P>>,
 }
 
 impl<P: Ord + Copy> Backlog<P> {
-    /// Nothing waits for this room.
-    pub fn new(room: ServiceCapacity) -> Backlog<P> {
-        let (all, accounts) = (Lane::default(), BTreeMap::new());
-        Backlog { room, all, accounts }
+    /// Creates an empty backlog for this capacity.
+    pub fn new(capacity: ServiceCapacity) -> Backlog<P> {
+        let (all, accounts) = (ByQueue::default(), BTreeMap::new());
+        Backlog { capacity, all, accounts }
     }
 
-    /// The room that works at it.
+    /// The capacity that processes it.
     pub fn capacity(&self) -> &ServiceCapacity {
-        &self.room
+        &self.capacity
     }
 
-    /// Adds work that waits; `urgent` is its place in the order, if it is.
+    /// Adds work that waits; `urgent` is its position if it is urgent.
     pub fn add(
         &mut self,
         account: Option<AccountIndex>,
@@ -249,33 +255,34 @@
     ) {
         self.all.add(queue, work, urgent);
         if let Some(account) = account {
-            let lane = self.accounts.entry(account).or_default();
-            lane.add(queue, work, urgent);
+            let own = self.accounts.entry(account).or_default();
+            own.add(queue, work, urgent);
         }
     }
 
-    /// The accounts of which something waits.
+    /// The accounts that have waiting work.
     pub fn accounts(&self) -> impl Iterator<Item = AccountIndex> + '_ {
         self.accounts.keys().copied()
     }
 
-    /// How long something new waits at the least. `account` is its account
-    /// and the part of the room that this can have. `None` if that can't be
-    /// told, since there is no room of a kind that is needed.
+    /// The least time that a new submission waits. `account` is its account
+    /// and the fraction of the capacity that the account can have. `None` if a
+    /// resource that the work ahead needs is missing.
     pub fn wait(
         &self,
         account: Option<(AccountIndex, f64)>,
         queue: &str,
-        place: P,
+        position: P,
     ) -> Option<Wait> {
-        let before = self.all.before(place, queue);
-        let by_all = self.room.time_for(&before, 1.0)?;
-        let Some((account, part)) = account else {
+        let before = self.all.before(position, queue);
+        let by_all = self.capacity.time_for(&before, 1.0)?;
+        let Some((account, fraction)) = account else {
             return Some(Wait { by_all, by_account: None });
         };
-        let lane = self.accounts.get(&account);
-        let before = lane.map(|lane| lane.before(place, queue));
-        let own = self.room.time_for(&before.unwrap_or_default(), part)?;
-        Some(Wait { by_all, by_account: Some(own) })
+        let own = self.accounts.get(&account);
+        let before = own.map(|own| own.before(position, queue));
+        let time =
+            self.capacity.time_for(&before.unwrap_or_default(), fraction)?;
+        Some(Wait { by_all, by_account: Some(time) })
     }
 }
