--- a/puffinknot-core/src/jobs/backlog.rs
+++ b/puffinknot-core/src/jobs/backlog.rs
@@ -66,8 +66,8 @@
 /// The length of one interval of the forecast of a [`ServiceCapacity`]: a
 /// small part of the shortest objective.
 const INTERVAL_MS: Millis = 100;
-/// The number of intervals of the forecast. Resources that are taken for longer
-/// count as free from its end on.
+/// The number of intervals of the forecast. Resources that are in use for
+/// longer count as free from its end on.
 const INTERVALS: usize = 100;
 
 /// The capacity that processes a backlog, and a forecast of when the parts in
--- a/puffinknot-core/src/jobs/cordon.rs
+++ b/puffinknot-core/src/jobs/cordon.rs
@@ -49,8 +49,8 @@
 impl Cordons {
     /// The revision of the store from which on this set is known to be
     /// current; zero if nothing is known. It is never earlier than the last
-    /// change of the set, so that of two nodes the one with the higher revision
-    /// has seen all that the other has.
+    /// change of the set, so that of two nodes the one with the higher
+    /// revision has seen all that the other has.
     pub fn since(&self) -> Revision {
         self.since
     }
--- a/puffinknot-core/src/jobs/crash_rate.rs
+++ b/puffinknot-core/src/jobs/crash_rate.rs
@@ -18,8 +18,8 @@
 /// that is just beginning.
 pub const MIN_CRASH_RATE: f64 = 0.05;
 /// The prior, in executor-seconds: as if executors had been observed for this
-/// long and one had crashed. With little data they may well crash so often that
-/// the loss of a run is weak evidence.
+/// long and one had crashed. With little data they may well crash so often
+/// that the loss of a run is weak evidence.
 const PRIOR_EXECUTOR_SECONDS: f64 = 10.0;
 /// The half-widths of the windows around a moment over which the rate is
 /// computed. The highest rate counts: a long window dilutes trouble that has
--- a/puffinknot-core/src/jobs/executor.rs
+++ b/puffinknot-core/src/jobs/executor.rs
@@ -1,5 +1,5 @@
 /*!
-Executors as the leader knows them: what they have, and what is promised.
+Executors as the leader knows them: their capacity, and its allocation.
 */
 
 use std::collections::BTreeMap;
@@ -15,240 +15,252 @@
 use crate::jobs::report_age::ClockLowerBound;
 use crate::jobs::speed::Speed;
 
-/// An executor's clock may lose one part in this many.
+/// An executor's clock may lose one part in this many, so that it lags behind
+/// true time by at most the elapsed time divided by this.
 pub const MAX_CLOCK_DRIFT_DIVISOR: Millis = 33;
-/// For the grain of clocks and the way to an executor, in milliseconds.
+/// Tolerance for the resolution of clocks and the latency to an executor.
 pub const CLOCK_TOLERANCE_MS: Millis = 150;
 
-/// What an executor says of itself in the store.
+/// An executor's entry in the store, written by the executor itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutorInfo {
-    /// Its name. One that starts again may keep it.
+    /// Its name, which may survive a restart.
     pub id: String,
-    /// When this life of it began, in milliseconds of wall time by its own
-    /// clock; nothing where a name names one life only. It tells lives apart
-    /// and says nothing of their order, since wall time may jump.
+    /// When this incarnation started, in milliseconds of wall time by its own
+    /// clock; `None` where a name is used for one incarnation only. It
+    /// distinguishes incarnations but does not order them: wall time may jump.
     pub born: Option<u64>,
     /// The service that it belongs to.
     pub service: String,
-    /// Where it listens, as IP:PORT.
+    /// The address on which it listens, as IP:PORT.
     pub address: String,
     /// Its data centre.
     pub dc: String,
-    /// What it has.
+    /// Its total resources.
     pub capacity: Resources,
-    /// Its labels; racks are among them.
+    /// Its labels, including its rack.
     pub labels: Vec<String>,
-    /// It is about to leave.
+    /// Whether it is about to leave.
     pub draining: bool,
-    /// The least time left before it leaves, in milliseconds.
+    /// The least time before it leaves, in milliseconds.
     pub remaining: Option<Millis>,
 }
 
-/// Where a run is in its life on an executor.
+/// The state of a run on an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPhase {
-    /// Ordered, not answered yet.
+    /// The start was ordered and not answered yet.
     Starting,
-    /// The executor has confirmed it.
+    /// The executor has confirmed the start.
     Running,
-    /// To be stopped; `true` once the executor has confirmed the stop.
+    /// It is to be stopped; `true` once the executor has confirmed the stop.
     Stopping(bool),
 }
 
-/// What a run counts for against the limit of a client account.
+/// The resources that a run counts for against the limit of a client account.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Charge {
-    /// The account, if it is of any.
+    /// The account, if the run belongs to one.
     pub account: Option<AccountIndex>,
-    /// What it has running by that.
+    /// The resources that count.
     pub amount: Resources,
-    /// It is urgent.
+    /// Whether the run is urgent.
     pub urgent: bool,
 }
 
-/// A run that takes up room on an executor.
+/// A run that takes up capacity on an executor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacedRun {
     /// The run.
     pub run: u64,
-    /// What it needs.
+    /// The resources that it needs.
     pub need: Resources,
-    /// What it counts for against the limit of its client account.
+    /// Its charge against the limit of its client account.
     pub charge: Charge,
-    /// Its queue is urgent, and it is within its account's due.
+    /// Whether its queue is urgent and it is within what its account is
+    /// entitled to.
     pub urgent: bool,
-    /// Where it is in its life.
+    /// Its state.
     pub phase: RunPhase,
-    /// When it was ordered, or first seen.
+    /// When its start was ordered, or it was first reported.
     pub placed_at: Millis,
-    /// When an answer to a stop is overdue.
+    /// When a stop that has failed is sent again; zero if none is due.
     pub stop_retry_at: Millis,
-    /// When its start, or its stop, was confirmed.
+    /// When its start or its stop was confirmed.
     pub confirmed_at: Millis,
-    /// Since when it is not known whether its start has arrived.
+    /// Since when it is unknown whether its start has arrived.
     pub start_unsure_since: Option<Millis>,
-    /// Its start was confirmed, by whatever life.
+    /// Whether its start was confirmed, by any incarnation.
     pub start_confirmed: bool,
-    /// What its executor's clock showed when it began, if that is known.
+    /// The reading of its executor's clock when it started, if known.
     pub start_clock: Option<Millis>,
-    /// An account has listed it, so that it was there in this life. A start
-    /// alone may have been carried out by a life that follows.
+    /// Whether a report has listed it, which shows that this incarnation has
+    /// run it. A confirmed start may have been carried out by a later
+    /// incarnation.
     pub reported: bool,
-    /// When it should end.
+    /// When it is expected to end.
     pub expected_end: Millis,
-    /// How long it takes tells of its executor: it began there from the start.
+    /// Whether its run time is evidence of its executor's speed: it started
+    /// there from the beginning, its placement does not slow it, and its end
+    /// is learned without delay.
     pub measures_speed: bool,
-    /// It may crash its executor until that was heard so long after the
-    /// order, in milliseconds.
+    /// How long after the order the executor has to be heard until the run is
+    /// known not to crash it, in milliseconds.
     pub crash_window: Millis,
 }
 
-/// A task that may crash executors is tried on one, or is about to be.
+/// A trial of a task that may crash executors: the task runs on one executor,
+/// or is about to, and nothing else is started there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trial {
     /// The task.
     pub task: TaskKey,
-    /// The run, once it was started.
+    /// The run, once it is started.
     pub run: Option<u64>,
     /// When the executor is asked whether it has survived; before the start,
-    /// until when the executor is kept for it.
+    /// until when the executor is reserved for the trial.
     pub until: Millis,
-    /// The task has been alone with a crash before.
+    /// Whether an executor has crashed before while this task was the only
+    /// suspect.
     pub crashed_alone: bool,
 }
 
-/// Whether an executor can be talked to.
+/// Whether an executor answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// It has not answered in this tenure.
+    /// It has not answered in this leader term.
     Unseen,
     /// It answers.
     Ready,
-    /// It has stopped to answer.
+    /// It has stopped answering.
     Silent,
 }
 
-/// By what it is known what an executor has.
+/// The source of what the leader knows about an executor's capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DescriptionSource {
-    /// No readable entry says it of this life: its room may be another than
-    /// that of a former one, and nothing is started there.
+    /// There is no readable entry of this incarnation. Its capacity may differ
+    /// from that of an earlier one, so nothing is started there.
     Unknown,
-    /// A predecessor knew it. Its room may be smaller by now.
+    /// It was known to a previous leader. The capacity may have shrunk since.
     Predecessor,
-    /// Its entry, as it was read in this tenure.
+    /// Its entry, as read in this term.
     Entry,
 }
 
-/// An executor.
+/// The leader's state for one incarnation of an executor.
 #[derive(Clone, Debug)]
 pub struct Executor {
-    /// Its own account in the store.
+    /// Its entry in the store.
     pub info: ExecutorInfo,
     /// The machine on which the list of machines has shown it; empty if it
-    /// has not yet.
+    /// has not been shown yet.
     pub machine: String,
-    /// By what, and when, its life was found to be over, if it was.
+    /// How and when the incarnation was found to have ended, if it was.
     pub incarnation_end: Option<(IncarnationEnd, Millis)>,
     /// The shard in which the store keeps it.
     pub shard: u8,
     /// Whether the store lists it.
     pub listed: bool,
-    /// By what it is known what it has.
+    /// The source of its description.
     pub description: DescriptionSource,
-    /// What its entry said of another life of it than this one.
+    /// Its entry when that described another incarnation than this one.
     pub other_incarnation: Option<ExecutorInfo>,
-    /// Whether the store knows that this cell orders it.
+    /// Whether the store records that this cell sends it orders.
     pub enrolled: bool,
-    /// Whether it can be talked to.
+    /// Whether it answers.
     pub liveness: Liveness,
     /// Its capacity less all runs and reservations.
     pub free: Resources,
-    /// What has been promised: all runs in any phase.
+    /// All runs that take up capacity, in any phase.
     pub runs: BTreeMap<TaskKey, PlacedRun>,
-    /// What is kept for steps that wait for a ticket.
+    /// Capacity reserved for steps that wait for a ticket.
     pub reserved: BTreeMap<StepKey, Resources>,
     /// Since when it is known to this leader.
     pub known_since: Millis,
-    /// Since when it can't be talked to, if it can't.
+    /// Since when it is silent, if it is.
     pub silent_since: Millis,
-    /// When this life was heard first, if it was in this tenure.
+    /// When this incarnation was first heard in this term, if it was.
     pub first_heard: Option<Millis>,
-    /// Since when another life of it may answer what is sent there. Ends of
-    /// that one have the same numbers, so that none may be called noted.
+    /// Since when another incarnation may be the one that answers. The numbers
+    /// of its ends overlap with those of this one, so no end is acknowledged
+    /// meanwhile.
     pub incarnation_unsure_since: Option<Millis>,
-    /// It was not told which of its ends are noted though some are.
+    /// Whether acknowledgements of ends were withheld from it.
     pub acks_withheld: bool,
-    /// What was ordered there, and may have been carried out by the life that
-    /// follows it instead.
+    /// Runs that were ordered here, but that a later incarnation may have
+    /// started instead.
     pub carried_over: BTreeMap<TaskKey, PlacedRun>,
-    /// A reading of its clock, and when it was received.
+    /// The last reading of its clock, and when it was received.
     pub clock: Option<(Millis, Millis)>,
-    /// When the account with that reading was asked for.
+    /// When the report with that reading was requested.
     pub clock_requested_at: Millis,
-    /// The least that its clock shows.
+    /// A lower bound on its clock.
     pub clock_bound: ClockLowerBound,
-    /// How old its last account was when it was taken in, at the least, in
+    /// The least age of its last report when that was processed, in
     /// milliseconds.
     pub report_age: Millis,
-    /// When its last account was given, at the latest.
+    /// The latest time at which its last report can have been made.
     pub reported_at: Option<Millis>,
-    /// When everything there has certainly lapsed, if nothing more is sent.
+    /// When all leases there have certainly lapsed, if nothing more is sent.
     pub lease_expiry: Millis,
-    /// When the last hold was sent that was found unanswered, if that was the
-    /// last of all.
+    /// When the last renewal was sent, if it went unanswered.
     pub missed_renewal: Option<Millis>,
-    /// Whether a hold is under way.
+    /// Whether a renewal is in flight.
     pub renewing: bool,
-    /// When the hold that is under way was sent.
+    /// When the renewal in flight was sent.
     pub renewal_sent_at: Millis,
-    /// An account is wanted at once, beside the hold that waits.
+    /// Whether a report is wanted at once, in addition to the renewal in
+    /// flight.
     pub probe: bool,
-    /// Before this time no account is asked for beside a hold that waits.
+    /// The earliest time for the next probe while a renewal is in flight.
     pub next_probe: Millis,
-    /// When to send the next hold.
+    /// When to send the next renewal.
     pub next_renewal: Millis,
-    /// The last hold failed this many times in a row.
+    /// The number of renewals that have failed in a row.
     pub renewal_failures: u32,
-    /// When an order or a hold first went unanswered since it answered last:
-    /// by then it may have crashed.
+    /// When the first order or renewal was missed since its last answer: it
+    /// may have crashed by then.
     pub unanswered_since: Option<Millis>,
-    /// What waited there was broken off then, so that it crashed then if it
-    /// has.
+    /// Whether a renewal broke off at that time, before its wait was over: if
+    /// the executor has crashed, it did so then.
     pub connection_lost: bool,
-    /// How long the last hold was to wait there, in milliseconds.
+    /// How long the executor was to keep the last renewal waiting, in
+    /// milliseconds.
     pub renewal_wait: Millis,
-    /// The number of the last end that was taken in.
+    /// The number of the last end that was received.
     pub received_end: u64,
-    /// The number of the last end that is written.
+    /// The number of the last end that is written to the store, and so may be
+    /// acknowledged.
     pub acknowledged_end: u64,
-    /// When its entry went while it was not known to be silent.
+    /// When its entry disappeared while it was not known to be silent.
     pub unlisted_at: Option<Millis>,
-    /// Nothing but this is started there.
+    /// The trial that excludes all other starts there, if any.
     pub trial: Option<Trial>,
-    /// Nothing new is placed there, since its machine goes down soon.
+    /// Whether nothing new is placed there since its machine goes down for
+    /// maintenance soon.
     pub maintenance_due: bool,
-    /// Its machine was called for, so that what runs there may be gone.
+    /// Whether maintenance of its machine was ordered, so that the runs there
+    /// may be gone.
     pub maintenance_ordered: bool,
-    /// When tasks there were slowed or let on last.
+    /// When tasks there were last throttled or unthrottled.
     pub throttled_at: Millis,
-    /// It has left an order unanswered, and nothing was heard of it since.
+    /// Whether it left an order unanswered and has not been heard since.
     pub unresponsive: bool,
-    /// Its whole data centre may be out of reach.
+    /// Whether its whole data centre may be unreachable.
     pub dc_suspected: bool,
-    /// Its data centre takes no new work.
+    /// Whether its data centre is cordoned.
     pub cordoned: bool,
-    /// Whether runs there end well.
+    /// The circuit breaker for starts there.
     pub breaker: CircuitBreaker,
     /// How long runs there take.
     pub speed: Speed,
-    /// What the store keeps of that, see [`Speed::to_stored`].
+    /// The speed as kept in the store, see [`Speed::to_stored`].
     pub stored_speed: i8,
 }
 
 impl Executor {
-    /// An executor that has just been listed.
+    /// Creates the state of an executor that was just listed.
     pub fn new(info: ExecutorInfo, now: Millis) -> Executor {
         Executor {
             free: info.capacity,
@@ -301,15 +313,15 @@
         }
     }
 
-    /// Its clock by now, never ahead of the true reading by more than its
-    /// drift since the last one.
+    /// An estimate of its clock at `now`, which exceeds the true reading by at
+    /// most the drift since the last reading.
     pub fn clock_at(&self, now: Millis) -> Option<Millis> {
         let (reading, at) = self.clock?;
         Some(reading + now.saturating_sub(at))
     }
 
-    /// Whether a reading of a clock, in an answer to an order of `sent_at`,
-    /// may be of its own: a life that follows has a clock of its own.
+    /// Whether a clock reading in the answer to an order sent at `sent_at` can
+    /// come from this incarnation. A later incarnation has a different clock.
     pub fn clock_matches(
         &self,
         reading: Millis,
@@ -319,22 +331,22 @@
         let Some((last, at)) = self.clock else { return true };
         let least = sent_at.saturating_sub(at);
         let least = last + least - least / MAX_CLOCK_DRIFT_DIVISOR;
-        // The last reading may have been old when it was taken in.
+        // The last reading may have been old when it was processed.
         let waited = at.saturating_sub(self.clock_requested_at);
-        let old = if waited > self.renewal_wait + CLOCK_TOLERANCE_MS {
+        let age = if waited > self.renewal_wait + CLOCK_TOLERANCE_MS {
             waited
         } else {
             self.report_age
         };
-        let last = last + old;
+        let last = last + age;
         let most = now.saturating_sub(at);
         let most = last + most + most / MAX_CLOCK_DRIFT_DIVISOR;
         least <= reading + CLOCK_TOLERANCE_MS
             && reading <= most + CLOCK_TOLERANCE_MS
     }
 
-    /// What its entry has said of a life that was born then, if it was the
-    /// last to speak of another life than this one.
+    /// Takes the stored entry of another incarnation if it is the one born at
+    /// this time; the entry is dropped otherwise.
     pub fn take_entry_of_incarnation(
         &mut self,
         born: Option<u64>,
@@ -342,45 +354,44 @@
         self.other_incarnation.take().filter(|info| info.born == born)
     }
 
-    /// When it was alive by its last account, if it has given one in this
-    /// tenure.
+    /// When it was alive by its last report, if it has made one in this term.
     pub fn last_heard_at(&self) -> Option<Millis> {
         self.reported_at
     }
 
-    /// How long ago it gave its last account, in milliseconds, if it has in
-    /// this tenure.
+    /// How long ago it made its last report, in milliseconds, if it has made
+    /// one in this term.
     pub fn silence(&self, now: Millis) -> Option<Millis> {
         self.last_heard_at().map(|at| now.saturating_sub(at))
     }
 
-    /// How long a lease of it may run on, in milliseconds, if it was heard in
-    /// this tenure; negative once all have run out.
+    /// How long a lease there may still be valid, in milliseconds, if it was
+    /// heard in this term; negative once all leases have expired.
     pub fn lease_remaining(&self, now: Millis) -> Option<i64> {
         (self.lease_expiry > 0).then(|| self.lease_expiry as i64 - now as i64)
     }
 
-    /// How long a run may have been there when the executor fell silent, in
-    /// milliseconds.
+    /// The longest time that a run can have been there when the executor fell
+    /// silent, in milliseconds.
     pub fn max_runtime(&self, run: &PlacedRun) -> Millis {
         let until = self.unanswered_since.unwrap_or(Millis::MAX);
         until.saturating_sub(run.placed_at)
     }
 
-    /// How long a run had been there when the executor was heard last, in
-    /// milliseconds.
+    /// The least time that a run has been there: until the executor was last
+    /// heard, in milliseconds.
     pub fn min_runtime(&self, run: &PlacedRun) -> Millis {
         self.last_heard_at().unwrap_or(0).saturating_sub(run.placed_at)
     }
 
-    /// Whether it is about to leave: it says so, or it went on to answer when
-    /// its entry had gone.
+    /// Whether it is about to leave: its entry says so, or it has answered
+    /// since its entry disappeared.
     pub fn is_departing(&self) -> bool {
         let heard = self.last_heard_at().unwrap_or(0);
         self.info.draining || self.unlisted_at.is_some_and(|at| heard > at)
     }
 
-    /// Whether a run is known not to have crashed it when it may have.
+    /// Whether a run has lasted long enough to be known not to crash it.
     pub fn is_harmless(&self, run: &PlacedRun) -> bool {
         self.min_runtime(run) >= run.crash_window
     }
@@ -390,32 +401,32 @@
         self.runs.values().all(|run| self.is_harmless(run))
     }
 
-    /// From when an answer shows that all of its runs are harmless.
+    /// The earliest time at which an answer shows all its runs to be harmless.
     pub fn harmless_from(&self) -> Millis {
         let runs = self.runs.values();
         runs.map(|run| run.placed_at + run.crash_window).max().unwrap_or(0)
     }
 
-    /// Whether it is kept for the trial of a task that is to begin.
+    /// Whether it is reserved for the trial of a task that has not started.
     pub fn is_reserved_for_trial(&self, task: TaskKey, now: Millis) -> bool {
         self.trial.as_ref().is_some_and(|trial| {
             trial.task == task && trial.run.is_none() && now < trial.until
         })
     }
 
-    /// Whether a trial keeps others from being started there.
+    /// Whether a trial excludes other starts there.
     pub fn is_closed_by_trial(&self, now: Millis) -> bool {
         self.trial
             .as_ref()
             .is_some_and(|trial| trial.run.is_some() || now < trial.until)
     }
 
-    /// Whether a trial keeps a task from being started there.
+    /// Whether a trial excludes the start of a task there.
     pub fn is_closed_by_trial_to(&self, task: TaskKey, now: Millis) -> bool {
         self.is_closed_by_trial(now) && !self.is_reserved_for_trial(task, now)
     }
 
-    /// The work that would be lost with it, in thousandths of core-seconds.
+    /// The work that a crash would lose, in thousandths of core-seconds.
     pub fn work_at_risk(&self, now: Millis) -> u64 {
         let runs = self.runs.values().map(|run| {
             let cores = u64::from(run.need.cpu_millis);
@@ -424,7 +435,8 @@
         runs.sum()
     }
 
-    /// It has stopped to answer. Returns whether it answered before.
+    /// Records that it has stopped answering. Returns whether it answered
+    /// before.
     pub fn mark_silent(&mut self, now: Millis) -> bool {
         let answered = self.liveness == Liveness::Ready;
         if answered {
@@ -434,7 +446,7 @@
         answered
     }
 
-    /// Whether new tasks may go there.
+    /// Whether new tasks may be placed there.
     pub fn usable(&self) -> bool {
         self.liveness == Liveness::Ready
             && self.enrolled
@@ -449,8 +461,8 @@
             && self.clock.is_some()
     }
 
-    /// Takes room for a run. Returns an earlier run of the same task there,
-    /// in whose place it is.
+    /// Takes capacity for a run. Returns the earlier run of the same task that
+    /// it replaces, if any.
     pub fn place_run(
         &mut self,
         task: TaskKey,
@@ -461,8 +473,8 @@
         before
     }
 
-    /// What is free for a step: the room that is kept for it counts, unless
-    /// runs that are to go still take it up.
+    /// The free capacity for a step. Its own reservation counts as free,
+    /// unless runs that are being stopped still take it up.
     pub fn free_for(&self, step: &StepKey) -> Resources {
         if !self.reserved.contains_key(step) {
             return self.free;
@@ -475,20 +487,20 @@
         self.info.capacity.minus(&used)
     }
 
-    /// Keeps room for a step until it is given back by [`Self::unreserve`].
+    /// Reserves capacity for a step until [`Self::unreserve`].
     pub fn reserve(&mut self, step: StepKey, need: Resources) {
         self.reserved.insert(step, need);
         self.recompute_free();
     }
 
-    /// Gives the room back that was kept for a step.
+    /// Releases the capacity reserved for a step.
     pub fn unreserve(&mut self, step: &StepKey) {
         if self.reserved.remove(step).is_some() {
             self.recompute_free();
         }
     }
 
-    /// Gives the room of a run back.
+    /// Removes a run and releases its capacity.
     pub fn remove_run(&mut self, task: &TaskKey) -> Option<PlacedRun> {
         let run = self.runs.remove(task)?;
         self.recompute_free();
@@ -499,7 +511,7 @@
         Some(run)
     }
 
-    /// Computes the free room anew from what is promised.
+    /// Recomputes the free capacity from all runs and reservations.
     pub fn recompute_free(&mut self) {
         let mut used = Resources::default();
         for run in self.runs.values() {
@@ -511,7 +523,7 @@
         self.free = self.info.capacity.minus(&used);
     }
 
-    /// Whether it bears a label.
+    /// Whether it has a label.
     pub fn has_label(&self, label: &str) -> bool {
         self.info.labels.iter().any(|l| l == label)
     }
--- a/puffinknot-core/src/jobs/executors.rs
+++ b/puffinknot-core/src/jobs/executors.rs
@@ -1,11 +1,11 @@
 /*!
-All executors that the leader knows, by their numbers.
+All executors that the leader knows, by index.
 
-They are looked up for every candidate of every step, so that they lie in one
-vector. Numbers are given in turn and are never used again; what is lost by
-the gaps is a few bytes for each life of an executor in one tenure. Lives that
-have had one address are found by that, so that a new one costs no look at all
-the others.
+They are looked up for every candidate of every step, so they are kept in one
+vector. Indexes are assigned in sequence and never reused; the gaps cost a few
+bytes for each incarnation of an executor in one leader term. A map from
+addresses finds the incarnations that share an address, so that adding one does
+not require a scan of all the others.
 */
 
 use std::collections::{BTreeSet, HashMap};
@@ -13,18 +13,18 @@
 use crate::jobs::executor::{Executor, ExecutorInfo};
 use crate::jobs::message::ExecutorIndex;
 
-/// Executors by their numbers.
+/// Executors by index.
 #[derive(Clone, Debug, Default)]
 pub struct Executors {
     slots: Vec<Option<Box<(ExecutorIndex, Executor)>>>,
     by_address: HashMap<String, BTreeSet<ExecutorIndex>>,
-    described: u64,
+    descriptions_version: u64,
 }
 
 impl Executors {
-    /// Adds an executor and returns its number.
+    /// Adds an executor and returns its index.
     pub fn add(&mut self, executor: Executor) -> ExecutorIndex {
-        self.described += 1;
+        self.descriptions_version += 1;
         let index = self.slots.len() as ExecutorIndex;
         let address = executor.info.address.clone();
         self.by_address.entry(address).or_default().insert(index);
@@ -32,40 +32,40 @@
         index
     }
 
-    /// Takes over what an executor says of itself, and whether it takes no
-    /// new work by that. Nothing else may change either.
+    /// Replaces the entry of an executor, and whether that makes it cordoned.
+    /// Both change only through this and [`Executors::update_cordons`].
     pub fn set_info(
         &mut self,
         index: ExecutorIndex,
         info: ExecutorInfo,
         cordoned: bool,
     ) {
-        self.described += 1;
+        self.descriptions_version += 1;
         let Some(executor) = self.get_mut(&index) else { return };
         let address = info.address.clone();
         executor.cordoned = cordoned;
         let before = std::mem::replace(&mut executor.info, info).address;
         if before != address {
-            self.leave(index, &before);
+            self.remove_address(index, &before);
             self.by_address.entry(address).or_default().insert(index);
         }
     }
 
-    /// Takes over which executors take no new work.
+    /// Updates which executors are cordoned.
     pub fn update_cordons(&mut self, covers: impl Fn(&Executor) -> bool) {
-        self.described += 1;
+        self.descriptions_version += 1;
         for executor in self.values_mut() {
             executor.cordoned = covers(executor);
         }
     }
 
-    /// A number that is the same as long as none was added and none is
-    /// described otherwise.
+    /// A counter that changes whenever an executor is added or the
+    /// description of any may have changed.
     pub fn descriptions_version(&self) -> u64 {
-        self.described
+        self.descriptions_version
     }
 
-    fn leave(&mut self, index: ExecutorIndex, address: &str) {
+    fn remove_address(&mut self, index: ExecutorIndex, address: &str) {
         let Some(there) = self.by_address.get_mut(address) else { return };
         there.remove(&index);
         if there.is_empty() {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The numbers of executors with this address, in order.
+    /// The indexes of the executors with this address, in ascending order.
     pub fn at_address(
         &self,
         address: &str,
@@ -81,32 +81,32 @@
         self.by_address.get(address).into_iter().flatten().copied()
     }
 
-    /// The executor with a number.
+    /// The executor with an index.
     pub fn get(&self, index: &ExecutorIndex) -> Option<&Executor> {
         let slot = self.slots.get(*index as usize)?.as_ref()?;
         Some(&slot.1)
     }
 
-    /// The executor with a number, to be changed.
+    /// Like [`Executors::get`], mutable.
     pub fn get_mut(&mut self, index: &ExecutorIndex) -> Option<&mut Executor> {
         let slot = self.slots.get_mut(*index as usize)?.as_mut()?;
         Some(&mut slot.1)
     }
 
-    /// Takes an executor out.
+    /// Removes an executor.
     pub fn remove(&mut self, index: &ExecutorIndex) -> Option<Executor> {
         let slot = self.slots.get_mut(*index as usize)?.take()?;
-        self.leave(*index, &slot.1.info.address);
+        self.remove_address(*index, &slot.1.info.address);
         Some(slot.1)
     }
 
-    /// All executors with their numbers, in order.
+    /// All executors with their indexes, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = (&ExecutorIndex, &Executor)> {
         self.slots.iter().flatten().map(|slot| (&slot.0, &slot.1))
     }
 
-    /// All executors with their numbers, from a place that is drawn by
-    /// `seed` on, and around.
+    /// All executors with their indexes, starting at a slot that `seed`
+    /// selects and wrapping around.
     pub fn iter_from(
         &self,
         seed: u64,
@@ -117,7 +117,7 @@
         slots.map(|slot| (&slot.0, &slot.1))
     }
 
-    /// The same, to be changed.
+    /// Like [`Executors::iter`], mutable.
     pub fn iter_mut(
         &mut self,
     ) -> impl Iterator<Item = (&ExecutorIndex, &mut Executor)> {
@@ -128,12 +128,12 @@
         })
     }
 
-    /// All executors, in order.
+    /// All executors, in the order of their indexes.
     pub fn values(&self) -> impl Iterator<Item = &Executor> {
         self.iter().map(|(_, executor)| executor)
     }
 
-    /// The same, to be changed.
+    /// Like [`Executors::values`], mutable.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Executor> {
         self.iter_mut().map(|(_, executor)| executor)
     }
--- a/puffinknot-core/src/jobs/fair_share.rs
+++ b/puffinknot-core/src/jobs/fair_share.rs
@@ -1,67 +1,68 @@
 /*!
-What each of several accounts should hold of room that is too little for all.
+Max-min fair shares of capacity that several accounts compete for.
 
-An account's *dominant share* is the largest part of the room that it holds in
-any one resource: two accounts that hold different things, one processor time
-and one memory, are comparable by it. Room is *fair* if nobody could be given
-more without taking from an account that holds less for its weight (max-min
-fairness). So who wants little gets all of it, and what he leaves of his part
-is lent to the others by their weights.
+An account's *dominant share* is the largest fraction of the capacity that it
+uses in any one resource. It makes accounts comparable that use different
+resources, one processor time and another memory. A division is *fair* if no
+account could be given more without taking from one that has less for its
+weight (max-min fairness). So an account with a small demand gets all of it,
+and what it leaves of its share is lent to the others by their weights.
 */
 
 use crate::config::Resources;
 use crate::ids::Millis;
 
-/// What an account holds and wants.
+/// The usage and demand of one account.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Claim {
-    /// Its part against others; has to be above zero.
+    /// Its weight relative to others; must be above zero.
     pub weight: f64,
-    /// The dominant share that it holds.
+    /// The dominant share that it uses.
     pub usage: f64,
-    /// The dominant share that it would hold if there were room for all.
+    /// The dominant share that it would use if there were enough for all.
     pub demand: f64,
 }
 
-/// The largest part that `amount` is of `whole` in any resource. What there is
-/// none of doesn't count.
-pub fn dominant_share(amount: &Resources, whole: &Resources) -> f64 {
-    let part = |amount: u32, whole: u32| match whole {
+/// The largest fraction of `total` that `amount` is in any resource. Resources
+/// of which `total` has none do not count.
+pub fn dominant_share(amount: &Resources, total: &Resources) -> f64 {
+    let fraction = |amount: u32, total: u32| match total {
         0 => 0.0,
-        whole => f64::from(amount) / f64::from(whole),
+        total => f64::from(amount) / f64::from(total),
     };
-    part(amount.cpu_millis, whole.cpu_millis)
-        .max(part(amount.memory_mb, whole.memory_mb))
-        .max(part(amount.accelerators, whole.accelerators))
+    fraction(amount.cpu_millis, total.cpu_millis)
+        .max(fraction(amount.memory_mb, total.memory_mb))
+        .max(fraction(amount.accelerators, total.accelerators))
 }
 
-/// What each account should hold of all that is held: its fair share, in the
-/// order of the claims.
+/// The fair share of each account in the capacity that all use together, in
+/// the order of the claims.
 pub fn fair_shares(claims: &[Claim]) -> Vec<f64> {
     divide_fairly(claims.iter().map(|claim| claim.usage).sum(), claims)
 }
 
-/// What each account should hold of so much room, in the order of the claims.
-pub fn divide_fairly(mut room: f64, claims: &[Claim]) -> Vec<f64> {
+/// The fair share of each account in this much capacity, in the order of the
+/// claims.
+pub fn divide_fairly(mut capacity: f64, claims: &[Claim]) -> Vec<f64> {
     let mut weights: f64 = claims.iter().map(|claim| claim.weight).sum();
-    // Who wants least for his weight is served first, so that what he leaves
-    // is known when the others are.
+    // The least demand by weight is served first, so that what it leaves over
+    // is known when the others are served.
     let mut order: Vec<usize> = (0..claims.len()).collect();
-    let wants = |at: &usize| claims[*at].demand / claims[*at].weight;
-    order.sort_by(|one, two| wants(one).total_cmp(&wants(two)));
+    let demand = |at: &usize| claims[*at].demand / claims[*at].weight;
+    order.sort_by(|one, two| demand(one).total_cmp(&demand(two)));
     let mut fair = vec![0.0; claims.len()];
     for at in order {
         let claim = &claims[at];
-        let part = room * claim.weight / weights;
-        fair[at] = claim.demand.min(part);
-        room = (room - fair[at]).max(0.0);
+        let share = capacity * claim.weight / weights;
+        fair[at] = claim.demand.min(share);
+        capacity = (capacity - fair[at]).max(0.0);
         weights -= claim.weight;
     }
     fair
 }
 
-/// A mean over the recent past, in which the weight of what was falls by half
-/// or more in each period.
+/// A mean over the recent past. The weight of earlier values falls by half or
+/// more in each period.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DecayingMean {
     mean: f64,
@@ -69,12 +70,13 @@
 }
 
 impl DecayingMean {
-    /// Takes in what has been the case since the last time, with this period.
+    /// Adds the value that has held since the last update, with this period in
+    /// milliseconds.
     pub fn update(&mut self, value: f64, period: Millis, now: Millis) {
         let passed = now.saturating_sub(self.at) as f64;
-        let all = passed + period as f64;
-        let part = if all > 0.0 { passed / all } else { 1.0 };
-        self.mean += (value - self.mean) * part;
+        let span = passed + period as f64;
+        let weight = if span > 0.0 { passed / span } else { 1.0 };
+        self.mean += (value - self.mean) * weight;
         self.at = now;
     }
 
--- a/puffinknot-core/src/jobs/headroom.rs
+++ b/puffinknot-core/src/jobs/headroom.rs
@@ -1,51 +1,50 @@
 /*!
-How much room should stay free for urgent tasks.
+How much capacity to keep free for urgent tasks.
 
-Urgent tasks come in waves and bursts, and can't wait until room comes free by
-itself. What they held and waited for at their recent peaks is what they may
-want at any time; what they hold now needs no more room. The level of the
-peaks decays, so that a burst is forgotten.
+Urgent tasks come in waves and bursts, and can't wait until capacity becomes
+free by itself. What they used and waited for at their recent peaks is what they
+may demand at any time; what they use now needs no more capacity. The peak level
+decays, so that a burst is forgotten.
 */
 
 use crate::config::Resources;
 use crate::ids::Millis;
 
-/// The level of a peak halves in this time, in milliseconds. Clients' demand
-/// swings within 10 to 15 seconds: the next wave finds most of the room that
-/// the last one needed.
-const HALVES_IN: Millis = 15_000;
-/// Tasks of one queue differ: what holds one of half as much again as the
-/// mean holds most of them. In parts of a hundred.
-const SLOT: u32 = 150;
-/// At most one part in this many of the cell is kept free: the rest remains
-/// for what may wait, whatever urgent queues ask for.
+/// The half-life of the peak level. Clients' demand swings within 10 to 15
+/// seconds: the next wave finds most of the capacity that the last one needed.
+const HALF_LIFE_MS: Millis = 15_000;
+/// The typical need in percent of the mean: tasks of one queue differ, and one
+/// and a half times the mean covers most of them.
+const TYPICAL_NEED_PERCENT: u32 = 150;
+/// At most one part in this many of the cell is kept free. The rest stays
+/// available to tasks that may wait, whatever urgent queues demand.
 pub const MAX_RESERVED_DIVISOR: u64 = 4;
 
-/// What urgent tasks hold or wait for at one time.
+/// The urgent tasks that run or wait at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
     /// The number of tasks that run.
     pub running: u32,
-    /// The number of tasks that wait for room.
+    /// The number of tasks that wait for capacity.
     pub waiting: u32,
-    /// What all of them take.
+    /// The resources of all of them together.
     pub resources: Resources,
 }
 
 impl Demand {
-    /// A task that runs.
+    /// Adds a task that runs.
     pub fn add_running(&mut self, need: &Resources) {
         self.running += 1;
         self.resources = self.resources.plus(need);
     }
 
-    /// Tasks that wait, each with this need.
+    /// Adds tasks that wait, each with this need.
     pub fn add_waiting(&mut self, count: u32, need: &Resources) {
         self.waiting += count;
         self.resources = self.resources.plus(&need.times(count));
     }
 
-    /// The sum.
+    /// The sum of two demands.
     pub fn plus(self, other: &Demand) -> Demand {
         Demand {
             running: self.running + other.running,
@@ -58,11 +57,11 @@
         self.running + self.waiting
     }
 
-    /// The room for one task that holds most of them.
-    fn slot(&self) -> Resources {
+    /// The resources that suffice for most single tasks of the demand.
+    fn typical_need(&self) -> Resources {
         let tasks = u64::from(self.tasks().max(1)) * 100;
         let mean = |sum: u32| {
-            let part = u64::from(sum) * u64::from(SLOT);
+            let part = u64::from(sum) * u64::from(TYPICAL_NEED_PERCENT);
             u32::try_from(part.div_ceil(tasks)).unwrap_or(u32::MAX)
         };
         Resources {
@@ -73,40 +72,40 @@
     }
 }
 
-/// The decaying level of the peaks of urgent demand.
+/// The decaying peak level of urgent demand.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Headroom {
     /// In tasks.
     level: f64,
     at: Millis,
-    slot: Resources,
+    typical_need: Resources,
 }
 
 impl Headroom {
-    /// Takes in what urgent tasks hold and wait for now.
+    /// Adds the current demand of urgent tasks.
     pub fn observe(&mut self, demand: &Demand, now: Millis) {
         let passed = now.saturating_sub(self.at) as f64;
         self.at = now;
-        self.level *= (-passed / HALVES_IN as f64).exp2();
+        self.level *= (-passed / HALF_LIFE_MS as f64).exp2();
         let tasks = f64::from(demand.tasks());
         self.level = self.level.max(tasks);
-        // Few tasks say little of those that may come.
+        // A few tasks are no good sample of those that may come.
         if tasks > 0.0 && tasks >= self.level / 2.0 {
-            self.slot = demand.slot();
+            self.typical_need = demand.typical_need();
         }
     }
 
-    /// The room for one task that holds most of those at the recent peaks;
-    /// none if there were none.
+    /// The resources that suffice for most single tasks of the recent peaks;
+    /// `None` if there were no tasks.
     pub fn typical_need(&self) -> Option<Resources> {
-        (self.level > 0.0).then_some(self.slot)
+        (self.level > 0.0).then_some(self.typical_need)
     }
 
-    /// How many further urgent tasks should find room at once, in a cell that
-    /// holds so many of them if nothing else runs.
-    pub fn wanted_tasks(&self, demand: &Demand, whole: u64) -> u64 {
+    /// The number of further urgent tasks for which capacity should be free, in
+    /// a cell that fits `total` of them if nothing else runs.
+    pub fn wanted_tasks(&self, demand: &Demand, total: u64) -> u64 {
         let more = self.level.ceil() as u64;
         let more = more.saturating_sub(u64::from(demand.running));
-        more.min(whole / MAX_RESERVED_DIVISOR)
+        more.min(total / MAX_RESERVED_DIVISOR)
     }
 }
