--- a/puffinknot-core/src/jobs/circuit_breaker.rs
+++ b/puffinknot-core/src/jobs/circuit_breaker.rs
@@ -1,58 +1,60 @@
 /*!
-Whether an executor can be trusted with runs, by how its runs have ended.
+A circuit breaker for executors whose runs keep failing.
 
-An executor may accept orders and answer holds while every run there fails.
-Each such run costs its task an attempt, and since the executor is soon free
-again it attracts the next one. So runs that fail in a row trip a circuit
-breaker: nothing is started there for a while, then a single run tries it.
+An executor may accept orders and answer lease renewals while every run there
+fails. Each such run costs its task an attempt, and since the executor is soon
+free again it attracts the next one. So consecutive failures trip a circuit
+breaker: nothing is started there for a while, then a single run is started as
+a trial.
 */
 
 use crate::ids::Millis;
 
-/// So many runs that fail in a row trip the breaker. With one run in ten that
-/// fails by itself, a thousand runs pass until that happens by chance.
-const TRIPPED_BY: u32 = 3;
-/// How long nothing is started there at first, in milliseconds: a few runs of
+/// The number of consecutive failures that trip the breaker. If one run in ten
+/// fails for reasons of its own, this happens by chance once in a thousand
+/// runs.
+const FAILURE_THRESHOLD: u32 = 3;
+/// How long the breaker first rejects all starts: the time of a few runs of
 /// urgent work.
-const OPEN_FOR: Millis = 1_000;
-/// It doubles with each trial that fails, so often at most.
-const MOST_DOUBLINGS: u32 = 3;
+const OPEN_MS: Millis = 1_000;
+/// How often that time doubles at most; it does with each failed trial.
+const MAX_DOUBLINGS: u32 = 3;
 
 /// A circuit breaker for starts on one executor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CircuitBreaker {
-    /// Runs that have failed since the last one that was done.
-    in_a_row: u32,
-    /// When the next run may try it, once it is tripped.
+    /// The number of failed runs since the last one that succeeded.
+    consecutive_failures: u32,
+    /// The earliest time of the next trial while the breaker is open.
     next_trial: Millis,
 }
 
 impl CircuitBreaker {
-    /// A run was done.
+    /// Records a run that succeeded, which closes the breaker.
     pub fn record_success(&mut self) {
         *self = CircuitBreaker::default();
     }
 
-    /// A run has failed. Returns whether that trips the breaker.
+    /// Records a run that failed. Returns whether that trips the breaker.
     pub fn record_failure(&mut self, now: Millis) -> bool {
-        self.in_a_row += 1;
+        self.consecutive_failures += 1;
         if !self.is_open() {
             return false;
         }
-        self.wait(now);
-        self.in_a_row == TRIPPED_BY
+        self.postpone_trial(now);
+        self.consecutive_failures == FAILURE_THRESHOLD
     }
 
-    /// A run is started: if the breaker is tripped, it is a trial.
+    /// Records the start of a run, which is a trial if the breaker is open.
     pub fn record_start(&mut self, now: Millis) {
         if self.is_open() {
-            self.wait(now);
+            self.postpone_trial(now);
         }
     }
 
-    /// Whether nothing but trials is started.
+    /// Whether only trials are started.
     pub fn is_open(&self) -> bool {
-        self.in_a_row >= TRIPPED_BY
+        self.consecutive_failures >= FAILURE_THRESHOLD
     }
 
     /// Whether a run may be started.
@@ -60,9 +62,10 @@
         !self.is_open() || now >= self.next_trial
     }
 
-    fn wait(&mut self, now: Millis) {
-        let doublings = self.in_a_row.saturating_sub(TRIPPED_BY);
-        let time = OPEN_FOR << doublings.min(MOST_DOUBLINGS);
+    fn postpone_trial(&mut self, now: Millis) {
+        let doublings =
+            self.consecutive_failures.saturating_sub(FAILURE_THRESHOLD);
+        let time = OPEN_MS << doublings.min(MAX_DOUBLINGS);
         self.next_trial = now + time;
     }
 }
--- a/puffinknot-core/src/jobs/crash_evidence.rs
+++ b/puffinknot-core/src/jobs/crash_evidence.rs
@@ -1,26 +1,28 @@
 /*!
-What the crashes of executors tell of a task that ran there.
+Evidence that a task crashes the executors that start it.
 
-A task may crash each executor that starts it. The executor says nothing any
-more, and all that ran there is lost with it, so that one crash puts all under
-suspicion that had been started there shortly before. What tells them apart is
-the next start: whoever may have done it is started where nothing else is that
-may, see [`crate::jobs::scheduler`]. If that executor crashes too, again and
-again, no other explanation is left than chance, and that is weighed here.
+A task may crash each executor that starts it. The executor then stops
+answering, and all runs there are lost with it, so that one crash makes
+suspects of all tasks that were started there shortly before. The next start
+tells them apart: each suspect is started where no other suspect is, see
+[`crate::jobs::scheduler`]. If that executor crashes as well, again and again,
+the only other explanation is chance. This module weighs the two against each
+other.
 
-What a crash weighs is how much likelier it is if the task did it than if the
-executor crashed by something else, in powers of ten, in tenths. A task that
-does it is taken to do so at any age up to a second, most likely at a low one,
-and again at about the same; how often executors crash by something else is
-reckoned from how many have lately, see [`crate::jobs::crash_rate`]. Weights
-add up. A task that harms nobody gets to a sum at most as often as that says,
-however often it is tried, since a run that survives takes back what was
-counted before. The product of the mere chances of its crashes would be small
-more often: the more they are, the more.
+The weight of a crash is its likelihood ratio in tenths of a power of ten: how
+much likelier the crash is if the task caused it than if the executor crashed
+for another reason. A task that crashes executors is assumed to do so at any
+age up to a second, most likely early, and again at about the same age. How
+often executors crash for other reasons is estimated from recent crashes, see
+[`crate::jobs::crash_rate`]. Weights add up. However often a harmless task is
+tried, it reaches a given sum at most as often as the ratio says, since a run
+that survives clears what was counted before. Multiplying the probabilities of
+its crashes by chance instead would accuse harmless tasks more often, and ever
+more so as crashes accumulate.
 
-While executors crash often, a loss tells little, and a harmless task is likely
-to be lost once more. A task that has been lost again is therefore tried when
-they crash less, if that is soon.
+While executors crash often, a loss is weak evidence, and a harmless task is
+likely to be lost once more. A task that was lost again is therefore tried when
+the rate is lower, if that is soon.
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,68 +31,71 @@
 
 use crate::ids::Millis;
 
-/// A run may have crashed its executor as long as it was not heard to have
-/// been there for this time, in milliseconds, unless its task is known to
-/// need longer. Tasks that crash executors were seen to do so within 16 ms.
-const FIRST_WINDOW: Millis = 100;
-/// The longest such time. A run that gets through half of it clears its
-/// task: what needs longer is not found, and all that an executor has started
-/// within it would be under suspicion.
-const LONGEST_WINDOW: Millis = 1_000;
-/// The first crash makes suspects only of what may have been started so
-/// shortly before, in milliseconds. Executors that crash by themselves have
-/// seldom started anything within it, and each trial keeps others off an
+/// How long a run is suspected at first: until its executor is known to have
+/// survived it for this time, unless its task is known to need longer. Tasks
+/// that crash executors have been seen to do so within 16 ms.
+const INITIAL_WINDOW_MS: Millis = 100;
+/// The longest such time. A run that lasts for more than half of it clears its
+/// task: a task that needs longer to crash its executor is not found. A longer
+/// window would put more of what an executor has started under suspicion.
+const MAX_WINDOW_MS: Millis = 1_000;
+/// A first crash makes only those tasks need isolation that may have started
+/// this shortly before it. Executors that crash for other reasons have seldom
+/// started anything within this time, and each trial keeps other tasks off an
 /// executor.
-const SOON: Millis = 100;
-/// The weight at which a task is given up: by chance, one in 10,000 is. At the
-/// lowest rate two crashes have it of which each was seen to come within 30 ms
-/// after a start, or three of which is known only that they came within 800.
-/// More than five starts of such a task are too many; one or two of them may
-/// have been beside others that were as young, and one may be forgotten with a
-/// leader.
-const ENOUGH: u32 = 40;
-/// The least runs that a task has to be lost with to be given up.
-const LEAST_RUNS: u32 = 2;
-/// Executors that crash no more often than this, in crashes a second and
-/// executor, leave nineteen in twenty trials alone.
+const SOON_MS: Millis = 100;
+/// The weight at which a task is given up, which one in 10,000 harmless tasks
+/// reaches by chance. At the lowest crash rate, two crashes reach it if each
+/// was observed within 30 ms of a start, or three that are only known to have
+/// come within 800 ms. More than five starts of such a task are too many; one
+/// or two of these may happen beside other starts that are as recent, and one
+/// may be forgotten with a leader.
+const GIVE_UP_WEIGHT: u32 = 40;
+/// The least number of lost runs at which a task is given up.
+const MIN_LOST_RUNS: u32 = 2;
+/// The highest crash rate at which trials are not deferred, in crashes per
+/// second and executor: nineteen of twenty trials complete without an
+/// unrelated crash.
 const CALM_RATE: f64 = 0.06;
-/// A trial is put off for so long at the most, in milliseconds: by then
-/// crashes of before are no longer counted.
-const LONGEST_PUT_OFF: Millis = 20_000;
-/// So many crashes under a gang that was alone are enough, whatever they
-/// weigh: with one more beside others, the next start would be the sixth. It
-/// meets more crashes the wider it is, and each weighs less.
-const MOST_ALONE: u32 = 4;
-/// Of the tasks that crash executors, as many do so before this age, in
-/// milliseconds, as in each doubling of what lies beyond it.
-const EARLY: f64 = 10.0;
-/// A crash that was seen was so long before that at most, in milliseconds.
-const SEEN_WITHIN: Millis = 50;
-/// Ages that differ by less than this part of a doubling are alike.
-const ALIKE: f64 = 0.3;
-/// So are ages that differ by no more than this, in milliseconds.
-const GRAIN: f64 = 5.0;
+/// How long a trial is deferred at most: by then earlier crashes no longer
+/// count.
+const MAX_DEFERRAL_MS: Millis = 20_000;
+/// The number of crashes with a gang as the only suspect that is enough to
+/// give it up, whatever their weight: with one more crash beside other
+/// suspects, the next start would be the sixth. The more executors a gang
+/// uses, the more crashes it meets and the less each weighs.
+const MAX_GANG_CRASHES: u32 = 4;
+/// The scale of the distribution of ages at which tasks crash executors: as
+/// many do so before this age as in each doubling of the age beyond it.
+const AGE_SCALE_MS: f64 = 10.0;
+/// The longest delay between a crash and its observation, if it was observed
+/// as it happened.
+const OBSERVATION_DELAY_MS: Millis = 50;
+/// Ages are similar if they differ by less than this fraction of a doubling.
+const SIMILAR_DOUBLINGS: f64 = 0.3;
+/// Ages are also similar if they differ by no more than this.
+const SIMILAR_MS: f64 = 5.0;
 
-/// How a run was lost with an executor that has crashed.
+/// A run that was lost with an executor that crashed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunLoss {
     /// The run.
     pub run: u64,
-    /// Nothing else there may have crashed the executor.
+    /// Whether no other run there may have crashed the executor.
     pub alone: bool,
-    /// The executor had confirmed the start. Else the run may never have been
-    /// there, and counts for no crash: an executor may crash while the order
-    /// is on its way, or leave it for later. A job was given up so for two
-    /// crashes though its task had met one.
+    /// Whether the executor had confirmed the start. Otherwise the run may
+    /// never have been there, since the executor may crash while the order is
+    /// in transit or still queued, and the crash does not count: a job with
+    /// one real crash could be given up for two.
     pub confirmed: bool,
-    /// The crash was seen as it happened: what waited for the executor was
-    /// broken off.
+    /// Whether the crash was observed as it happened, since the connection to
+    /// the executor broke.
     pub seen: bool,
-    /// The number of executors that the run was on; a gang's is on several.
+    /// The number of executors on which the run was; several for a gang.
     pub executors: u32,
-    /// How long it may have been there at most, in milliseconds.
+    /// The longest time that it can have been there, in milliseconds.
     pub ran: Millis,
-    /// How long it is known to have been there, in milliseconds.
+    /// The least time that it is known to have been there, in milliseconds.
     pub survived: Millis,
     /// The address of the executor.
     pub address: String,
@@ -99,113 +104,120 @@
 impl RunLoss {
     /// Whether the run was there for too long to have crashed the executor.
     pub fn rules_out_task(&self) -> bool {
-        self.survived > LONGEST_WINDOW / 2
+        self.survived > MAX_WINDOW_MS / 2
     }
 
     /// Whether the executor may have crashed shortly after the start.
     fn may_be_soon(&self) -> bool {
         let least = if self.seen { self.ran } else { self.survived };
-        least <= SOON
+        least <= SOON_MS
     }
 
-    /// What it weighs if executors crash so often by themselves, and the
-    /// former run was lost at this age.
-    fn weight(&self, rate: f64, former: Option<Millis>) -> u32 {
+    /// The weight of the crash as evidence if executors crash at `rate` for
+    /// other reasons, and the previous run was lost at the age `previous`.
+    fn weight(&self, rate: f64, previous: Option<Millis>) -> u32 {
         if !self.alone {
             return 0;
         }
-        let least = if self.seen { SEEN_WITHIN } else { Millis::MAX };
-        let from = self.survived.max(self.ran.saturating_sub(least));
+        let delay = if self.seen { OBSERVATION_DELAY_MS } else { Millis::MAX };
+        let from = self.survived.max(self.ran.saturating_sub(delay));
         let from = from.min(self.ran);
         let seconds = (self.ran - from).max(1) as f64 / 1_000.0;
-        let by_itself = rate * seconds * f64::from(self.executors.max(1));
-        let former = former.filter(|_| self.seen);
-        let likelier = by_task(from, self.ran, former) / by_itself.min(1.0);
-        (likelier.max(1.0).log10() * 10.0).round() as u32
+        let unrelated = rate * seconds * f64::from(self.executors.max(1));
+        let previous = previous.filter(|_| self.seen);
+        let ratio =
+            crash_probability(from, self.ran, previous) / unrelated.min(1.0);
+        (ratio.max(1.0).log10() * 10.0).round() as u32
     }
 }
 
-/// How likely a task that crashes its executors does so between two ages, if
-/// it did it before at about this one. The later age is what was seen.
-fn by_task(from: Millis, until: Millis, former: Option<Millis>) -> f64 {
+/// The probability that a task which crashes its executors does so between two
+/// ages, given the age at which it last did, if known. The upper bound is the
+/// age at which the crash was observed.
+fn crash_probability(
+    from: Millis,
+    until: Millis,
+    previous: Option<Millis>,
+) -> f64 {
     let doublings = |age: Millis| {
-        let age = age.min(LONGEST_WINDOW);
-        (1.0 + age as f64 / EARLY).log2()
+        let age = age.min(MAX_WINDOW_MS);
+        (1.0 + age as f64 / AGE_SCALE_MS).log2()
     };
     let at_any = doublings(until) - doublings(from);
-    let at_any = at_any / doublings(LONGEST_WINDOW);
-    let Some(former) = former else { return at_any };
-    let beyond = former as f64 + EARLY;
-    let least = (beyond * (-ALIKE).exp2() - EARLY).min(former as f64 - GRAIN);
-    let most = (beyond * ALIKE.exp2() - EARLY).max(former as f64 + GRAIN);
-    let alike = if (least..=most).contains(&(until as f64)) {
+    let at_any = at_any / doublings(MAX_WINDOW_MS);
+    let Some(previous) = previous else { return at_any };
+    let scaled = previous as f64 + AGE_SCALE_MS;
+    let least = (scaled * (-SIMILAR_DOUBLINGS).exp2() - AGE_SCALE_MS)
+        .min(previous as f64 - SIMILAR_MS);
+    let most = (scaled * SIMILAR_DOUBLINGS.exp2() - AGE_SCALE_MS)
+        .max(previous as f64 + SIMILAR_MS);
+    let at_similar = if (least..=most).contains(&(until as f64)) {
         (until - from) as f64 / (most - least.max(0.0))
     } else {
         0.0
     };
-    (at_any + alike) / 2.0
+    (at_any + at_similar) / 2.0
 }
 
-/// A crash of an executor on which nothing else was under suspicion.
+/// A crash of an executor for which a task is the only suspect.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Evidence {
+struct SoleSuspectCrash {
     at: Millis,
     loss: RunLoss,
-    /// The age at which the run before was seen to be lost.
-    former: Option<Millis>,
-    /// What a predecessor has counted of the same run.
+    /// The age at which the previous run was observed to be lost.
+    previous_age: Option<Millis>,
+    /// The weight that a previous leader has counted for the same run.
     counted: u32,
     weight: u32,
 }
 
-/// The last run that was lost: a gang's may be lost with several executors,
-/// and counts once.
+/// The last run that was lost. A gang's run may be lost with several
+/// executors and counts once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Last {
     run: u64,
-    /// It was on several executors.
+    /// Whether it was on several executors.
     gang: bool,
     alone: bool,
-    /// What its loss weighs.
+    /// The weight of its loss.
     weight: u32,
 }
 
-/// The crashes of executors that a task may have brought about.
+/// The crashes of executors that a task may have caused.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashEvidence {
-    /// The runs that were lost so.
+    /// The number of runs lost in them.
     pub runs: u32,
-    /// Those of them in which nothing else may have done it.
+    /// The number of these in which no other task was suspected.
     alone: u32,
-    /// What these crashes weigh.
+    /// The weight of these crashes.
     pub weight: u32,
-    /// The longest time that one of these runs may have been there, in
+    /// The longest time that one of these runs can have been there, in
     /// milliseconds.
     ran: Millis,
-    /// One of these crashes may have come soon after the start.
+    /// Whether one of these crashes may have come soon after the start.
     soon: bool,
     /// The addresses of the executors.
     pub addresses: BTreeSet<String>,
     last: Last,
-    /// What is weighed of these crashes. To a successor only its weight is
-    /// known.
+    /// The crashes that are weighed. A new leader knows only their weight.
     #[serde(skip)]
-    evidence: Vec<Evidence>,
-    /// What the evidence weighed last.
+    evidence: Vec<SoleSuspectCrash>,
+    /// The weight of `evidence` when it was last computed.
     #[serde(skip)]
     weighed: u32,
-    /// The age of the last run that was seen to be lost, in milliseconds. A
-    /// successor does without.
+    /// The age of the last run that was observed to be lost, in milliseconds.
+    /// It is not passed on to a new leader.
     #[serde(skip)]
     seen_at: Option<Millis>,
-    /// Since when the next trial is put off.
+    /// Since when the next trial is deferred.
     #[serde(skip)]
     put_off_since: Option<Millis>,
 }
 
 impl CrashEvidence {
-    /// Takes in another one. Returns whether the task may have done it; if it
-    /// has been there for too long, it is cleared of the former as well.
+    /// Adds a loss. Returns whether the task may have caused it. A run that
+    /// was there for too long clears its task of all earlier crashes as well.
     pub fn add(&mut self, loss: &RunLoss, now: Millis) -> bool {
         if loss.rules_out_task() {
             *self = CrashEvidence::default();
@@ -239,30 +251,30 @@
         if !std::mem::replace(&mut self.last.alone, true) {
             self.alone += 1;
         }
-        // The members of a gang are lost with the same run: that their ages
-        // are alike tells nothing.
+        // The members of a gang are lost with the same run, so that their
+        // similar ages are no evidence.
         let mut same = self.evidence.iter().filter(|e| e.loss.run == loss.run);
-        let (former, counted) =
+        let (previous_age, counted) =
             same.next().map_or((self.seen_at, self.last.weight), |evidence| {
-                (evidence.former, evidence.counted)
+                (evidence.previous_age, evidence.counted)
             });
-        self.evidence.push(Evidence {
+        self.evidence.push(SoleSuspectCrash {
             at: now,
             loss: loss.clone(),
-            former,
+            previous_age,
             counted,
             weight: 0,
         });
     }
 
-    /// Weighs the crashes anew, if executors crashed so often at some moment
-    /// by something else: what others have done may be known only later. What
-    /// the rate is not known of keeps its weight.
+    /// Reweighs the crashes. `rate` is how often executors crashed for other
+    /// reasons at a moment, which may change as other tasks are found to have
+    /// caused crashes. Where it is `None`, a crash keeps its weight.
     pub fn weigh(&mut self, rate: impl Fn(Millis) -> Option<f64>) {
         let mut by_run: BTreeMap<u64, u32> = BTreeMap::new();
         for evidence in &mut self.evidence {
             if let Some(rate) = rate(evidence.at) {
-                let weight = evidence.loss.weight(rate, evidence.former);
+                let weight = evidence.loss.weight(rate, evidence.previous_age);
                 evidence.weight = weight.saturating_sub(evidence.counted);
             }
             let weight = by_run.entry(evidence.loss.run).or_default();
@@ -276,37 +288,39 @@
         self.weight -= std::mem::replace(&mut self.weighed, weighed);
     }
 
-    /// Whether the next trial may be the one that settles it.
+    /// Whether the next trial may be the decisive one.
     pub fn may_decide(&self) -> bool {
-        self.alone > 0 && self.runs >= LEAST_RUNS
+        self.alone > 0 && self.runs >= MIN_LOST_RUNS
     }
 
-    /// Whether a trial should wait until executors crash less often: now a
-    /// task that harms nobody might be lost once more, and that would count
-    /// against it.
+    /// Whether a trial should wait until executors crash less often. At a high
+    /// rate a harmless task might be lost once more, which would count against
+    /// it.
     pub fn defers_trial(&mut self, rate: f64, now: Millis) -> bool {
         if rate <= CALM_RATE {
             return false;
         }
         let since = *self.put_off_since.get_or_insert(now);
-        now < since + LONGEST_PUT_OFF
+        now < since + MAX_DEFERRAL_MS
     }
 
-    /// How long a run has to be there until it is known to be harmless, in
+    /// How long a run has to last until it is known to be harmless, in
     /// milliseconds.
     pub fn window(&self) -> Millis {
-        self.ran.saturating_mul(2).clamp(FIRST_WINDOW, LONGEST_WINDOW)
+        self.ran.saturating_mul(2).clamp(INITIAL_WINDOW_MS, MAX_WINDOW_MS)
     }
 
-    /// Whether the next run has to be on its own. One that was there for some
-    /// time before the crash is suspected only when that happens again.
+    /// Whether the next run must be the only suspect on its executor. A task
+    /// whose run was there for some time before the crash needs isolation only
+    /// after a second crash.
     pub fn needs_isolation(&self) -> bool {
         self.runs > 1 || self.soon
     }
 
-    /// Whether chance explains them no more. One crash never is enough.
+    /// Whether chance no longer explains the crashes. A single crash is never
+    /// enough.
     pub fn rules_out_chance(&self) -> bool {
-        (self.last.gang && self.alone >= MOST_ALONE)
-            || (self.runs >= LEAST_RUNS && self.weight >= ENOUGH)
+        (self.last.gang && self.alone >= MAX_GANG_CRASHES)
+            || (self.runs >= MIN_LOST_RUNS && self.weight >= GIVE_UP_WEIGHT)
     }
 }
--- a/puffinknot-core/src/jobs/headroom.rs
+++ b/puffinknot-core/src/jobs/headroom.rs
@@ -2,9 +2,9 @@
 How much capacity to keep free for urgent tasks.
 
 Urgent tasks come in waves and bursts, and can't wait until capacity becomes
-free by itself. What they used and waited for at their recent peaks is what they
-may demand at any time; what they use now needs no more capacity. The peak level
-decays, so that a burst is forgotten.
+free by itself. What they used and waited for at their recent peaks is what
+they may demand at any time; what they use now needs no more capacity. The peak
+level decays, so that a burst is forgotten.
 */
 
 use crate::config::Resources;
@@ -101,8 +101,8 @@
         (self.level > 0.0).then_some(self.typical_need)
     }
 
-    /// The number of further urgent tasks for which capacity should be free, in
-    /// a cell that fits `total` of them if nothing else runs.
+    /// The number of further urgent tasks for which capacity should be free,
+    /// in a cell that fits `total` of them if nothing else runs.
     pub fn wanted_tasks(&self, demand: &Demand, total: u64) -> u64 {
         let more = self.level.ceil() as u64;
         let more = more.saturating_sub(u64::from(demand.running));
--- a/puffinknot-core/src/jobs/record.rs
+++ b/puffinknot-core/src/jobs/record.rs
@@ -127,8 +127,8 @@
 pub struct Shard {
     /// Each of them.
     pub executors: Vec<EnrolledExecutor>,
-    /// How long runs take on each, see [`Speed::to_stored`]; empty if none is known
-    /// to differ.
+    /// How long runs take on each, see [`Speed::to_stored`]; empty if none is
+    /// known to differ.
     ///
     /// [`Speed::to_stored`]: crate::jobs::speed::Speed::to_stored
     pub speeds: Vec<i8>,
