--- a/puffinknot-core/src/jobs/crash_evidence.rs
+++ b/puffinknot-core/src/jobs/crash_evidence.rs
@@ -64,7 +64,7 @@
 /// give it up, whatever their weight: with one more crash beside other
 /// suspects, the next start would be the sixth. The more executors a gang
 /// uses, the more crashes it meets and the less each weighs.
-const MAX_GANG_CRASHES: u32 = 4;
+const GANG_GIVE_UP_CRASHES: u32 = 4;
 /// The scale of the distribution of ages at which tasks crash executors: as
 /// many do so before this age as in each doubling of the age beyond it.
 const AGE_SCALE_MS: f64 = 10.0;
@@ -320,7 +320,7 @@
     /// Whether chance no longer explains the crashes. A single crash is never
     /// enough.
     pub fn rules_out_chance(&self) -> bool {
-        (self.last.gang && self.alone >= MAX_GANG_CRASHES)
+        (self.last.gang && self.alone >= GANG_GIVE_UP_CRASHES)
             || (self.runs >= MIN_LOST_RUNS && self.weight >= GIVE_UP_WEIGHT)
     }
 }
--- a/puffinknot-core/src/jobs/mechanism.rs
+++ b/puffinknot-core/src/jobs/mechanism.rs
@@ -1,96 +1,98 @@
 /*!
-The mechanisms that decide, each of which can be switched off.
+The scheduling mechanisms, each of which can be disabled.
 
-That is for measuring what each of them is worth; docs/ABLATION.md has the
-figures. A cell is run with all of them.
+Disabling one serves to measure what it is worth; docs/ABLATION.md has the
+figures. A production cell runs with all of them.
 */
 
 use std::collections::BTreeSet;
 use std::fmt;
 use std::str::FromStr;
 
-/// A mechanism that can be switched off.
+/// A scheduling mechanism that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// Steps are placed by the end of their objective; else by arrival.
+    /// Places steps in the order of their deadlines, instead of arrival.
     OrderByObjective,
-    /// Tasks go where least is left over; else where there is room.
+    /// Places tasks where least capacity is left over, instead of anywhere
+    /// that they fit.
     BestFit,
-    /// Gangs that wait get room kept for them.
+    /// Reserves capacity for gangs that wait.
     GangReservations,
-    /// Tasks that save their progress give way to gangs that would be late.
+    /// Preempts tasks with checkpoints for gangs that would be late.
     GangPreemption,
-    /// What comes beyond an account's due goes behind all else, in a cell
-    /// without [`CapacityShares`].
+    /// Ranks submissions beyond an account's entitlement behind all others, in
+    /// a cell without [`CapacityShares`].
     AccountShares,
-    /// Gangs that wait get their part of their account's limit in turn.
+    /// Reserves a part of their account's limit for gangs that wait, in turn.
     LimitForGangs,
-    /// Tickets are asked for before the room is free.
+    /// Requests tickets before capacity is free.
     TicketsAhead,
-    /// Calls for advice ask about fewer executors when nodes are scarce.
+    /// Asks for advice on fewer executors when nodes are scarce.
     ShorterAdvice,
-    /// Long calls for advice are made in parts by several nodes.
+    /// Splits long advice calls among several nodes.
     ParallelAdvice,
-    /// Some nodes are kept free of long calls for advice.
+    /// Keeps some nodes free of long advice calls.
     ShortLane,
-    /// Overdue calls for advice are made by other nodes.
+    /// Repeats overdue advice calls from other nodes.
     OverdueAdvice,
-    /// An executor with an unanswered order gets no starts.
+    /// Starts nothing on an executor with an unanswered order.
     UnresponsiveExecutors,
-    /// A data centre that falls silent gets no starts.
+    /// Starts nothing in a data centre that has fallen silent.
     SuspectedDcs,
-    /// Executors are asked at once when connections seem to be silent.
+    /// Probes executors at once when connections seem to be silent.
     SilenceAlarm,
-    /// Executors that fail what they run get no starts.
+    /// Starts nothing on executors whose runs keep failing.
     Breaker,
-    /// Tasks that may have crashed an executor are started on their own, and
-    /// given up when they do so again.
+    /// Starts tasks that may have crashed an executor in isolation, and gives
+    /// them up if they do so again.
     Trials,
-    /// A task avoids executors on which its step has failed.
+    /// Avoids executors on which tasks of the same step have failed.
     FailedThere,
-    /// Answers of executors are waited for by their round trips.
+    /// Derives timeouts for executors from round-trip times.
     OrderPatience,
-    /// Answers of executors that come late still count.
+    /// Uses answers of executors that arrive late.
     LateAnswers,
-    /// In large cells other nodes carry out the leader's orders.
+    /// Has other nodes send the leader's orders in large cells.
     Relays,
-    /// Answers of the store are waited for by their round trips.
+    /// Derives timeouts for the store from round-trip times.
     StorePatience,
-    /// A node that can serve nobody is not ready.
+    /// Reports a node that cannot serve clients as not ready.
     Readiness,
-    /// A node that is cut off answers at once.
+    /// Answers at once on a node that is cut off.
     CutOffAnswers,
-    /// What hung while the store was away is made again at its return.
+    /// Retries calls to the store that hung during an outage once it is back.
     StoreRetries,
-    /// A leader whose process is gone is replaced before its lease ends.
+    /// Replaces a leader whose process is gone before its lease expires.
     ReplacedLeader,
-    /// A leader that the store turns away offers the lead.
+    /// Has a leader that the store rejects offer the lead to another node.
     OfferedLead,
-    /// Larger machines are preferred to lead.
+    /// Prefers larger machines as leaders.
     LargerLeader,
-    /// In a full cell, room goes by the accounts' shares of what runs.
+    /// Divides a full cell by the accounts' shares of what runs.
     CapacityShares,
-    /// Steps are ordered by the latest start that meets their objective.
+    /// Orders steps by the latest start that meets their objective.
     LatestStart,
-    /// Room is kept free for urgent work that should come.
+    /// Keeps capacity free for expected urgent work.
     UrgentHeadroom,
-    /// Tasks that save their progress give way to urgent ones.
+    /// Preempts tasks with checkpoints for urgent ones.
     UrgentPreemption,
-    /// What can't be done while it is of use is refused at once.
+    /// Refuses jobs at once that cannot end while they are useful.
     Admission,
-    /// Refused clients come back when there should be room.
+    /// Tells refused clients to retry when capacity should be free.
     ReturnTimes,
-    /// The speed of executors and the error of guesses are learnt.
+    /// Learns the speed of executors and the error of run time estimates.
     Speeds,
-    /// Nothing starts on an executor that leaves before it should end.
+    /// Starts nothing on an executor that leaves before it should end.
     Leaving,
-    /// What waits while the store is away returns in the order of use.
+    /// Decides for each new job during an outage of the store whether it waits
+    /// or is refused, by its slack and the expected length of the outage.
     AfterOutage,
 }
 
 use Mechanism::*;
 
-/// All mechanisms and their names.
+/// All mechanisms, with their names on the command line.
 const NAMES: [(Mechanism, &str); 36] = [
     (OrderByObjective, "order-by-objective"),
     (BestFit, "best-fit"),
@@ -131,7 +133,7 @@
 ];
 
 impl Mechanism {
-    /// All of them.
+    /// All mechanisms.
     pub fn all() -> impl Iterator<Item = Mechanism> {
         NAMES.iter().map(|(mechanism, _)| *mechanism)
     }
@@ -156,26 +158,28 @@
     }
 }
 
-/// Which mechanisms are switched off.
+/// The set of enabled mechanisms; by default all. Stores the disabled ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Mechanisms(BTreeSet<Mechanism>);
 
 impl Mechanisms {
-    /// Without these.
-    pub fn all_except(off: impl IntoIterator<Item = Mechanism>) -> Mechanisms {
-        Mechanisms(off.into_iter().collect())
+    /// All mechanisms except these.
+    pub fn all_except(
+        disabled: impl IntoIterator<Item = Mechanism>,
+    ) -> Mechanisms {
+        Mechanisms(disabled.into_iter().collect())
     }
 
-    /// Without these as well.
+    /// Disables these as well.
     pub fn except(
         mut self,
-        off: impl IntoIterator<Item = Mechanism>,
+        disabled: impl IntoIterator<Item = Mechanism>,
     ) -> Mechanisms {
-        self.0.extend(off);
+        self.0.extend(disabled);
         self
     }
 
-    /// Whether a mechanism is on.
+    /// Whether a mechanism is enabled.
     pub fn enabled(&self, mechanism: Mechanism) -> bool {
         !self.0.contains(&mechanism)
     }
--- a/puffinknot-core/src/jobs/message.rs
+++ b/puffinknot-core/src/jobs/message.rs
@@ -1,5 +1,5 @@
 /*!
-What the scheduler is told, and what it asks for.
+The inputs and outputs of the scheduler, and the data that they carry.
 */
 
 use serde::{Deserialize, Serialize};
@@ -10,38 +10,38 @@
 use crate::jobs::executor::ExecutorInfo;
 use crate::jobs::model::{Job, JobId, JobState, StepKey, TaskKey};
 
-/// A request of a client, numbered by whoever runs the scheduler.
+/// The number of a client request, assigned by the caller of the scheduler.
 pub type RequestId = u64;
 
-/// The number of an executor within one scheduler.
+/// The index of an executor within one scheduler.
 pub type ExecutorIndex = u32;
 
-/// The number of a client account within one scheduler.
+/// The index of a client account within one scheduler.
 pub type AccountIndex = u32;
 
-/// The number of a call for advice within one scheduler.
+/// The number of an advice call within one scheduler.
 pub type CallId = u64;
 
-/// What a client wants.
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// Take this job.
+    /// Submit a job.
     Submit(Job),
-    /// Where does the job stand?
+    /// Query the state of a job.
     State {
         /// The queue.
         queue: String,
         /// The job.
         job: JobId,
     },
-    /// Cancel the job.
+    /// Cancel a job.
     Cancel {
         /// The queue.
         queue: String,
         /// The job.
         job: JobId,
     },
-    /// How many jobs of the queue have not begun?
+    /// Query how many jobs of a queue have not started.
     Pending {
         /// The queue.
         queue: String,
@@ -49,7 +49,7 @@
 }
 
 impl Request {
-    /// The queue that it is about.
+    /// The queue that the request refers to.
     pub fn queue(&self) -> &str {
         match self {
             Request::Submit(job) => &job.queue,
@@ -63,31 +63,31 @@
 /// The answer to a [`Request`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The job is accepted and kept.
+    /// The job is accepted and written to the store.
     Accepted,
-    /// Where the job stands.
+    /// The state of the job.
     State(JobState),
-    /// The job is cancelled, or had ended.
+    /// The job is cancelled, or had already ended.
     Cancelled,
     /// There is no such job.
     NoSuchJob,
-    /// The number of jobs that have not begun.
+    /// The number of jobs that have not started.
     Pending(u64),
-    /// The policy knows no such queue.
+    /// The policy has no such queue.
     NoSuchQueue,
-    /// No account has the key, or there was none.
+    /// No account has the key, or the call had none.
     NoSuchKey,
-    /// A gang needs more than its account may have running.
+    /// A gang needs more than the limit of its account.
     OverLimit,
-    /// Nothing was done; come back after this many milliseconds.
+    /// Nothing was done; retry after this many milliseconds.
     Refused(Millis),
-    /// It is not known what became of the request; ask again.
+    /// It is unknown whether the request was carried out; query again.
     Unknown,
 }
 
 impl Outcome {
-    /// Whether it says that nothing was done. It is true of what was asked
-    /// just now only: the same may have been asked before.
+    /// Whether it says that nothing was done. This applies to the latest call
+    /// only: the same request may have been made before.
     pub fn is_refusal(&self) -> bool {
         match self {
             Outcome::Refused(_)
@@ -104,47 +104,47 @@
     }
 }
 
-/// What an executor says is running.
+/// A running run, as reported by its executor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunReport {
     /// The task.
     pub task: TaskKey,
-    /// Which run of it.
+    /// The run of the task.
     pub run: u64,
     /// Its last checkpoint, empty if there is none.
     pub checkpoint: String,
-    /// Its share of the time, in percent.
+    /// The share of time for which it may work, in percent.
     pub percent: u32,
-    /// The tail of a serving task's answer times in milliseconds; for
-    /// others the processor time in use.
+    /// The tail latency of a serving task, in milliseconds; for others the
+    /// processor time in use.
     pub usage: u64,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
-    /// It has done its work.
+    /// It completed its work.
     Done,
     /// It failed.
     Failed,
-    /// It was told to stop.
+    /// It was stopped by order.
     Stopped,
-    /// Its lease ran out.
+    /// Its lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The others of its gang did not come.
+    /// The other members of its gang did not start.
     Alone,
 }
 
-/// What an executor says has ended.
+/// The end of a run, as reported by its executor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndReport {
     /// The number of this end on the executor.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
-    /// Which run of it.
+    /// The run of the task.
     pub run: u64,
     /// How it ended.
     pub how: EndKind,
@@ -152,126 +152,128 @@
     pub checkpoint: String,
 }
 
-/// An executor's account of itself.
+/// An executor's report: its state in answer to a lease renewal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutorReport {
-    /// Which life of it has answered, see [`ExecutorInfo::born`].
+    /// The incarnation that answered, see [`ExecutorInfo::born`].
     pub born: Option<u64>,
-    /// Its clock.
+    /// The reading of its clock, in milliseconds.
     pub clock: Millis,
-    /// What runs.
+    /// The runs that are running.
     pub running: Vec<RunReport>,
-    /// What has ended and was not acknowledged.
+    /// The ends that were not acknowledged yet.
     pub ended: Vec<EndReport>,
-    /// There may be more ends than are listed.
+    /// Whether there may be more ends than are listed.
     pub more_ended: bool,
 }
 
-/// Why an order has not been carried out, as far as is known.
+/// Why an order was not carried out, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderFailure {
-    /// The executor has seen a higher token: somebody else leads.
+    /// The executor has seen a higher token, so another node leads.
     Fenced,
-    /// The run is not above one that was stopped or ended there.
+    /// The number of the run is not above that of a run which was stopped or
+    /// ended there.
     Old,
-    /// The lease in the order is over.
+    /// The lease in the order has expired.
     Late,
-    /// It does not fit.
+    /// The executor lacks free capacity.
     Room,
-    /// The ticket does not hold.
+    /// The ticket is not valid.
     Ticket,
-    /// The executor is unhealthy and has done nothing.
+    /// The executor is unhealthy and did nothing.
     Unhealthy,
-    /// The executor has another life now.
+    /// Another incarnation of the executor runs now.
     Gone,
     /// The order is malformed.
     Malformed,
     /// Nothing was sent.
     NotSent,
-    /// It is not known whether it was, or will be, carried out.
+    /// It is unknown whether it was or will be carried out.
     Unknown,
 }
 
-/// An executor that may run a step.
+/// An executor that may run a step, by the advice on that step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdvisedExecutor {
     /// The executor.
     pub executor: String,
-    /// The ticket to show.
+    /// The ticket to present with the start.
     pub ticket: String,
 }
 
 /// Why there is no advice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdviceFailure {
-    /// The service has too many calls from this node.
+    /// The service has too many calls from this node already.
     Busy,
     /// There was no answer.
     Unknown,
 }
 
-/// A machine that executors live on.
+/// A machine that hosts executors.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MachineInfo {
     /// Its name.
     pub machine: String,
     /// The service whose pool it is in.
     pub pool: String,
-    /// Where it stands.
+    /// Its state.
     pub state: MachineState,
-    /// The executor that lives there now, empty for none.
+    /// The executor that it hosts now, empty for none.
     pub executor: String,
 }
 
-/// Where a machine stands.
+/// The state of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// It works.
+    /// It is in service.
     Up,
-    /// It changes its pool.
+    /// It is moving to another pool.
     Moving,
-    /// It is down for its upkeep.
+    /// It is down for maintenance.
     Maintenance,
     /// It is down.
     Down,
-    /// In a state that is not known here.
+    /// A state that this version does not know.
     Unknown,
 }
 
-/// A wave of upkeep.
+/// A maintenance wave: machines that operators want taken down in turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MaintenanceWave {
     /// Its number.
     pub wave: u64,
     /// The machines.
     pub machines: Vec<String>,
-    /// The time for all of them, in milliseconds.
+    /// The time within which all of them should have their maintenance, in
+    /// milliseconds.
     pub within: Millis,
-    /// How many may be down at once.
+    /// The most machines that may be down at once.
     pub most: u32,
 }
 
-/// Why a call for upkeep was not carried out, as far as is known.
+/// Why a maintenance call was not carried out, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceFailure {
-    /// Somebody else orders this machine.
+    /// Another caller controls this machine.
     Fenced,
-    /// Not now.
+    /// The call was refused for now.
     Refused,
-    /// There is no such machine, or it is not of this wave.
+    /// There is no such machine, or it is not part of this wave.
     NoSuchMachine,
-    /// It may have been carried out.
+    /// The call may have been carried out.
     Unknown,
 }
 
-/// What happened.
+/// An input of the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The operators want a wave of upkeep.
+    /// Operators requested a maintenance wave.
     Wave(MaintenanceWave),
-    /// The machines, or nothing if there was no answer.
+    /// The list of machines, or `None` if there was no answer.
     Machines(Option<Vec<MachineInfo>>),
-    /// A call for upkeep was answered.
+    /// A maintenance call was answered.
     MaintenanceAnswered {
         /// The wave.
         wave: u64,
@@ -280,37 +282,37 @@
         /// Whether it was carried out.
         answer: Result<(), MaintenanceFailure>,
     },
-    /// An executor answered an order on pace.
+    /// An executor answered a throttle order.
     ThrottleAnswered {
         /// The executor.
         executor: ExecutorIndex,
         /// Whether it was carried out.
         answer: Result<(), OrderFailure>,
     },
-    /// A client wants something.
+    /// A client made a request.
     Request {
-        /// The request.
+        /// The number of the request.
         id: RequestId,
-        /// Who calls.
+        /// The caller.
         caller: Caller,
-        /// What it wants.
+        /// The request.
         request: Request,
     },
     /// An executor is listed, or its entry has changed.
     Listed(ExecutorInfo),
     /// An executor is no longer listed.
     Unlisted(String),
-    /// The entry of an executor can't be read.
+    /// The entry of an executor cannot be read.
     EntryUnreadable(String),
-    /// All entries of executors have been told.
+    /// All entries of executors have been passed in.
     EntriesRead,
-    /// An executor answered a hold.
+    /// An executor answered a lease renewal.
     RenewalAnswered {
         /// The executor.
         executor: ExecutorIndex,
-        /// When the hold was sent.
+        /// When the renewal was sent.
         sent_at: Millis,
-        /// Its account, or why there is none.
+        /// Its report, or why there is none.
         answer: Result<ExecutorReport, OrderFailure>,
     },
     /// An executor answered a start.
@@ -321,8 +323,8 @@
         task: TaskKey,
         /// The run.
         run: u64,
-        /// If it runs, what the clock of the executor showed, as far as the
-        /// answer says.
+        /// If it runs, the reading of the executor's clock, if the answer has
+        /// one.
         answer: Result<Option<Millis>, OrderFailure>,
     },
     /// An executor answered a stop.
@@ -336,35 +338,35 @@
         /// Whether it is stopped.
         answer: Result<(), OrderFailure>,
     },
-    /// Advice has come.
+    /// An advice call was answered.
     Advised {
-        /// The call.
+        /// The advice call.
         call: CallId,
         /// The executors that may run the step.
         answer: Result<Vec<AdvisedExecutor>, AdviceFailure>,
     },
-    /// The nodes that can ask for advice.
+    /// The nodes that can make advice calls.
     Advisors(Vec<String>),
-    /// The outstanding commit is written.
+    /// The outstanding commit was written.
     Committed,
-    /// The store has declined the outstanding commit each time, so that
-    /// nothing of it is done or will be. These are its changes.
+    /// The store declined the outstanding commit on every attempt, so that
+    /// none of it is or will be written. Holds its changes.
     CommitDeclined(Vec<Change>),
     /// Time has passed.
     Tick,
 }
 
-/// A change to what is kept in the store.
+/// A change to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Keep this value under this name.
+    /// Write a value under a name.
     Put {
         /// The name.
         name: String,
         /// The value.
         value: Vec<u8>,
     },
-    /// Forget what is kept under this name.
+    /// Remove the value under a name.
     Remove {
         /// The name.
         name: String,
@@ -372,7 +374,7 @@
 }
 
 impl Change {
-    /// The name that the change is about.
+    /// The name that the change refers to.
     pub fn name(&self) -> &str {
         match self {
             Change::Put { name, .. } | Change::Remove { name } => name,
@@ -380,31 +382,34 @@
     }
 }
 
-/// What is to be done.
+/// An output of the scheduler, to be carried out by its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Answer a client.
     Reply {
-        /// The request.
+        /// The number of the request.
         id: RequestId,
         /// The answer.
         outcome: Outcome,
     },
-    /// Write these changes, all or none.
+    /// Write these changes atomically.
     Commit(Vec<Change>),
-    /// Extend the lease of an executor and ask for its account.
+    /// Renew the lease of an executor and request its report.
     RenewLease {
         /// The executor.
         executor: ExecutorIndex,
-        /// When this was decided; to be given back with the answer.
+        /// When this was decided; returned with the answer.
         sent_at: Millis,
-        /// The end of the lease on the executor's clock, if it is known.
+        /// The end of the lease on the executor's clock, if that is known.
         due: Option<Millis>,
-        /// Ends up to this one may be forgotten.
+        /// Ends up to this number are acknowledged: the executor may forget
+        /// them.
         last_seen: u64,
-        /// Ends up to this one are known, and need not be told again.
+        /// Ends up to this number were received and need not be reported
+        /// again.
         known: u64,
-        /// How long to wait for an end.
+        /// How long the executor may wait for an end before it answers, in
+        /// milliseconds.
         wait: Millis,
     },
     /// Start a task.
@@ -415,16 +420,16 @@
         task: TaskKey,
         /// The run.
         run: u64,
-        /// What the task is told.
+        /// The specification that is passed to the task.
         spec: std::sync::Arc<str>,
         /// The end of the lease on the executor's clock.
         due: Millis,
         /// The checkpoint to resume from, empty for none.
         checkpoint: String,
-        /// The ticket to show, empty for none.
+        /// The ticket to present, empty for none.
         ticket: String,
     },
-    /// Stop a run, or make sure that it never starts.
+    /// Stop a run, or ensure that it never starts.
     Stop {
         /// The executor.
         executor: ExecutorIndex,
@@ -433,7 +438,7 @@
         /// The run.
         run: u64,
     },
-    /// Let a run work at this share of the time.
+    /// Throttle or unthrottle a run.
     Throttle {
         /// The executor.
         executor: ExecutorIndex,
@@ -441,155 +446,156 @@
         task: TaskKey,
         /// The run.
         run: u64,
-        /// The share, in percent.
+        /// The share of time for which it may work, in percent.
         percent: u32,
     },
     /// List the machines.
     ListMachines,
-    /// Take a machine down for its upkeep.
+    /// Take a machine down for maintenance.
     StartMaintenance {
         /// The wave.
         wave: u64,
         /// The machine.
         machine: String,
     },
-    /// Tell the operators where a wave stands.
+    /// Report the state of a maintenance wave to operators.
     WaveState {
         /// The wave.
         wave: u64,
-        /// Whether every machine has had its upkeep.
+        /// Whether every machine has had its maintenance.
         succeeded: bool,
     },
-    /// Ask for advice on a step.
+    /// Make an advice call for a step.
     Advise {
-        /// The call.
+        /// The advice call.
         call: CallId,
-        /// The node that asks.
+        /// The node that makes the call.
         advisor: String,
         /// The step.
         step: StepKey,
         /// The executors to ask about.
         executors: Vec<String>,
     },
-    /// An executor has seen a higher token: this node no longer leads.
+    /// Stop leading: an executor has seen a higher token, so a successor
+    /// leads.
     Superseded,
-    /// The end of a job is written; for the logs.
+    /// Log that the end of a job was written.
     JobEnded {
         /// The job.
         job: JobId,
-        /// The client account that it belonged to.
+        /// The client account that it belonged to, if any.
         account: Option<String>,
-        /// How it ended.
+        /// Its final state.
         state: JobState,
         /// How long it was live, in milliseconds.
         after: Millis,
         /// Whether that is within its objective.
         in_time: bool,
     },
-    /// A client account holds more than its share of a full cell; for the
-    /// logs, at most once a second.
+    /// Log that a client account uses more than its share of a full cell, at
+    /// most once per second.
     OverShare {
         /// The account.
         account: String,
-        /// The largest part of the cell's room that it holds in any resource.
+        /// The largest fraction of the cell's capacity that it uses in any
+        /// resource.
         held: f64,
     },
-    /// A job is refused since there is no room for it while it is of use;
-    /// for the logs.
+    /// Log that a job was refused since it cannot end while it is useful.
     NotAdmitted {
         /// The job.
         job: JobId,
-        /// The client account that it would belong to.
+        /// The client account that submitted it, if any.
         account: Option<String>,
-        /// When it would end at the earliest, in milliseconds from now.
+        /// The earliest time at which it could end, in milliseconds from now.
         ends_in: Millis,
-        /// For how long it is of use, in milliseconds from now.
+        /// How long it is useful, in milliseconds from now.
         of_use_for: Millis,
-        /// Its account has more than its share of what waits.
+        /// Whether its account has more than its share of the waiting work.
         over_share: bool,
     },
-    /// Tasks give way to a gang or to urgent tasks; for the logs.
+    /// Log that tasks are preempted by a gang or by urgent tasks.
     Preempted {
-        /// The gang, or the urgent step.
+        /// The gang or the urgent step.
         step: StepKey,
-        /// How many.
+        /// The number of preempted tasks.
         tasks: u32,
     },
-    /// An executor is known to be quicker or slower than others, or is so no
-    /// more; for the logs.
+    /// Log that an executor was found to be faster or slower than others, or
+    /// no longer is.
     ExecutorSpeed {
         /// Its name.
         id: String,
-        /// How long runs take there, in percent of the usual.
+        /// How long runs take there, in percent of a typical executor.
         percent: u32,
     },
-    /// A step that may wait is held back for the first time, so that room
-    /// stays free for urgent ones; for the logs.
+    /// Log that a step that may wait is deferred for the first time, so that
+    /// capacity stays free for urgent ones.
     StepDeferred {
         /// The step.
         step: StepKey,
     },
-    /// A run goes on for far longer than it should; for the logs.
+    /// Log that a run has taken far longer than expected.
     RunOverdue {
         /// The executor's name.
         executor: String,
         /// The task.
         task: TaskKey,
-        /// Which run of it.
+        /// The run of the task.
         run: u64,
-        /// For how long it has gone on, in milliseconds.
+        /// How long it has run, in milliseconds.
         ran: Millis,
-        /// How long it should have taken there, in milliseconds.
+        /// How long it was expected to take there, in milliseconds.
         should: Millis,
     },
-    /// Runs are stopped on an executor that is about to leave, before they die
-    /// with it; for the logs.
+    /// Log that runs are stopped on an executor that is about to leave, before
+    /// they are lost with it.
     RunsEvicted {
         /// The executor.
         executor: String,
-        /// How much longer it surely stays, in milliseconds.
+        /// The least time before it leaves, in milliseconds.
         left: Millis,
-        /// How many.
+        /// The number of stopped runs.
         runs: u32,
     },
-    /// Everything that a predecessor ordered is known; for the logs.
+    /// Log that everything a previous leader ordered is accounted for.
     TakeoverComplete {
-        /// Executors that did not answer in time.
+        /// The number of executors that did not answer in time.
         unseen: u32,
     },
-    /// An executor has answered a hold for the first time in this tenure;
-    /// for the logs.
+    /// Log that an executor answered a lease renewal for the first time in
+    /// this leader term.
     ExecutorHeard {
         /// The executor.
         id: String,
-        /// Which life of it, see [`ExecutorInfo::born`].
+        /// Its incarnation, see [`ExecutorInfo::born`].
         born: Option<u64>,
-        /// The runs that it lists.
+        /// The number of runs that it lists.
         running: u32,
-        /// The ends that it lists.
+        /// The number of ends that it lists.
         ended: u32,
     },
-    /// A life of an executor is taken for over; for the logs.
+    /// Log that an incarnation of an executor is considered ended.
     ExecutorOver {
         /// The executor.
         id: String,
-        /// Which life of it.
+        /// The incarnation.
         born: Option<u64>,
-        /// By what.
+        /// The evidence.
         why: IncarnationEnd,
-        /// The runs that are given up with it.
+        /// The number of runs that are given up with it.
         runs: u32,
         /// Whether the store lists it.
         listed: bool,
-        /// How long ago it answered a hold last, in milliseconds; `None` if
-        /// it has not in this tenure.
+        /// How long ago it made its last report, in milliseconds; `None` if
+        /// it has made none in this term.
         heard_before: Option<Millis>,
-        /// How long a lease of it may run on as the leader reckons it, in
-        /// milliseconds; `None` if it has not answered in this tenure.
+        /// How long a lease there may still be valid by the leader's clock,
+        /// in milliseconds; `None` if it has not answered in this term.
         lease_left: Option<i64>,
     },
-    /// A run is taken for lost, so that its task may be started elsewhere;
-    /// for the logs.
+    /// Log that a run is considered lost, so that its task may be started
+    /// elsewhere.
     RunGivenUp {
         /// The executor that it was on.
         executor: String,
@@ -597,16 +603,17 @@
         task: TaskKey,
         /// The run.
         run: u64,
-        /// By what.
+        /// The evidence.
         why: IncarnationEnd,
-        /// How long after its order the executor first missed one, in
-        /// milliseconds: it can't have run for longer when that crashed.
+        /// The time from its order until the executor first missed an order
+        /// or a renewal, in milliseconds: the longest that it can have run if
+        /// the executor crashed.
         ran: Millis,
-        /// How long after its order the executor was heard last, in
-        /// milliseconds: so long at least it did no harm.
+        /// The time from its order until the executor was last heard, in
+        /// milliseconds: it ran at least that long without a crash.
         survived: Millis,
     },
-    /// An executor has crashed, and a task may have done it; for the logs.
+    /// Log that an executor has crashed and a task may have caused it.
     TaskSuspected {
         /// The task.
         task: TaskKey,
@@ -614,16 +621,16 @@
         executor: String,
         /// How its run there was lost.
         loss: RunLoss,
-        /// Its runs that were lost so by now.
+        /// The number of its runs that were lost in crashes so far.
         runs: u32,
-        /// What that weighs, see [`crate::jobs::crash_evidence`].
+        /// The weight of these, see [`crate::jobs::crash_evidence`].
         weight: u32,
-        /// How often executors were taken to crash by something else, in
-        /// crashes a second and executor.
+        /// The assumed rate of crashes with other causes, in crashes per
+        /// second and executor.
         rate: f64,
     },
-    /// An executor has survived a task that may have crashed others; for the
-    /// logs.
+    /// Log that an executor has survived a task that was suspected of crashing
+    /// others.
     TaskCleared {
         /// The task.
         task: TaskKey,
@@ -632,45 +639,45 @@
         /// The executor.
         executor: String,
     },
-    /// A task crashes the executors that start it, and its job has failed by
-    /// that; for the logs.
+    /// Log that a job has failed since a task crashes the executors that start
+    /// it.
     TaskGivenUp {
         /// The task.
         task: TaskKey,
-        /// The client account of its job.
+        /// The client account of its job, if any.
         account: Option<String>,
         /// The queue of its job.
         queue: String,
-        /// Its runs that were lost with executors.
+        /// The number of its runs that were lost with executors.
         runs: u32,
         /// The addresses of these executors.
         addresses: Vec<String>,
     },
 }
 
-/// By what a leader takes a life of an executor, or what runs there, for
-/// over.
+/// The evidence by which a leader considers an incarnation of an executor, and
+/// the runs there, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IncarnationEnd {
-    /// Another life has answered at its address.
+    /// Another incarnation has answered at its address.
     AnotherAnswers,
-    /// The machine on which it was shown is not up any more, or another life
-    /// answers there.
+    /// The machine on which it was shown is no longer up, or hosts another
+    /// incarnation.
     LeftMachine,
-    /// It is silent, and its lease has run out.
+    /// It is silent and its lease has expired.
     Lapsed,
-    /// It was not heard in this tenure, and what a predecessor may have
-    /// ordered there has lapsed.
+    /// It was not heard in this term, and the leases of all that a previous
+    /// leader may have ordered there have expired.
     NeverHeard,
 }
 
-/// What was written by a revision of the store.
+/// A value as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredValue {
     /// The name.
     pub name: String,
     /// The value.
     pub value: Vec<u8>,
-    /// When it was written.
+    /// The revision at which it was written.
     pub revision: Revision,
 }
