--- a/puffinknot-core/src/jobs/mechanism.rs
+++ b/puffinknot-core/src/jobs/mechanism.rs
@@ -153,7 +153,10 @@
         let known = NAMES.iter().find(|(_, name)| *name == text);
         known.map(|(mechanism, _)| *mechanism).ok_or_else(|| {
             let names: Vec<&str> = NAMES.iter().map(|(_, n)| *n).collect();
-            format!("no mechanism {text}; give one of {}", names.join(", "))
+            format!(
+                "unknown mechanism {text}; use one of {}",
+                names.join(", ")
+            )
         })
     }
 }
--- a/puffinknot-core/src/jobs/model.rs
+++ b/puffinknot-core/src/jobs/model.rs
@@ -1,5 +1,5 @@
 /*!
-Jobs, steps and the names of tasks.
+Jobs, their steps and tasks, and how these are identified.
 */
 
 use std::fmt;
@@ -10,7 +10,7 @@
 use crate::config::Resources;
 use crate::ids::Millis;
 
-/// The name of a job, chosen by whoever hands it in: 16 hex digits.
+/// The id of a job, chosen by its submitter and written as 16 hex digits.
 #[derive(
     Clone,
     Copy,
@@ -35,27 +35,27 @@
     }
 }
 
-/// A text is not the name of a job or a task.
+/// An error from parsing a [`JobId`] or a [`TaskKey`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotAName;
+pub struct ParseNameError;
 
-impl fmt::Display for NotAName {
+impl fmt::Display for ParseNameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("not a job id; use 16 lower-case hex digits")
     }
 }
 
-impl std::error::Error for NotAName {}
+impl std::error::Error for ParseNameError {}
 
 impl FromStr for JobId {
-    type Err = NotAName;
+    type Err = ParseNameError;
 
-    fn from_str(text: &str) -> Result<JobId, NotAName> {
-        let digit = |b: u8| matches!(b, b'0'..=b'9' | b'a'..=b'f');
-        if text.len() != JOB_ID_DIGITS || !text.bytes().all(digit) {
-            return Err(NotAName);
+    fn from_str(text: &str) -> Result<JobId, ParseNameError> {
+        let is_digit = |b: u8| matches!(b, b'0'..=b'9' | b'a'..=b'f');
+        if text.len() != JOB_ID_DIGITS || !text.bytes().all(is_digit) {
+            return Err(ParseNameError);
         }
-        u64::from_str_radix(text, 16).map(JobId).map_err(|_| NotAName)
+        u64::from_str_radix(text, 16).map(JobId).map_err(|_| ParseNameError)
     }
 }
 
@@ -76,14 +76,14 @@
 pub struct StepKey {
     /// The job.
     pub job: JobId,
-    /// Which repetition, from zero.
+    /// The index of the repetition.
     pub time: u32,
-    /// Which step, from zero.
+    /// The index of the step.
     pub step: u32,
 }
 
 impl StepKey {
-    /// The task with this index.
+    /// The task of the step with an index.
     pub fn task(&self, index: u32) -> TaskKey {
         TaskKey { step: *self, index }
     }
@@ -112,7 +112,7 @@
 pub struct TaskKey {
     /// The step.
     pub step: StepKey,
-    /// Which task of it, from zero.
+    /// The index of the task in the step.
     pub index: u32,
 }
 
@@ -123,62 +123,68 @@
 }
 
 impl FromStr for TaskKey {
-    type Err = NotAName;
+    type Err = ParseNameError;
 
-    fn from_str(text: &str) -> Result<TaskKey, NotAName> {
+    fn from_str(text: &str) -> Result<TaskKey, ParseNameError> {
         let mut parts = text.split('.');
-        let job = parts.next().ok_or(NotAName)?.parse()?;
-        let mut number = || -> Result<u32, NotAName> {
-            parts.next().ok_or(NotAName)?.parse().map_err(|_| NotAName)
+        let job = parts.next().ok_or(ParseNameError)?.parse()?;
+        let mut number = || -> Result<u32, ParseNameError> {
+            parts
+                .next()
+                .ok_or(ParseNameError)?
+                .parse()
+                .map_err(|_| ParseNameError)
         };
         let (time, step, index) = (number()?, number()?, number()?);
         if parts.next().is_some() {
-            return Err(NotAName);
+            return Err(ParseNameError);
         }
         Ok(TaskKey { step: StepKey { job, time, step }, index })
     }
 }
 
-/// A number of equal tasks.
+/// A step of a job: a number of equal tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// How many tasks.
+    /// The number of tasks.
     pub count: u32,
-    /// What each of them needs.
+    /// The resources that each task needs.
     pub need: Resources,
-    /// A rough guess at the time of one task, in milliseconds.
+    /// A rough estimate of the run time of one task, in milliseconds.
     pub estimate: Millis,
-    /// The steps that must be done first.
+    /// The indexes of the steps that must be done first.
     pub after: Vec<u32>,
-    /// The tasks work only together.
+    /// Whether the tasks are a gang, which only works if all run together.
     pub gang: bool,
-    /// The tasks are slowed if they are on more than one rack.
+    /// Whether the tasks are slower if they are on more than one rack.
     pub same_rack: bool,
-    /// A label that the executor must have.
+    /// A label that the executor must have, if any.
     pub label: Option<String>,
-    /// The rack where the data lies; elsewhere the work is slower.
+    /// The rack that holds the data, if any; elsewhere the tasks are slower.
     pub near: Option<String>,
-    /// The most tasks of the step on one executor; zero means any number.
+    /// The most tasks of the step on one executor; zero means no limit.
     pub max_per_executor: u32,
-    /// Copies of a task may run side by side.
+    /// Whether several copies of a task may run at the same time.
     pub copies: bool,
-    /// The tasks save their progress.
+    /// Whether the tasks save checkpoints.
     pub checkpoints: bool,
-    /// The tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     pub lasting: bool,
-    /// What the tasks run; tasks with the same image behave alike.
+    /// The image that the tasks run; tasks with the same image behave alike.
     pub image: String,
-    /// For serving tasks: the bound on the tail of their answer times.
+    /// The bound on the tail latency of serving tasks, in milliseconds; zero
+    /// for others.
     pub target: Millis,
-    /// The tasks use only processor time that others leave.
+    /// Whether the tasks use only processor time that others leave idle.
     pub fills: bool,
-    /// How many tasks may be away at once by our own doing.
+    /// The most tasks that the scheduler's own actions may make unavailable at
+    /// the same time, if limited.
     pub may_miss: Option<u32>,
 }
 
 impl Step {
-    /// The task that stands for another in what is counted and kept of tasks:
-    /// a gang counts as its first.
+    /// The index under which counts and checkpoints of a task are kept: a gang
+    /// is represented by its first task.
     pub fn representative(&self, index: u32) -> u32 {
         if self.gang {
             0
@@ -187,7 +193,7 @@
         }
     }
 
-    /// What one of its tasks takes of an executor's room.
+    /// The capacity that one task takes up on an executor.
     pub fn footprint(&self) -> Resources {
         if self.fills {
             Resources { cpu_millis: 0, ..self.need }
@@ -197,34 +203,34 @@
     }
 }
 
-/// When a job that repeats is due.
+/// The schedule of a repeating job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repeats {
-    /// The first time, in milliseconds since 1970.
+    /// The time of the first repetition, in milliseconds since the Unix epoch.
     pub first: Millis,
-    /// The time between two repetitions, in milliseconds.
+    /// The interval between two repetitions, in milliseconds.
     pub every: Millis,
-    /// How many repetitions.
+    /// The number of repetitions.
     pub times: u32,
 }
 
-/// What was handed in.
+/// A job as submitted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Its name.
+    /// Its id.
     pub id: JobId,
-    /// The client account that it belongs to. A job of an open queue has
-    /// none.
+    /// The client account that it belongs to; `None` for a job of an open
+    /// queue.
     pub account: Option<String>,
     /// The queue.
     pub queue: String,
     /// The service that ran the queue when the job was accepted.
     pub service: String,
-    /// What each task is told.
+    /// The specification that is passed to each task.
     pub spec: String,
     /// The steps.
     pub steps: Vec<Step>,
-    /// When it is due, if it is not due at once.
+    /// The schedule by which it repeats; `None` if it runs once, at once.
     pub repeats: Option<Repeats>,
 }
 
@@ -236,25 +242,26 @@
 const MAX_REPEATS: u32 = 10_000;
 
 impl Job {
-    /// How often the steps run.
+    /// The number of repetitions; one for a job that does not repeat.
     pub fn repetitions(&self) -> u32 {
         self.repeats.map_or(1, |r| r.times)
     }
 
-    /// The longest chain of estimates, in milliseconds.
+    /// The length of the critical path by the estimates, in milliseconds.
     pub fn critical_path(&self) -> Millis {
         let mut ends: Vec<Millis> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let before = step.after.iter();
-            let before = before.filter_map(|&a| ends.get(a as usize));
+            let before = before.filter_map(|&at| ends.get(at as usize));
             let start = before.copied().max().unwrap_or(0);
             ends.push(start + step.estimate);
         }
         ends.into_iter().max().unwrap_or(0)
     }
 
-    /// The longest chain that begins with a step, in milliseconds, if each
-    /// step takes as long as `time_of` says.
+    /// The length of the longest path that begins with a step, in
+    /// milliseconds, if each step takes the time that `time_of` returns for
+    /// it.
     pub fn critical_path_from(
         &self,
         number: u32,
@@ -268,7 +275,7 @@
         for (at, step) in self.steps.iter().enumerate().skip(first) {
             let before = step.after.iter();
             let before =
-                before.filter_map(|&a| ends.get(a as usize)?.as_ref());
+                before.filter_map(|&at| ends.get(at as usize)?.as_ref());
             let start = match before.max() {
                 Some(end) => *end,
                 None if at == first => 0,
@@ -279,11 +286,11 @@
         ends.into_iter().flatten().max().unwrap_or(0)
     }
 
-    /// Checks what the types can't.
+    /// Checks the constraints that the types do not enforce.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong, with its remedy.
+    /// A description of the first violation, with its remedy.
     pub fn validate(&self) -> Result<(), String> {
         if self.steps.is_empty() {
             return Err("the job has no steps; give it one".into());
@@ -314,16 +321,16 @@
     }
 }
 
-/// Where a job stands, as whoever handed it in is told.
+/// The state of a job, as shown to its submitter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// No task has begun.
+    /// No task has started.
     Queued,
-    /// A task has begun.
+    /// At least one task has started.
     Running,
     /// All tasks are done.
     Succeeded,
-    /// A task has failed as often as it may.
+    /// A task has failed on all its attempts.
     Failed,
     /// It was cancelled.
     Cancelled,
--- a/puffinknot-core/src/jobs/policy.rs
+++ b/puffinknot-core/src/jobs/policy.rs
@@ -1,5 +1,6 @@
 /*!
-The operators' policy for queues: who serves them, and how urgent they are.
+The operators' policy: queues with their priorities and objectives, the
+services that run them, client accounts, and limits on requests.
 */
 
 use std::collections::BTreeMap;
@@ -9,19 +10,19 @@
 use crate::ids::Millis;
 use crate::jobs::accounts::Account;
 
-/// What advice on a step costs, and how long it holds.
+/// The cost of advice on a step, and how long its tickets are valid.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AdviceCost {
-    /// For each call, in milliseconds.
+    /// The time per call, in milliseconds.
     pub call_ms: f64,
-    /// For each executor that is asked about, in milliseconds.
+    /// The additional time per executor in the call, in milliseconds.
     pub each_ms: f64,
-    /// How long a ticket holds, in milliseconds.
+    /// How long a ticket is valid, in milliseconds.
     pub valid: Millis,
 }
 
 impl AdviceCost {
-    /// The time that a call about this many executors takes.
+    /// The time that a call on a number of executors takes.
     pub fn call_time(&self, executors: usize) -> Millis {
         (self.call_ms + self.each_ms * executors as f64).ceil() as Millis
     }
@@ -32,33 +33,34 @@
 pub struct Queue {
     /// Its name.
     pub name: String,
-    /// The host that jobs are handed in under.
+    /// The host under which jobs are submitted.
     pub host: String,
-    /// The start of the path that jobs are handed in under.
+    /// The path prefix under which jobs are submitted.
     pub prefix: String,
     /// The service whose executors run its tasks.
     pub service: String,
-    /// How urgent it is; zero comes first and may displace others.
+    /// Its priority: zero is the most urgent and may preempt others.
     pub priority: u32,
-    /// How often a task may fail.
+    /// The number of failures of a task at which its job fails.
     pub max_attempts: u32,
-    /// A job should take at most this times its longest chain of work.
+    /// The objective of a job as a multiple of the length of its critical
+    /// path.
     pub stretch: f64,
-    /// What is added to that, in milliseconds.
+    /// The time that is added to this objective, in milliseconds.
     pub target: Millis,
-    /// How long a client's call may take, in milliseconds.
+    /// The time limit for a client's call, in milliseconds.
     pub timeout: Millis,
-    /// What advice costs, if its steps need advice.
+    /// The cost of advice, if its steps need advice.
     pub advice: Option<AdviceCost>,
-    /// Anyone may call it: no key is asked for.
+    /// Whether anyone may use it without an API key.
     pub open: bool,
 }
 
 impl Queue {
-    /// How long a job with this longest chain of work should take at the
-    /// most; both in milliseconds.
-    pub fn objective(&self, chain: Millis) -> Millis {
-        (chain as f64 * self.stretch.max(1.0)) as Millis + self.target
+    /// The longest time that a job with a critical path of this length should
+    /// take; both in milliseconds.
+    pub fn objective(&self, critical_path: Millis) -> Millis {
+        (critical_path as f64 * self.stretch.max(1.0)) as Millis + self.target
     }
 }
 
@@ -67,18 +69,18 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Its machines are off and cost nothing.
+    /// Whether its machines are off and cost nothing.
     pub headroom: bool,
 }
 
-/// Bounds on what clients send.
+/// Limits on what clients send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IngressLimits {
-    /// The largest body, in bytes.
+    /// The largest request body, in bytes.
     pub body_bytes: usize,
-    /// The time for the head of a request, in milliseconds.
+    /// The time limit for the head of a request, in milliseconds.
     pub head_timeout: Millis,
-    /// How long an unused connection is kept, in milliseconds.
+    /// How long an idle connection is kept, in milliseconds.
     pub idle_timeout: Millis,
 }
 
@@ -92,10 +94,10 @@
     }
 }
 
-/// All of the operators' policy, in one version.
+/// One version of the operators' whole policy.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Policy {
-    /// The version; only grows.
+    /// The version, which only increases.
     pub version: u64,
     /// The queues by name.
     pub queues: BTreeMap<String, Queue>,
@@ -103,26 +105,26 @@
     pub services: BTreeMap<String, Service>,
     /// The client accounts by name.
     pub accounts: BTreeMap<String, Account>,
-    /// Bounds on what clients send.
+    /// Limits on what clients send.
     pub limits: IngressLimits,
 }
 
 impl Policy {
-    /// Whether it names a service. One that names none leaves them all to its
-    /// queues.
+    /// Whether it includes a service. A policy that lists no services includes
+    /// all of them.
     pub fn has_service(&self, service: &str) -> bool {
         self.services.is_empty() || self.services.contains_key(service)
     }
 }
 
-/// Finds the queue of a request: by its host and the longest prefix.
+/// Finds the queue of a request by its host and the longest matching prefix.
 #[derive(Clone, Debug, Default)]
 pub struct Router {
     hosts: BTreeMap<String, Vec<(String, String)>>,
 }
 
 impl Router {
-    /// A router for this policy.
+    /// Creates a router for a policy.
     pub fn new(policy: &Policy) -> Router {
         let mut hosts: BTreeMap<String, Vec<(String, String)>> =
             BTreeMap::new();
@@ -132,13 +134,14 @@
             hosts.entry(host).or_default().push(entry);
         }
         for entries in hosts.values_mut() {
-            // The longest prefix is found first.
+            // The first match is then the longest.
             entries.sort_by_key(|(prefix, _)| usize::MAX - prefix.len());
         }
         Router { hosts }
     }
 
-    /// The queue for a host and a path, and the rest of the path.
+    /// The queue for a host and a path, and the rest of the path after its
+    /// prefix.
     pub fn find<'a, 'b>(
         &'a self,
         host: &str,
--- a/puffinknot-core/src/jobs/record.rs
+++ b/puffinknot-core/src/jobs/record.rs
@@ -1,13 +1,13 @@
 /*!
-What is kept in the store, under which names, and in which form.
-
-What has become of jobs is written as *records*, one for each commit: new
-jobs, and the progress of others. A record stands until nothing in it matters
-any more. When a job ends, its name and final state are added to a *chunk* of
-ended jobs. The executors that the cell has ordered are kept in *shards*, so
-that a successor knows whom to ask. What may still run of jobs that have ended
-is one value: it counts against the limits of client accounts, and no job
-tells it any more.
+The data that is kept in the store: names, types and encoding.
+
+The progress of jobs is written as *records*, one for each commit: new jobs,
+and the progress of others. A record is kept until nothing in it is relevant
+any more. When a job ends, its id and final state are added to a *chunk* of
+ended jobs. The executors to which the cell has sent orders are kept in
+*shards*, so that a new leader knows which to query. The resources that tasks
+of ended jobs may still use are a single value: they count against the limits
+of client accounts, and no job records them any more.
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,55 +23,56 @@
 use crate::jobs::model::{Job, JobId, JobState};
 use crate::jobs::policy::Queue;
 
-/// Names of records begin so.
+/// The prefix of the names of records.
 pub const RECORD_PREFIX: &str = "record/";
-/// Names of chunks of ended jobs begin so.
+/// The prefix of the names of chunks of ended jobs.
 pub const ENDED_PREFIX: &str = "ended/";
-/// Names of shards of the list of executors begin so.
+/// The prefix of the names of shards of the list of executors.
 pub const SHARD_PREFIX: &str = "enrolled/";
-/// The list of executors has so many shards, so that one that comes or goes
-/// has a small part of it written again, and none grows too large for a value.
+/// The number of shards of the list of executors. Shards keep a change of one
+/// executor from rewriting more than a small part of the list, and a shard
+/// from exceeding the size limit of a value.
 pub const SHARD_COUNT: u8 = 16;
 
-/// The name of the whole list, as earlier versions wrote it.
+/// The name of the whole list of executors, as earlier versions wrote it.
 pub const LEGACY_EXECUTORS: &str = "executors";
 
 /// The name of the list of machines on which executors were shown, as earlier
 /// versions wrote it.
 pub const LEGACY_MACHINES: &str = "machines";
 
-/// The machines on which executors were shown, by the executors' names.
+/// The machines on which executors were shown, by the names of the executors.
 pub type MachinesByExecutor = BTreeMap<String, String>;
 
-/// The name of the list of machines that have had their upkeep.
+/// The name of the list of machines that have had their maintenance.
 pub const FINISHED_MAINTENANCE: &str = "waves";
 
-/// The name of what may still run of jobs that were given up.
+/// The name of the resources that tasks of ended jobs may still use.
 pub const STOPPING_RESOURCES: &str = "stopping";
 
-/// What may still run of jobs that have ended before their tasks, by client
-/// account.
+/// The resources that tasks may still use whose jobs have ended before them,
+/// by client account.
 pub type StoppingResources = BTreeMap<String, Resources>;
 
-/// The machines that have had their upkeep, by wave.
+/// The machines that have had their maintenance, by wave.
 pub type FinishedMaintenance = BTreeMap<u64, BTreeSet<String>>;
 
-/// The number of a record: the tenure that wrote it, and which of its
-/// records it is. Later records have greater numbers.
+/// The number of a record: the leader term that wrote it, and its sequence
+/// number within the term. Later records have greater numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RecordNumber {
-    /// The token of the tenure.
+    /// The fencing token of the term.
     pub token: u64,
-    /// The number within the tenure.
+    /// The sequence number within the term.
     pub sequence: u64,
 }
 
-/// What one commit says about jobs.
+/// The changes to jobs in one commit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Jobs, and the policies of their queues when they were accepted.
+    /// New jobs, each with the policy of its queue when it was accepted.
     pub accepted: Vec<(Job, Queue)>,
-    /// The progress of jobs; the newest counts.
+    /// The progress of jobs; the latest record with a job counts.
     pub progress: Vec<(JobId, Progress)>,
 }
 
@@ -80,18 +81,18 @@
 pub struct StepProgress {
     /// The tasks that are done; for a gang, all or none.
     pub done: Vec<u32>,
-    /// For each task that has failed, the runs that did; a gang counts as
+    /// The failed runs of each task that has failed; a gang is represented by
     /// its first task.
     pub failed: BTreeMap<u32, Vec<u64>>,
-    /// For each task that may have crashed executors, how; a gang counts as
-    /// its first task.
+    /// The crash evidence against each task that may have crashed executors;
+    /// a gang is represented by its first task.
     pub losses: BTreeMap<u32, CrashEvidence>,
 }
 
 /// The progress of one job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// The steps that have any, by repetition and number.
+    /// The steps that have any, by repetition and index.
     pub steps: BTreeMap<(u32, u32), StepProgress>,
 }
 
@@ -107,40 +108,39 @@
 pub struct EndedJob {
     /// The job.
     pub job: JobId,
-    /// How it ended.
+    /// Its final state.
     pub state: JobState,
     /// The client account that it belonged to, if any.
     pub account: Option<String>,
 }
 
-/// An executor that the cell has ordered.
+/// An executor to which the cell has sent orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EnrolledExecutor {
-    /// What it said of itself.
+    /// Its entry.
     pub info: ExecutorInfo,
-    /// The machine on which it was shown; empty if it was not.
+    /// The machine on which it was shown; empty if it was not shown.
     pub machine: String,
 }
 
-/// One shard of the executors that the cell has ordered.
+/// One shard of the list of executors to which the cell has sent orders.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shard {
-    /// Each of them.
+    /// The executors.
     pub executors: Vec<EnrolledExecutor>,
-    /// How long runs take on each, see [`Speed::to_stored`]; empty if none is
-    /// known to differ.
+    /// The speed of each executor, see [`Speed::to_stored`]; empty if none is
+    /// known to differ from the typical.
     ///
     /// [`Speed::to_stored`]: crate::jobs::speed::Speed::to_stored
     pub speeds: Vec<i8>,
 }
 
 impl Shard {
-    /// Reads a shard, also one of an earlier version, which ends before the
-    /// speeds.
+    /// Decodes a shard. Shards of earlier versions have no speeds.
     ///
     /// # Errors
     ///
-    /// If the bytes are anything else.
+    /// If the bytes are not a shard of either version.
     pub fn read(bytes: &[u8]) -> Result<Shard, String> {
         decode(bytes).or_else(|err| {
             let executors = decode(bytes).map_err(|_| err)?;
@@ -149,7 +149,7 @@
     }
 }
 
-/// The shard of an executor, by its name.
+/// The shard of the executor with a name.
 pub fn shard_of(id: &str) -> u8 {
     let mut hasher = SipHasher13::new();
     id.hash(&mut hasher);
@@ -161,19 +161,20 @@
     format!("{SHARD_PREFIX}{shard:02x}")
 }
 
-/// The executors that the cell has ordered, as earlier versions wrote them.
+/// The whole list of executors to which the cell has sent orders, as earlier
+/// versions wrote it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LegacyEnrolled {
-    /// Each of them.
+    /// The executors.
     pub executors: Vec<ExecutorInfo>,
 }
 
-/// The name of a record. Names are in the order of numbers.
+/// The name of a record. Names sort in the order of numbers.
 pub fn record_name(number: RecordNumber) -> String {
     format!("{RECORD_PREFIX}{:016x}-{:08x}", number.token, number.sequence)
 }
 
-/// The number of the record with this name.
+/// The number of the record with a name; `None` if it is no record's name.
 pub fn record_number(name: &str) -> Option<RecordNumber> {
     let (token, sequence) =
         name.strip_prefix(RECORD_PREFIX)?.split_once('-')?;
@@ -183,22 +184,22 @@
     })
 }
 
-/// The bytes of a value.
+/// Encodes a value.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     bincode::serde::encode_to_vec(value, bincode::config::standard())
         .unwrap_or_default()
 }
 
-/// Reads a value.
+/// Decodes a value.
 ///
 /// # Errors
 ///
-/// If the bytes are anything else.
+/// If the bytes are not exactly one such value.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, String> {
     let config = bincode::config::standard();
     match bincode::serde::decode_from_slice(bytes, config) {
         Ok((value, used)) if used == bytes.len() => Ok(value),
-        Ok(_) => Err("a value is followed by something else".into()),
+        Ok(_) => Err("trailing bytes after the value".into()),
         Err(err) => Err(err.to_string()),
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/speeds.rs
+++ b/puffinknot-core/src/jobs/scheduler/speeds.rs
@@ -165,13 +165,13 @@
         let mut findings = Vec::new();
         if !step.gang {
             findings = compare(&state.times, speed_of, error, expected);
-            let thought = findings.iter().map(|f| speed_of(f.at).mean());
+            let thought = findings.iter().map(|f| speed_of(f.executor).mean());
             let thought: Vec<f64> = thought.collect();
             error.observe_task_variance(&findings, &thought);
         }
         error.observe_step(step.estimate, &state.times);
         for finding in findings {
-            self.change_speed(finding.at, |speed| {
+            self.change_speed(finding.executor, |speed| {
                 speed.observe(finding.log_ratio, finding.variance, now);
             });
         }
--- a/puffinknot-core/src/jobs/speed.rs
+++ b/puffinknot-core/src/jobs/speed.rs
@@ -1,200 +1,216 @@
 /*!
-How fast executors are, and how far guesses at run times are off, learnt from
-runs.
-
-Nothing says that one executor is quicker than another, and the guess that
-comes with a job may be off by a factor of two. Both show in how long runs
-take, and have to be told apart:
-
-* The tasks of one step share the error of their guess. Compared with each
-  other, it cancels, and what is left tells of the executors ([`compare`]).
-* What a whole step took, less what its executors explain, tells how far the
-  guesses of its queue are off ([`EstimateError`]).
-
-All is reckoned in natural logarithms of times, where factors add up. Evidence
-is weighed by the inverse of its variance and fades with time, so that an
-executor which has become slow, or has recovered, is found out within a few
-runs. An executor counts as usual until it is known to differ ([`Speed`]): a
-cell of equal executors is decided on as if nothing were learnt.
+The speed of executors and the error of run time estimates, learnt from runs.
+
+Nothing tells in advance that one executor is faster than another, and the
+estimate that comes with a job may be off by a factor of two. Both show in run
+times, and have to be told apart:
+
+* The tasks of one step share the error of their estimate. When they are
+  compared with each other it cancels, and what remains is due to the executors
+  ([`compare`]).
+* The run times of a whole step, corrected for the speed of its executors, show
+  how far the estimates of its queue are off ([`EstimateError`]).
+
+All calculations use natural logarithms of times, in which factors add up.
+Evidence is weighted by the inverse of its variance and decays with time, so
+that an executor which has become slow, or has recovered, is detected within a
+few runs. An executor counts as typical until a difference is established
+([`Speed`]): in a cell of equal executors, decisions are the same as without
+learning.
 */
 
 use crate::ids::Millis;
 use crate::jobs::message::ExecutorIndex;
 
-/// Executors and guesses that differ from the usual by less than this, in
-/// natural logarithms, count as usual: less than a quarter of a run time is
+/// Executors and estimates that differ from the typical by less than this, in
+/// natural logarithms, count as typical: less than a quarter of a run time is
 /// not worth a worse fit.
 pub const MARGIN: f64 = 0.223;
-/// What differs is known once it does so by this many standard errors. With
-/// hundreds of executors, less would find one that differs by chance.
-const SURE: f64 = 3.0;
-/// What is known is given up below this many.
-const DOUBTFUL: f64 = 2.0;
-/// Before any run, executors are thought to lie around the usual with this
-/// variance: two of three within a factor of 1.6.
-const PRIOR: f64 = 0.25;
-/// Evidence loses half of its weight in this time, in milliseconds: an
-/// executor that gets no runs for being slow is tried again within a minute,
-/// and one that gets a run every few seconds stays known.
-const HALF_LIFE: f64 = 10_000.0;
-/// Evidence weighs no more than this, the standard error being an eighth, so
-/// that a change is not outweighed by a long past.
-const MOST_WEIGHT: f64 = 60.0;
-/// A run that lies further off than this many standard deviations is no chance
-/// any more: the executor has changed, or something else held the run up.
-const FAR: f64 = 3.0;
-/// So many of them in a row, all to one side, are a change.
-const CHANGED_BY: i8 = 2;
-/// The variance of the tasks of one step among each other, until it is known.
-const UNEVEN: f64 = 0.09;
-/// The variance of guesses, until it is known: a factor of 1.6.
-const SPREAD: f64 = 0.25;
-/// No variance is taken to be less than this: clocks and ways to executors
-/// add to short runs.
-const LEAST: f64 = 0.01;
-/// The steps of a queue that its guesses are judged by, about.
-const STEPS: f64 = 64.0;
-/// A queue's guesses are judged by this many steps at least.
-const FEW_STEPS: f64 = 8.0;
-/// At most so many runs of a step are compared.
-const MOST_COMPARED: usize = 64;
-/// A byte that is kept of an executor counts such parts of a logarithm.
-const KEPT_PARTS: f64 = 32.0;
-/// What is kept of an executor weighs as much as this, a few runs, so that
-/// its own runs soon outweigh it.
-const KEPT_WEIGHT: f64 = 50.0;
-
-/// How long runs take on one executor.
+/// The number of standard errors from which on a difference is established.
+/// With hundreds of executors, a lower one would find some that differ by
+/// chance.
+const ESTABLISHED_ERRORS: f64 = 3.0;
+/// The number of standard errors below which an established difference is
+/// dropped.
+const DROPPED_ERRORS: f64 = 2.0;
+/// The prior variance of executors around the typical: two of three are within
+/// a factor of 1.6.
+const PRIOR_VARIANCE: f64 = 0.25;
+/// The half-life of evidence: an executor that gets no runs since it is slow
+/// is tried again within a minute, while the speed of one that gets a run
+/// every few seconds stays established.
+const HALF_LIFE_MS: f64 = 10_000.0;
+/// The maximum weight of evidence, at which the standard error is an eighth,
+/// so that a long past does not outweigh a change.
+const MAX_WEIGHT: f64 = 60.0;
+/// The number of standard deviations beyond which a run is an outlier: the
+/// executor has changed, or something else delayed the run.
+const OUTLIER_DEVIATIONS: f64 = 3.0;
+/// The number of consecutive outliers to one side that count as a change of
+/// the executor.
+const CHANGE_OUTLIERS: i8 = 2;
+/// The variance among the tasks of one step until enough steps are compared.
+const DEFAULT_TASK_VARIANCE: f64 = 0.09;
+/// The variance of estimates until enough steps are observed: a factor of 1.6.
+const DEFAULT_ESTIMATE_VARIANCE: f64 = 0.25;
+/// The least variance that is assumed, since clock resolution and latency to
+/// executors distort short runs.
+const MIN_VARIANCE: f64 = 0.01;
+/// The approximate number of recent steps that determine the error of a
+/// queue's estimates.
+const MAX_STEPS: f64 = 64.0;
+/// The least number of steps from which the error of a queue's estimates is
+/// derived.
+const MIN_STEPS: f64 = 8.0;
+/// The most runs of a step that are compared.
+const MAX_COMPARED: usize = 64;
+/// The resolution of the stored speed, in parts of a natural logarithm.
+const STORED_RESOLUTION: f64 = 32.0;
+/// The weight of a stored speed: that of a few runs, so that new runs soon
+/// outweigh it.
+const STORED_WEIGHT: f64 = 50.0;
+
+/// The speed of one executor, as learnt from run times.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Speed {
-    /// The weight of all evidence, and its sum by weight, as of `at`.
+    /// The weight of all evidence, and its weighted sum, as of `at`.
     weight: f64,
     sum: f64,
     at: Millis,
-    /// Runs in a row that lay far off, negative if they were short.
-    far: i8,
-    shown: f64,
+    /// The number of consecutive outliers, negative if they were short.
+    outliers: i8,
+    /// The established difference from the typical executor, or zero.
+    established: f64,
 }
 
 impl Speed {
-    /// What a predecessor has kept of an executor, see [`Speed::to_stored`].
-    pub fn from_stored(kept: i8, now: Millis) -> Speed {
-        if kept == 0 {
+    /// Decodes a speed that a previous leader has stored, see
+    /// [`Speed::to_stored`].
+    pub fn from_stored(stored: i8, now: Millis) -> Speed {
+        if stored == 0 {
             return Speed::default();
         }
-        let shown = f64::from(kept) / KEPT_PARTS;
-        let sum = shown * (KEPT_WEIGHT + 1.0 / PRIOR);
-        Speed { weight: KEPT_WEIGHT, sum, at: now, far: 0, shown }
+        let established = f64::from(stored) / STORED_RESOLUTION;
+        let sum = established * (STORED_WEIGHT + 1.0 / PRIOR_VARIANCE);
+        Speed { weight: STORED_WEIGHT, sum, at: now, outliers: 0, established }
     }
 
-    /// A byte to know it by later; zero if it is not known to differ.
+    /// Encodes the speed as a byte for the store; zero if it is not known to
+    /// differ.
     pub fn to_stored(&self) -> i8 {
-        let parts = (self.shown * KEPT_PARTS).round();
+        let parts = (self.established * STORED_RESOLUTION).round();
         parts.clamp(f64::from(i8::MIN), f64::from(i8::MAX)) as i8
     }
 
-    /// How much longer runs take than on the usual executor, as a natural
-    /// logarithm; zero unless it is known to differ. Negative is quicker.
+    /// How much longer runs take than on a typical executor, as a natural
+    /// logarithm; zero unless the difference is established. Negative is
+    /// faster.
     pub fn slowness(&self) -> f64 {
-        self.shown
+        self.established
     }
 
-    /// What is thought of it, whether it is sure or not.
+    /// The estimate of [`Speed::slowness`], whether established or not.
     pub fn mean(&self) -> f64 {
-        self.sum / (self.weight + 1.0 / PRIOR)
+        self.sum / (self.weight + 1.0 / PRIOR_VARIANCE)
     }
 
     /// The variance of [`Speed::mean`].
     fn variance(&self) -> f64 {
-        1.0 / (self.weight + 1.0 / PRIOR)
+        1.0 / (self.weight + 1.0 / PRIOR_VARIANCE)
     }
 
-    fn fade(&mut self, now: Millis) {
+    fn decay(&mut self, now: Millis) {
         let age = now.saturating_sub(self.at) as f64;
-        let left = (-age / HALF_LIFE).exp2();
-        self.weight *= left;
-        self.sum *= left;
+        let factor = (-age / HALF_LIFE_MS).exp2();
+        self.weight *= factor;
+        self.sum *= factor;
         self.at = now;
     }
 
-    /// Takes in that a run was longer than it should by a logarithm, which has
-    /// a variance by itself.
-    pub fn observe(&mut self, longer: f64, variance: f64, now: Millis) {
-        self.fade(now);
-        let variance = variance.max(LEAST);
+    /// Adds a run that has ended. `log_ratio` is the natural logarithm of its
+    /// run time over the expected one, and `variance` the variance of that.
+    pub fn observe(&mut self, log_ratio: f64, variance: f64, now: Millis) {
+        self.decay(now);
+        let variance = variance.max(MIN_VARIANCE);
         let mean = self.mean();
-        let bound = FAR * (variance + self.variance()).sqrt();
-        let off = longer - mean;
-        let mut longer = longer;
-        if off.abs() <= bound {
-            self.far = 0;
-        } else if self.far.signum() == off.signum() as i8
-            && self.far.abs() + 1 >= CHANGED_BY
+        let bound = OUTLIER_DEVIATIONS * (variance + self.variance()).sqrt();
+        let deviation = log_ratio - mean;
+        let mut log_ratio = log_ratio;
+        if deviation.abs() <= bound {
+            self.outliers = 0;
+        } else if self.outliers.signum() == deviation.signum() as i8
+            && self.outliers.abs() + 1 >= CHANGE_OUTLIERS
         {
-            (self.weight, self.sum, self.far) = (0.0, 0.0, 0);
+            (self.weight, self.sum, self.outliers) = (0.0, 0.0, 0);
         } else {
-            self.far = off.signum() as i8;
-            longer = mean + off.clamp(-bound, bound);
+            self.outliers = deviation.signum() as i8;
+            log_ratio = mean + deviation.clamp(-bound, bound);
         }
         self.weight += 1.0 / variance;
-        self.sum += longer / variance;
-        if self.weight > MOST_WEIGHT {
-            self.sum *= MOST_WEIGHT / self.weight;
-            self.weight = MOST_WEIGHT;
+        self.sum += log_ratio / variance;
+        if self.weight > MAX_WEIGHT {
+            self.sum *= MAX_WEIGHT / self.weight;
+            self.weight = MAX_WEIGHT;
         }
-        self.show();
+        self.establish();
     }
 
-    /// Takes in that a run has gone on for longer than it should by a
-    /// logarithm, and goes on.
+    /// Adds a run that has not ended and already takes longer than expected,
+    /// with the same parameters as [`Speed::observe`].
     pub fn observe_overdue(
         &mut self,
-        longer: f64,
+        log_ratio: f64,
         variance: f64,
         now: Millis,
     ) {
-        self.fade(now);
-        if longer > self.mean() {
-            self.observe(longer, variance, now);
+        self.decay(now);
+        if log_ratio > self.mean() {
+            self.observe(log_ratio, variance, now);
         }
     }
 
-    /// Lets evidence fade.
+    /// Lets evidence decay.
     pub fn refresh(&mut self, now: Millis) {
         if self.weight > 0.0 {
-            self.fade(now);
-            self.show();
+            self.decay(now);
+            self.establish();
         }
     }
 
-    /// Decides whether it is known to differ.
-    fn show(&mut self) {
+    /// Decides whether the difference is established.
+    fn establish(&mut self) {
         let (mean, error) = (self.mean(), self.variance().sqrt());
-        let same_side = self.shown * mean > 0.0;
+        let same_side = self.established * mean > 0.0;
         let (margin, errors) = match same_side {
-            true => (MARGIN / 2.0, DOUBTFUL),
-            false => (MARGIN, SURE),
+            true => (MARGIN / 2.0, DROPPED_ERRORS),
+            false => (MARGIN, ESTABLISHED_ERRORS),
         };
-        let known = mean.abs() >= margin && mean.abs() >= errors * error;
-        self.shown = if known { mean } else { 0.0 };
+        let differs = mean.abs() >= margin && mean.abs() >= errors * error;
+        self.established = if differs { mean } else { 0.0 };
     }
 }
 
-/// How long the runs of one step have taken.
+/// The run times of one step.
 #[derive(Clone, Debug, Default)]
 pub struct StepTimes {
-    /// Where each was, and the logarithm of its milliseconds.
+    /// The executor of each run, and the logarithm of its run time in
+    /// milliseconds.
     runs: Vec<(ExecutorIndex, f64)>,
-    /// The sum of these less how slow their executors are.
+    /// The sum of these logarithms, each less the slowness of its executor.
     sum: f64,
 }
 
 impl StepTimes {
-    /// Takes in a run on an executor of this slowness.
-    pub fn add(&mut self, at: ExecutorIndex, time: Millis, slowness: f64) {
-        if self.runs.len() < MOST_COMPARED {
+    /// Adds a run on an executor with this slowness.
+    pub fn add(
+        &mut self,
+        executor: ExecutorIndex,
+        time: Millis,
+        slowness: f64,
+    ) {
+        if self.runs.len() < MAX_COMPARED {
             let log = (time.max(1) as f64).ln();
-            self.runs.push((at, log));
+            self.runs.push((executor, log));
             self.sum += log - slowness;
         }
     }
@@ -204,34 +220,34 @@
         self.runs.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no runs.
     pub fn is_empty(&self) -> bool {
         self.runs.is_empty()
     }
 
-    /// The logarithm of the milliseconds that a run takes on the usual
-    /// executor, by these alone.
-    pub fn usual(&self) -> Option<f64> {
+    /// The logarithm of the run time in milliseconds on a typical executor, by
+    /// these runs alone; `None` if there are none.
+    pub fn typical(&self) -> Option<f64> {
         let count = self.runs.len() as f64;
         (count > 0.0).then(|| self.sum / count)
     }
 }
 
-/// How much longer the runs of a step on one executor were than they should.
+/// The run times of a step on one executor, relative to the expected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SpeedSample {
     /// The executor.
-    pub at: ExecutorIndex,
-    /// The logarithm.
+    pub executor: ExecutorIndex,
+    /// The natural logarithm of the actual over the expected run time.
     pub log_ratio: f64,
     /// Its variance.
     pub variance: f64,
 }
 
-/// Compares the runs of a step by executors: each with what the others took,
-/// and with `expected`, the logarithm of what they should have taken, each by
-/// its weight. The error of the guess, which all share, counts little beside
-/// several others.
+/// Compares the runs of a step by executor. The reference for each executor is
+/// the weighted mean of the run times on the others and of `expected`, the
+/// logarithm of the expected run time. The error of the estimate, which all
+/// share, counts little beside several others.
 pub fn compare(
     times: &StepTimes,
     speed_of: impl Fn(ExecutorIndex) -> Speed,
@@ -239,156 +255,170 @@
     expected: f64,
 ) -> Vec<SpeedSample> {
     let mut runs = times.runs.clone();
-    runs.sort_by_key(|(at, _)| *at);
+    runs.sort_by_key(|(executor, _)| *executor);
     let groups: Vec<Group> = runs
         .chunk_by(|one, other| one.0 == other.0)
         .map(|group| Group::new(group, &speed_of(group[0].0)))
         .collect();
     let count: f64 = groups.iter().map(|group| group.count).sum();
-    let sum: f64 = groups.iter().map(|group| group.usual()).sum();
-    let unsure: f64 = groups.iter().map(|group| group.unsure).sum();
-    let findings = groups.iter().map(|group| {
+    let sum: f64 = groups.iter().map(|group| group.typical()).sum();
+    let speed_variance: f64 =
+        groups.iter().map(|group| group.speed_variance).sum();
+    let samples = groups.iter().map(|group| {
         let others = count - group.count;
         let mut weight = 1.0 / error.estimate_variance();
-        let mut usual = weight * expected;
+        let mut reference = weight * expected;
         if others > 0.0 {
-            let unsure = (unsure - group.unsure) / (others * others);
-            let seen = 1.0 / (error.task_variance() / others + unsure);
-            usual += seen * (sum - group.usual()) / others;
-            weight += seen;
+            let speed_variance =
+                (speed_variance - group.speed_variance) / (others * others);
+            let observed =
+                1.0 / (error.task_variance() / others + speed_variance);
+            reference += observed * (sum - group.typical()) / others;
+            weight += observed;
         }
-        let longer = group.sum / group.count - usual / weight;
+        let log_ratio = group.sum / group.count - reference / weight;
         let variance = 1.0 / weight + error.task_variance() / group.count;
-        SpeedSample { at: group.at, log_ratio: longer, variance }
+        SpeedSample { executor: group.executor, log_ratio, variance }
     });
-    findings.collect()
+    samples.collect()
 }
 
 /// The runs of a step on one executor.
 struct Group {
-    at: ExecutorIndex,
+    executor: ExecutorIndex,
     count: f64,
     sum: f64,
-    /// What is thought of the executor.
+    /// The estimated slowness of the executor.
     slowness: f64,
-    /// The variance that not knowing it better adds to a sum.
-    unsure: f64,
+    /// The variance that the uncertainty of the slowness adds to a sum.
+    speed_variance: f64,
 }
 
 impl Group {
     fn new(runs: &[(ExecutorIndex, f64)], speed: &Speed) -> Group {
         let count = runs.len() as f64;
         Group {
-            at: runs[0].0,
+            executor: runs[0].0,
             count,
             sum: runs.iter().map(|(_, log)| log).sum(),
             slowness: speed.mean(),
-            unsure: count * count * speed.variance(),
+            speed_variance: count * count * speed.variance(),
         }
     }
 
-    /// The sum of what its runs would have been on the usual executor.
-    fn usual(&self) -> f64 {
+    /// The sum of the logarithms that its runs would have had on a typical
+    /// executor.
+    fn typical(&self) -> f64 {
         self.sum - self.count * self.slowness
     }
 }
 
-/// How far the guesses that come with the jobs of a queue are off.
+/// The error of the run time estimates that come with the jobs of a queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EstimateError {
     steps: f64,
     bias: f64,
-    /// The variance of guesses around their bias.
-    spread: f64,
-    /// The variance of the tasks of one step among each other, and the
-    /// number of steps that have told of it.
-    uneven: f64,
+    /// The variance of estimates around their bias.
+    estimate_variance: f64,
+    /// The variance among the tasks of one step, and the number of steps from
+    /// which it is derived.
+    task_variance: f64,
     compared: f64,
 }
 
 impl EstimateError {
-    /// Takes in a step that is done: its guess, in milliseconds, and what it
-    /// took.
-    pub fn observe_step(&mut self, guess: Millis, times: &StepTimes) {
-        let Some(usual) = times.usual() else { return };
-        let off = usual - (guess.max(1) as f64).ln();
-        self.steps = (self.steps + 1.0).min(STEPS);
-        let share = 1.0 / self.steps;
-        let from_bias = off - self.bias;
-        self.bias += share * from_bias;
+    /// Adds a step that is done, by its estimate in milliseconds and its run
+    /// times.
+    pub fn observe_step(&mut self, estimate: Millis, times: &StepTimes) {
+        let Some(typical) = times.typical() else { return };
+        let log_ratio = typical - (estimate.max(1) as f64).ln();
+        self.steps = (self.steps + 1.0).min(MAX_STEPS);
+        let weight = 1.0 / self.steps;
+        let from_bias = log_ratio - self.bias;
+        self.bias += weight * from_bias;
         let square = from_bias * from_bias;
-        self.spread += share * (square * (1.0 - share) - self.spread);
+        self.estimate_variance +=
+            weight * (square * (1.0 - weight) - self.estimate_variance);
     }
 
-    /// Takes in how much the tasks of a step differ, by executors.
+    /// Adds the differences between the executors of a step, given the
+    /// slowness of each.
     pub fn observe_task_variance(
         &mut self,
-        findings: &[SpeedSample],
-        slow: &[f64],
+        samples: &[SpeedSample],
+        slowness: &[f64],
     ) {
-        let count = findings.len() as f64;
+        let count = samples.len() as f64;
         if count < 2.0 {
             return;
         }
-        // One that has changed would make all seem uneven.
-        let most = FAR * self.task_variance().sqrt();
-        let off = findings.iter().zip(slow);
-        let squares = off.map(|(finding, slow)| {
-            let off = (finding.log_ratio - slow).clamp(-most, most);
-            off * off
+        // An executor that has changed must not inflate the variance.
+        let bound = OUTLIER_DEVIATIONS * self.task_variance().sqrt();
+        let pairs = samples.iter().zip(slowness);
+        let squares = pairs.map(|(sample, slowness)| {
+            let deviation = (sample.log_ratio - slowness).clamp(-bound, bound);
+            deviation * deviation
         });
-        // Each is compared with the mean of the others.
+        // Each is compared with the mean of the others, which adds variance.
         let variance = squares.sum::<f64>() / count * (1.0 - 1.0 / count);
-        self.compared = (self.compared + 1.0).min(STEPS);
-        self.uneven += (variance - self.uneven) / self.compared;
+        self.compared = (self.compared + 1.0).min(MAX_STEPS);
+        self.task_variance += (variance - self.task_variance) / self.compared;
     }
 
-    /// How far off they are thought to be on the mean, sure or not.
+    /// The mean error as a natural logarithm, whether established or not.
     pub fn mean(&self) -> f64 {
         self.bias
     }
 
-    /// How far off they are on the mean, as a natural logarithm; zero unless
-    /// they are known to be.
+    /// The mean error as a natural logarithm; zero unless it is established.
     pub fn bias(&self) -> f64 {
-        let error = (self.spread.max(LEAST) / self.steps.max(1.0)).sqrt();
-        let known = self.steps >= FEW_STEPS
+        let error = (self.estimate_variance.max(MIN_VARIANCE)
+            / self.steps.max(1.0))
+        .sqrt();
+        let established = self.steps >= MIN_STEPS
             && self.bias.abs() >= MARGIN
-            && self.bias.abs() >= SURE * error;
-        if known {
+            && self.bias.abs() >= ESTABLISHED_ERRORS * error;
+        if established {
             self.bias
         } else {
             0.0
         }
     }
 
-    /// The variance of guesses of a queue around their bias.
+    /// The variance of the estimates of a queue around their bias.
     pub fn estimate_variance(&self) -> f64 {
-        let known = self.steps >= FEW_STEPS;
-        (if known { self.spread } else { SPREAD }).max(LEAST)
+        let known = self.steps >= MIN_STEPS;
+        (if known {
+            self.estimate_variance
+        } else {
+            DEFAULT_ESTIMATE_VARIANCE
+        })
+        .max(MIN_VARIANCE)
     }
 
-    /// The variance of the tasks of one step among each other.
+    /// The variance among the tasks of one step.
     pub fn task_variance(&self) -> f64 {
-        let known = self.compared >= FEW_STEPS;
-        (if known { self.uneven } else { UNEVEN }).max(LEAST)
+        let known = self.compared >= MIN_STEPS;
+        (if known { self.task_variance } else { DEFAULT_TASK_VARIANCE })
+            .max(MIN_VARIANCE)
     }
 
-    /// What a run takes on the usual executor, in milliseconds, by the guess
-    /// that came with it and by runs of its step that have ended.
-    pub fn run_time(&self, guess: Millis, times: &StepTimes) -> Millis {
-        if guess == 0 {
+    /// The run time on a typical executor in milliseconds, from the estimate
+    /// that came with the job and the runs of the step that have ended.
+    pub fn run_time(&self, estimate: Millis, times: &StepTimes) -> Millis {
+        if estimate == 0 {
             return 0;
         }
-        let by_guess = (guess as f64).ln();
-        let mut log = by_guess + self.bias();
-        if let Some(usual) = times.usual() {
-            let guessed = 1.0 / self.estimate_variance();
-            let seen = times.len() as f64 / self.task_variance();
-            log = (log * guessed + usual * seen) / (guessed + seen);
+        let estimated = (estimate as f64).ln();
+        let mut log = estimated + self.bias();
+        if let Some(typical) = times.typical() {
+            let estimate_weight = 1.0 / self.estimate_variance();
+            let times_weight = times.len() as f64 / self.task_variance();
+            log = (log * estimate_weight + typical * times_weight)
+                / (estimate_weight + times_weight);
         }
-        if (log - by_guess).abs() < MARGIN {
-            return guess;
+        if (log - estimated).abs() < MARGIN {
+            return estimate;
         }
         log.exp() as Millis
     }
--- a/tests/jobs/speeds.rs
+++ b/tests/jobs/speeds.rs
@@ -352,7 +352,7 @@
         let known = speeds;
         let speed_of = |at: u32| known[at as usize];
         for finding in compare(&times, speed_of, &error, expected) {
-            let speed = &mut speeds[finding.at as usize];
+            let speed = &mut speeds[finding.executor as usize];
             speed.observe(finding.log_ratio, finding.variance, round * 500);
             differ += usize::from(speed.slowness() != 0.0);
         }
