--- a/puffinknot-core/src/jobs/crash_evidence.rs
+++ b/puffinknot-core/src/jobs/crash_evidence.rs
@@ -85,8 +85,8 @@
     pub alone: bool,
     /// Whether the executor had confirmed the start. Otherwise the run may
     /// never have been there, since the executor may crash while the order is
-    /// in transit or still queued, and the crash does not count: a job with
-    /// one real crash could be given up for two.
+    /// in transit or still queued, and the crash does not count. If it did, a
+    /// job whose task met a single crash could be given up for two.
     pub confirmed: bool,
     /// Whether the crash was observed as it happened, since the connection to
     /// the executor broke.
@@ -174,7 +174,7 @@
 /// The last run that was lost. A gang's run may be lost with several
 /// executors and counts once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Last {
+struct LastRun {
     run: u64,
     /// Whether it was on several executors.
     gang: bool,
@@ -199,7 +199,7 @@
     soon: bool,
     /// The addresses of the executors.
     pub addresses: BTreeSet<String>,
-    last: Last,
+    last: LastRun,
     /// The crashes that are weighed. A new leader knows only their weight.
     #[serde(skip)]
     evidence: Vec<SoleSuspectCrash>,
@@ -243,7 +243,7 @@
         if self.last.run != loss.run {
             self.runs += 1;
             let (run, gang) = (loss.run, loss.executors > 1);
-            self.last = Last { run, gang, ..Last::default() };
+            self.last = LastRun { run, gang, ..LastRun::default() };
         }
         if !loss.alone {
             return;
--- a/puffinknot-core/src/jobs/executor.rs
+++ b/puffinknot-core/src/jobs/executor.rs
@@ -429,8 +429,8 @@
     /// The work that a crash would lose, in thousandths of core-seconds.
     pub fn work_at_risk(&self, now: Millis) -> u64 {
         let runs = self.runs.values().map(|run| {
-            let cores = u64::from(run.need.cpu_millis);
-            cores * now.saturating_sub(run.placed_at) / 1_000
+            let cpu_millis = u64::from(run.need.cpu_millis);
+            cpu_millis * now.saturating_sub(run.placed_at) / 1_000
         });
         runs.sum()
     }
--- a/puffinknot-core/src/jobs/executors.rs
+++ b/puffinknot-core/src/jobs/executors.rs
@@ -33,7 +33,11 @@
     }
 
     /// Replaces the entry of an executor, and whether that makes it cordoned.
-    /// Both change only through this and [`Executors::update_cordons`].
+    ///
+    /// Once an executor is added, its address, capacity and labels must change
+    /// only through this, and its cordon only through this and
+    /// [`Executors::update_cordons`]: the index by address and the version
+    /// depend on it.
     pub fn set_info(
         &mut self,
         index: ExecutorIndex,
--- a/puffinknot-core/src/jobs/mechanism.rs
+++ b/puffinknot-core/src/jobs/mechanism.rs
@@ -83,7 +83,7 @@
     ReturnTimes,
     /// Learns the speed of executors and the error of run time estimates.
     Speeds,
-    /// Starts nothing on an executor that leaves before it should end.
+    /// Starts no run on an executor that leaves before the run should end.
     Leaving,
     /// Decides for each new job during an outage of the store whether it waits
     /// or is refused, by its slack and the expected length of the outage.
--- a/puffinknot-core/src/jobs/speed.rs
+++ b/puffinknot-core/src/jobs/speed.rs
@@ -27,8 +27,8 @@
 /// not worth a worse fit.
 pub const MARGIN: f64 = 0.223;
 /// The number of standard errors from which on a difference is established.
-/// With hundreds of executors, a lower one would find some that differ by
-/// chance.
+/// With hundreds of executors, a lower threshold would find some that differ
+/// by chance.
 const ESTABLISHED_ERRORS: f64 = 3.0;
 /// The number of standard errors below which an established difference is
 /// dropped.
