--- a/puffinknot-core/src/jobs/scheduler/advice.rs
+++ b/puffinknot-core/src/jobs/scheduler/advice.rs
@@ -1,10 +1,14 @@
 /*!
 Advice: which executors may run a step, and with which ticket.
 
-The service takes one call at a time from each node, so that its capacity
-grows with the nodes that ask. The leader spreads the calls over all of them:
-urgent ones first, and long ones only to some nodes, so that a short call
-never waits behind long ones everywhere.
+Some queues need the approval of an advice service for each executor on which
+a step is to run. The service returns the executors it approves, and for each
+of them a ticket, which is valid for a limited time and is sent with the start.
+
+The advice service handles one call at a time from each node, so capacity grows
+with the number of nodes that call it. The leader spreads the calls over all
+nodes. It sends urgent calls first, and sends long calls only to some of the
+nodes, so that a short call never waits behind long ones on every node.
 */
 
 use std::hash::{Hash, Hasher};
@@ -24,83 +28,87 @@
 use crate::jobs::scheduler::live_job::{Advice, Ticket};
 use crate::jobs::scheduler::Scheduler;
 
-/// A long call is made in so many parts by several nodes at one time, while
-/// nodes are not scarce: gangs wait for their first advice longest, and a call
-/// about half as many takes less time.
-const PARTS: usize = 2;
-/// A call that takes longer than this is long, in milliseconds.
-const LONG_CALL: Millis = 160;
-/// If this many calls wait for each node, they ask about fewer executors.
-const CROWDED: usize = 1;
-/// Then a call asks about this many times the executors that should do.
-const ASK_FACTOR: f64 = 1.6;
-/// Urgent calls ask about so many executors still that these take this part of
-/// the time that each call takes: it is soon over, and on the few executors
-/// with the most room others find it too.
-const URGENT_PART: f64 = 0.5;
-/// The fewest executors that should be found.
-const FEWEST: f64 = 3.0;
-/// A step that waits asks about further executors at least this often, in
-/// milliseconds: about the time that most tickets hold.
-const WIDEN_AFTER: Millis = 1_500;
-/// The weight of a new answer in the share of executors that may run the
-/// steps of a queue.
-const SHARE_WEIGHT: f64 = 0.1;
-/// The share that is assumed before any answer.
-const FIRST_SHARE: f64 = 0.4;
-/// A share that is less than this is not known well.
-const LEAST_SHARE: f64 = 0.05;
-/// The most calls about one step at a time. Eight hundred executors of four
-/// slots hold the widest steps if a tenth of them may run these.
-const MOST_CALLS: usize = 8;
-/// The most executors that are looked at for a call. Beyond that, a look at
-/// all of them for each step would grow with the cell twice over: by its
-/// executors, and by its jobs. Twice what is asked about one step at a time.
-const MOST_LOOKED_AT: usize = 1_600;
-/// A ticket is used only if it holds for this long still.
+/// The number of parts into which a long call is split while nodes are not
+/// scarce. The parts are made by several nodes in parallel. Gangs wait longest
+/// for their first advice, and a call about half as many executors takes less
+/// time.
+const PARTS_PER_LONG_CALL: usize = 2;
+/// A call that takes longer than this is long.
+const MAX_SHORT_CALL: Millis = 160;
+/// If more calls than this wait for each node, calls ask about fewer
+/// executors.
+const MAX_WAITING_PER_NODE: usize = 1;
+/// A shortened call asks about this many times the number of executors that
+/// should suffice.
+const OVERSAMPLING: f64 = 1.6;
+/// A shortened urgent call spends at least this fraction of the fixed time of
+/// a call on asking about executors. It still ends soon, and the few executors
+/// with the most free capacity are found by other steps too.
+const MIN_URGENT_ASK_RATIO: f64 = 0.5;
+/// The minimum number of executors that a call should find.
+const MIN_EXECUTORS_FOUND: f64 = 3.0;
+/// How often, at least, a waiting step asks about further executors: about as
+/// long as most tickets are valid.
+const WIDEN_INTERVAL: Millis = 1_500;
+/// The weight of a new answer in the smoothed approval rate of a queue: the
+/// fraction of executors that may run its steps.
+const APPROVAL_WEIGHT: f64 = 0.1;
+/// The approval rate of a queue before its first answer.
+const INITIAL_APPROVAL_RATE: f64 = 0.4;
+/// Lower approval rates are too uncertain to use, and count as this one.
+const MIN_APPROVAL_RATE: f64 = 0.05;
+/// The maximum number of calls about one step at a time. Eight hundred
+/// executors of four slots each suffice for the widest steps if a tenth of
+/// them may run these.
+const MAX_CALLS_PER_STEP: usize = 8;
+/// The maximum number of suitable executors considered for one step at a time,
+/// twice the number that it asks about. Without this bound the cost would grow
+/// with the executors of the cell and with its jobs, and so quadratically with
+/// its size.
+const MAX_CANDIDATES: usize = 1_600;
+/// A ticket is used only if it stays valid for at least this long.
 const TICKET_MARGIN: Millis = 100;
-/// A call is given up after this time in any case, in milliseconds; nodes
-/// give up before.
-const NEVER_ANSWERED: Millis = 6_000;
-/// The time until a call that failed is made again.
-const CALL_AGAIN: Millis = 100;
+/// A call is abandoned after this time in any case. Nodes abandon it earlier.
+const CALL_TIMEOUT: Millis = 6_000;
+/// The delay before a call that the service refused as busy is retried.
+const BUSY_RETRY_DELAY: Millis = 100;
 
-/// A call for advice.
+/// A call to the advice service.
 #[derive(Clone, Debug)]
-pub(super) struct Call {
+pub(super) struct AdviceCall {
     step: StepKey,
     executors: Vec<ExecutorIndex>,
     cost: AdviceCost,
     urgent: bool,
     deadline: Millis,
     not_before: Millis,
-    /// When it is given up, once it is made.
-    overdue: Millis,
-    /// The node that asks, once it does.
+    /// When the call is abandoned. Set once the call is made.
+    overdue_at: Millis,
+    /// The node that makes the call, once there is one.
     advisor: Option<String>,
-    /// How many executors should do, once that was worked out.
-    enough: Option<usize>,
+    /// How many executors should suffice, once that was estimated.
+    sufficient: Option<usize>,
 }
 
-impl Call {
-    /// How many executors it asks about: all, or if nodes are scarce as many
-    /// as should do.
-    fn asks(&self, scarce: bool) -> usize {
+impl AdviceCall {
+    /// Returns how many executors the call asks about: all of them, or if
+    /// nodes are scarce, as many as should suffice.
+    fn executors_to_ask(&self, scarce: bool) -> usize {
         let all = self.executors.len();
-        let enough = self.enough.filter(|_| scarce);
-        enough.map_or(all, |enough| enough.min(all))
+        let sufficient = self.sufficient.filter(|_| scarce);
+        sufficient.map_or(all, |sufficient| sufficient.min(all))
     }
 }
 
-/// Which calls no node can take in this turn.
+/// The kinds of calls that no node can take at present.
 #[derive(Default)]
-struct Full {
+struct SaturatedKinds {
     long: bool,
     short: bool,
 }
 
-impl Full {
-    /// The entry for long or for short calls.
+impl SaturatedKinds {
+    /// Returns the flag for long or for short calls.
     fn of(&mut self, long: bool) -> &mut bool {
         if long {
             &mut self.long
@@ -109,16 +117,16 @@
         }
     }
 
-    /// Whether no call at all can be taken.
-    fn all(&self) -> bool {
+    /// Returns whether no node can take any call.
+    fn both(&self) -> bool {
         self.long && self.short
     }
 }
 
 impl Scheduler {
     pub(super) fn set_advisors(&mut self, names: Vec<String>) {
-        for name in self.advisors.set(names) {
-            for call in self.calls.values_mut() {
+        for name in self.advisors.update(names) {
+            for call in self.advice_calls.values_mut() {
                 if call.advisor.as_deref() == Some(name.as_str()) {
                     call.advisor = None;
                 }
@@ -126,7 +134,7 @@
         }
     }
 
-    /// Asks about the steps of a new job, before it is written.
+    /// Requests advice on the steps of a new job, before the job is written.
     pub(super) fn prefetch_advice(&mut self, job: JobId, now: Millis) {
         let Some(live) = self.jobs.get(&job) else { return };
         if live.queue.advice.is_none() {
@@ -142,13 +150,13 @@
         }
     }
 
-    /// Asks about all executors that were not asked about yet.
+    /// Requests advice on executors that the step has not asked about yet.
     pub(super) fn request_more_advice(&mut self, key: StepKey, now: Millis) {
         let Some(live) = self.jobs.get(&key.job) else { return };
         let Some(state) = live.steps.get(&(key.time, key.step)) else {
             return;
         };
-        // Steps that wait come here again and again.
+        // Waiting steps reach this point repeatedly.
         if live.queue.advice.is_none()
             || !state.advice.open_calls.is_empty()
             || state.advice.all_asked == Some(self.executors.described())
@@ -158,31 +166,31 @@
         *self.counters.entry("advice_searches").or_default() += 1;
         let step = &live.job.steps[key.step as usize];
         let label = step.label.as_deref();
-        let known = &state.advice.asked;
-        let from = spread(key, 0);
-        let fits =
+        let asked = &state.advice.asked;
+        let from = tie_breaker(key, 0);
+        let suitable =
             self.executors.iter_from(from).filter(|(index, executor)| {
                 executor.info.service == live.queue.service
                     && !executor.info.draining
                     && !executor.cordoned
                     && executor.info.capacity.fits(&step.footprint())
                     && label.is_none_or(|label| executor.has_label(label))
-                    && !known.contains(index)
+                    && !asked.contains(index)
             });
-        let fits = fits.take(MOST_LOOKED_AT);
-        let mut ranked: Vec<((u32, u64), ExecutorIndex)> = fits
+        let suitable = suitable.take(MAX_CANDIDATES);
+        let mut ranked: Vec<((u32, u64), ExecutorIndex)> = suitable
             .map(|(index, executor)| {
-                let room = room_now(executor, step);
-                ((u32::MAX - room, spread(key, *index)), *index)
+                let free = free_capacity_for(executor, step);
+                ((u32::MAX - free, tie_breaker(key, *index)), *index)
             })
             .collect();
         let queue = &live.job.queue;
         let capacities = ranked.iter().filter_map(|(_, index)| {
             Some(self.executors.get(index)?.info.capacity)
         });
-        let enough = self.enough(queue, step, capacities);
+        let sufficient = self.sufficient_executors(queue, step, capacities);
         let batch = self.config.max_advice_batch;
-        let most = enough.clamp(batch, batch * MOST_CALLS);
+        let most = sufficient.clamp(batch, batch * MAX_CALLS_PER_STEP);
         if ranked.len() > most {
             ranked.select_nth_unstable(most);
             ranked.truncate(most);
@@ -191,14 +199,14 @@
             ranked.into_iter().map(|(_, index)| index).collect();
         if !indices.is_empty() {
             self.request_advice(key, indices, now);
-            self.change_advice(key, |advice| advice.widened_at = now);
+            self.update_advice(key, |advice| advice.widened_at = now);
             return;
         }
         let described = self.executors.described();
-        self.change_advice(key, |advice| advice.all_asked = Some(described));
+        self.update_advice(key, |advice| advice.all_asked = Some(described));
     }
 
-    fn change_advice(
+    fn update_advice(
         &mut self,
         key: StepKey,
         change: impl FnOnce(&mut Advice),
@@ -210,19 +218,21 @@
         }
     }
 
-    /// Asks about further executors if a step has waited for those known for
-    /// long. Else renewals of their tickets, which are asked for again and
-    /// again while there is no room, would leave no turn to this.
+    /// Requests advice on further executors if a step has waited long for
+    /// those known. Without this, renewals of their tickets, which are
+    /// repeated while there is no free capacity, would leave no chance for
+    /// other executors.
     pub(super) fn widen_advice(&mut self, key: StepKey, now: Millis) {
         let state = self.step_state(key);
-        if state.is_some_and(|s| now >= s.advice.widened_at + WIDEN_AFTER) {
+        if state.is_some_and(|s| now >= s.advice.widened_at + WIDEN_INTERVAL) {
             self.request_more_advice(key, now);
         }
     }
 
-    /// Asks about these executors, unless a call about the step is open. More
-    /// than fit into one call are asked about by several nodes at once: a
-    /// gang needs tickets that all hold at one time.
+    /// Requests advice on these executors, unless a call about the step is
+    /// open. Several nodes ask in parallel about executors that don't fit into
+    /// one call, since a gang needs tickets that are all valid at the same
+    /// time.
     pub(super) fn request_advice(
         &mut self,
         key: StepKey,
@@ -231,7 +241,7 @@
     ) {
         let Some(live) = self.jobs.get(&key.job) else { return };
         let Some(cost) = live.queue.advice else { return };
-        let part = self.part(&cost, executors.len());
+        let size = self.call_size(&cost, executors.len());
         let urgent = self.rank(key, now).is_some_and(|rank| rank.urgent());
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
         let deadline = live.deadline;
@@ -241,121 +251,126 @@
         if !advice.open_calls.is_empty() {
             return;
         }
-        for part in executors.chunks(part) {
-            self.next_call += 1;
-            advice.open_calls.insert(self.next_call);
-            let call = Call {
+        for part in executors.chunks(size) {
+            self.next_advice_call += 1;
+            advice.open_calls.insert(self.next_advice_call);
+            let call = AdviceCall {
                 step: key,
                 cost,
                 executors: part.to_vec(),
                 urgent,
                 deadline,
                 not_before: now,
-                overdue: 0,
+                overdue_at: 0,
                 advisor: None,
-                enough: None,
+                sufficient: None,
             };
-            self.calls.insert(self.next_call, call);
+            self.advice_calls.insert(self.next_advice_call, call);
         }
     }
 
-    /// How many executors each call asks about, of so many.
-    fn part(&self, cost: &AdviceCost, executors: usize) -> usize {
+    /// Returns how many executors each call asks about, if the step asks about
+    /// `executors` in total.
+    fn call_size(&self, cost: &AdviceCost, executors: usize) -> usize {
         let batch = self.config.max_advice_batch;
-        let long = cost.of(executors.min(batch)) > LONG_CALL;
+        let long = cost.of(executors.min(batch)) > MAX_SHORT_CALL;
         let split = long
             && self.is_enabled(Mechanism::ParallelAdvice)
             && !self.advice_scarce();
-        let parts = if split { PARTS } else { 1 };
+        let parts = if split { PARTS_PER_LONG_CALL } else { 1 };
         executors.div_ceil(parts).clamp(1, batch)
     }
 
-    /// Gives up calls whose answers have not come in time, and has other
-    /// nodes make them: a node may be out of reach, or have lost its link.
+    /// Abandons overdue calls and lets other nodes make them. The former node
+    /// may be unreachable, or may have lost its link.
     pub(super) fn expire_advice(&mut self, now: Millis) {
-        let known = self.processed_until(now);
-        let over = self.calls.iter().filter(|(_, call)| {
-            call.advisor.is_some() && call.overdue < known
+        let processed = self.processed_until(now);
+        let overdue = self.advice_calls.iter().filter(|(_, call)| {
+            call.advisor.is_some() && call.overdue_at < processed
         });
-        let over: Vec<CallId> = over.map(|(id, _)| *id).collect();
-        for id in over {
-            let name = self.calls[&id].advisor.clone().unwrap_or_default();
-            self.advisors.overdue(&name, now);
+        let overdue: Vec<CallId> = overdue.map(|(id, _)| *id).collect();
+        for id in overdue {
+            let name =
+                self.advice_calls[&id].advisor.clone().unwrap_or_default();
+            self.advisors.call_overdue(&name, now);
             self.count("advice_overdue");
-            self.advised(id, Err(AdviceFailure::Unknown), now);
+            self.advice_received(id, Err(AdviceFailure::Unknown), now);
         }
     }
 
-    /// Forgets the calls about a job that has ended. Those under way still
-    /// count for their nodes until they are answered.
+    /// Drops the calls about an ended job. Those in flight still count for
+    /// their nodes until they are answered.
     pub(super) fn drop_advice_calls(&mut self, job: JobId) {
-        self.calls
+        self.advice_calls
             .retain(|_, call| call.step.job != job || call.advisor.is_some());
     }
 
-    /// Whether calls wait for nodes. Then nothing is asked that can do
-    /// without.
+    /// Returns whether more than half as many calls wait as there are nodes.
+    /// Calls that are not strictly needed are not made then.
     pub(super) fn advice_scarce(&self) -> bool {
-        let mut waiting = self.calls.values().filter(|c| c.advisor.is_none());
+        let mut waiting =
+            self.advice_calls.values().filter(|c| c.advisor.is_none());
         waiting.nth(self.advisors.len() / 2).is_some()
     }
 
-    /// Hands calls to nodes, the most urgent first.
+    /// Assigns waiting calls to nodes, the most urgent first.
     pub(super) fn dispatch_advice(&mut self, now: Millis) {
-        let open = self.calls.iter().filter(|(_, call)| {
+        let waiting = self.advice_calls.iter().filter(|(_, call)| {
             call.advisor.is_none() && call.not_before <= now
         });
-        let mut open: Vec<(bool, Millis, CallId)> = open
+        let mut waiting: Vec<(bool, Millis, CallId)> = waiting
             .map(|(id, call)| (!call.urgent, call.deadline, *id))
             .collect();
-        open.sort_unstable();
-        let crowded = open.len() > CROWDED * self.advisors.len()
+        waiting.sort_unstable();
+        let shortens = waiting.len()
+            > MAX_WAITING_PER_NODE * self.advisors.len()
             && self.is_enabled(Mechanism::ShorterAdvice);
-        let mut full = Full::default();
-        for (_, _, id) in open {
-            if full.all() {
+        let mut saturated = SaturatedKinds::default();
+        for (_, _, id) in waiting {
+            if saturated.both() {
                 return;
             }
-            if crowded {
-                self.work_out_enough(id);
+            if shortens {
+                self.estimate_sufficient(id);
             }
-            let call = &self.calls[&id];
-            let cost = call.cost.of(call.asks(crowded));
-            let long = cost > LONG_CALL;
-            if *full.of(long) {
+            let call = &self.advice_calls[&id];
+            let cost = call.cost.of(call.executors_to_ask(shortens));
+            let long = cost > MAX_SHORT_CALL;
+            if *saturated.of(long) {
                 continue;
             }
-            let lane = self.is_enabled(Mechanism::ShortLane);
-            let Some(name) = self.advisors.free(long, lane, now) else {
-                *full.of(long) = true;
+            let reserve_short_lane = self.is_enabled(Mechanism::ShortLane);
+            let Some(name) = self.advisors.pick(long, reserve_short_lane, now)
+            else {
+                *saturated.of(long) = true;
                 continue;
             };
-            if crowded {
-                self.shorten(id);
+            if shortens {
+                self.shorten_call(id);
             }
-            self.dispatch(id, name, cost, now);
+            self.dispatch_call(id, name, cost, now);
         }
     }
 
-    fn dispatch(
+    fn dispatch_call(
         &mut self,
         id: CallId,
         name: String,
         cost: Millis,
         now: Millis,
     ) {
-        let soon = self.is_enabled(Mechanism::OverdueAdvice);
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let reassigns = self.is_enabled(Mechanism::OverdueAdvice);
+        let Some(call) = self.advice_calls.get_mut(&id) else { return };
         call.advisor = Some(name.clone());
         let key = call.step;
         let asked = call.executors.clone();
         let known = asked.iter().filter_map(|i| self.executors.get(i));
         let executors = known.map(|e| e.info.id.clone()).collect();
-        let overdue = self.advisors.ask(&name, cost, now);
-        let never = now + NEVER_ANSWERED;
-        let overdue = if soon { overdue.min(never) } else { never };
-        if let Some(call) = self.calls.get_mut(&id) {
-            call.overdue = overdue;
+        let overdue = self.advisors.start_call(&name, cost, now);
+        let timeout = now + CALL_TIMEOUT;
+        let overdue = if reassigns { overdue.min(timeout) } else { timeout };
+        if let Some(call) = self.advice_calls.get_mut(&id) {
+            call.overdue_at = overdue;
         }
         let live = self.jobs.get_mut(&key.job);
         let state = live.and_then(|l| l.steps.get_mut(&(key.time, key.step)));
@@ -372,10 +387,10 @@
         });
     }
 
-    /// Works out how many executors should do for a call.
-    fn work_out_enough(&mut self, id: CallId) {
-        let Some(call) = self.calls.get(&id) else { return };
-        if call.enough.is_some() {
+    /// Estimates how many executors should suffice for a call.
+    fn estimate_sufficient(&mut self, id: CallId) {
+        let Some(call) = self.advice_calls.get(&id) else { return };
+        if call.sufficient.is_some() {
             return;
         }
         let key = call.step;
@@ -384,15 +399,16 @@
         let known =
             call.executors.iter().filter_map(|i| self.executors.get(i));
         let capacities = known.map(|executor| executor.info.capacity);
-        let enough = self.enough(&live.job.queue, step, capacities);
-        let enough = enough.max(self.least_asked(call));
-        if let Some(call) = self.calls.get_mut(&id) {
-            call.enough = Some(enough);
+        let sufficient =
+            self.sufficient_executors(&live.job.queue, step, capacities);
+        let sufficient = sufficient.max(self.min_executors_to_ask(call));
+        if let Some(call) = self.advice_calls.get_mut(&id) {
+            call.sufficient = Some(sufficient);
         }
     }
 
-    /// The fewest executors that a call asks about.
-    fn least_asked(&self, call: &Call) -> usize {
+    /// Returns the minimum number of executors that a call asks about.
+    fn min_executors_to_ask(&self, call: &AdviceCall) -> usize {
         let AdviceCost { call_ms, each_ms, .. } = call.cost;
         if !call.urgent
             || !self.is_enabled(Mechanism::UrgentPreemption)
@@ -400,34 +416,36 @@
         {
             return 0;
         }
-        (call_ms * URGENT_PART / each_ms) as usize
+        (call_ms * MIN_URGENT_ASK_RATIO / each_ms) as usize
     }
 
-    /// How many executors with such capacities should do for a step.
-    fn enough(
+    /// Returns how many executors of these capacities should suffice for a
+    /// step.
+    fn sufficient_executors(
         &self,
         queue: &str,
         step: &Step,
         capacities: impl Iterator<Item = Resources>,
     ) -> usize {
-        let share = self.shares.get(queue).copied();
-        let share = share.unwrap_or(FIRST_SHARE).max(LEAST_SHARE);
-        let whole =
-            capacities.map(|whole| fit_count(&whole, &step.footprint()));
-        let mut each = whole.max().unwrap_or(1).max(1);
+        let rate = self.approval_rates.get(queue).copied();
+        let rate =
+            rate.unwrap_or(INITIAL_APPROVAL_RATE).max(MIN_APPROVAL_RATE);
+        let counts =
+            capacities.map(|capacity| fit_count(&capacity, &step.footprint()));
+        let mut each = counts.max().unwrap_or(1).max(1);
         if step.max_per_executor > 0 {
             each = each.min(step.max_per_executor);
         }
         let needed = (f64::from(step.count) / f64::from(each)).ceil() + 1.0;
-        let enough = needed.max(FEWEST) / share * ASK_FACTOR;
-        enough.ceil() as usize
+        let sufficient = needed.max(MIN_EXECUTORS_FOUND) / rate * OVERSAMPLING;
+        sufficient.ceil() as usize
     }
 
-    /// Lets a call ask only about those executors that should do: the ones
-    /// with the most room for the step.
-    fn shorten(&mut self, id: CallId) {
-        let Some(call) = self.calls.get(&id) else { return };
-        let most = call.asks(true);
+    /// Limits a call to as many executors as should suffice, preferring those
+    /// with the most free capacity for the step.
+    fn shorten_call(&mut self, id: CallId) {
+        let Some(call) = self.advice_calls.get(&id) else { return };
+        let most = call.executors_to_ask(true);
         if call.executors.len() <= most {
             return;
         }
@@ -442,23 +460,23 @@
                 Some((fit_count(&executor.free, &step.footprint()), *index))
             })
             .collect();
-        fits.sort_unstable_by_key(|&(room, index)| (u32::MAX - room, index));
+        fits.sort_unstable_by_key(|&(count, index)| (u32::MAX - count, index));
         fits.truncate(most);
-        if let Some(call) = self.calls.get_mut(&id) {
+        if let Some(call) = self.advice_calls.get_mut(&id) {
             call.executors = fits.into_iter().map(|(_, i)| i).collect();
         }
         self.count("advice_shortened");
     }
 
-    pub(super) fn advised(
+    pub(super) fn advice_received(
         &mut self,
         id: CallId,
         answer: Result<Vec<AdvisedExecutor>, AdviceFailure>,
         now: Millis,
     ) {
-        let Some(mut call) = self.calls.remove(&id) else { return };
+        let Some(mut call) = self.advice_calls.remove(&id) else { return };
         if let Some(name) = call.advisor.take() {
-            self.advisors.answered(&name, now);
+            self.advisors.call_ended(&name, now);
         }
         let key = call.step;
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
@@ -470,12 +488,13 @@
             Err(failure) => {
                 self.count("advice_failed");
                 let busy = failure == AdviceFailure::Busy;
-                call.not_before = now + if busy { CALL_AGAIN } else { 0 };
-                self.calls.insert(id, call);
+                call.not_before =
+                    now + if busy { BUSY_RETRY_DELAY } else { 0 };
+                self.advice_calls.insert(id, call);
                 return;
             }
         };
-        self.advisors.in_time();
+        self.advisors.call_succeeded();
         advice.open_calls.remove(&id);
         advice.answered = true;
         let until = now + call.cost.valid.saturating_sub(TICKET_MARGIN);
@@ -487,7 +506,7 @@
         }
         for row in rows {
             let index = self.by_id.get(&row.executor);
-            // Of a life that has followed since, nothing is said.
+            // The advice does not apply to a later incarnation.
             if let Some(index) = index.filter(|i| call.executors.contains(i)) {
                 let ticket = Ticket { text: row.ticket, valid_until: until };
                 advice.tickets.insert(*index, ticket);
@@ -495,14 +514,17 @@
         }
         if first {
             let queue = live.job.queue.clone();
-            let share = self.shares.entry(queue).or_insert(FIRST_SHARE);
-            *share += (found - *share) * SHARE_WEIGHT;
+            let rate = self
+                .approval_rates
+                .entry(queue)
+                .or_insert(INITIAL_APPROVAL_RATE);
+            *rate += (found - *rate) * APPROVAL_WEIGHT;
         }
         self.count("advised");
         self.needs_placement = true;
     }
 
-    /// A ticket was refused: it has to be asked for again.
+    /// Marks a refused ticket as expired, so that it is requested again.
     pub(super) fn invalidate_ticket(
         &mut self,
         key: StepKey,
@@ -517,10 +539,10 @@
     }
 }
 
-/// How much room an executor has for a step now: for how many members of a
-/// gang, or whether for any task of another step. Single tasks find room on
-/// many executors, and would take the emptiest ones from gangs.
-fn room_now(executor: &Executor, step: &Step) -> u32 {
+/// Returns the free capacity of an executor for a step: in members for a gang,
+/// and for other steps 1 if any task fits. Single tasks fit on many executors,
+/// and would otherwise take the emptiest ones from gangs.
+fn free_capacity_for(executor: &Executor, step: &Step) -> u32 {
     if !executor.usable() {
         return 0;
     }
@@ -532,9 +554,10 @@
     }
 }
 
-/// Spreads steps over executors that have as much room: of a thousand, each
-/// step would else ask about the same hundred, which are full for that.
-fn spread(key: StepKey, index: ExecutorIndex) -> u64 {
+/// Orders executors of equal free capacity differently for each step.
+/// Otherwise all steps of a cell with a thousand executors would ask about the
+/// same hundred, which would then be full.
+fn tie_breaker(key: StepKey, index: ExecutorIndex) -> u64 {
     let mut hasher = SipHasher13::new();
     (key, index).hash(&mut hasher);
     hasher.finish()
--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -88,7 +88,7 @@
 
 use self::account_shares::FairShares;
 use self::admission::Admission;
-use self::advice::Call;
+use self::advice::AdviceCall;
 use self::advisors::Advisors;
 use self::commit::CommitQueue;
 use self::departures::Departures;
@@ -176,7 +176,7 @@
     urgent_headroom: UrgentHeadroom,
     admission: Admission,
     token_buckets: TokenBuckets,
-    late_turns: LateBoosts,
+    late_boosts: LateBoosts,
     jobs: BTreeMap<JobId, LiveJob>,
     ended: Ended,
     executors: Executors,
@@ -203,10 +203,10 @@
     next_run: u64,
     arrivals: u64,
     advisors: Advisors,
-    calls: BTreeMap<CallId, Call>,
-    next_call: CallId,
+    advice_calls: BTreeMap<CallId, AdviceCall>,
+    next_advice_call: CallId,
     /// The share of executors that may run the steps of a queue.
-    shares: BTreeMap<String, f64>,
+    approval_rates: BTreeMap<String, f64>,
     commits: CommitQueue,
     outages: Outages,
     departures: Departures,
@@ -255,7 +255,7 @@
             urgent_headroom: UrgentHeadroom::default(),
             admission: Admission::default(),
             token_buckets: TokenBuckets::default(),
-            late_turns: LateBoosts::default(),
+            late_boosts: LateBoosts::default(),
             jobs: BTreeMap::new(),
             ended: Ended::default(),
             executors: Executors::default(),
@@ -271,9 +271,9 @@
             reservations: BTreeMap::new(),
             arrivals: 0,
             advisors: Advisors::default(),
-            calls: BTreeMap::new(),
-            next_call: 0,
-            shares: BTreeMap::new(),
+            advice_calls: BTreeMap::new(),
+            next_advice_call: 0,
+            approval_rates: BTreeMap::new(),
             takeover_deadline: None,
             leadership_confirmed_at: 0,
             wall_offset: 0,
@@ -350,7 +350,9 @@
             Event::StopAnswered { executor, task, run, answer } => {
                 self.stop_answered(executor, task, run, answer, now);
             }
-            Event::Advised { call, answer } => self.advised(call, answer, now),
+            Event::Advised { call, answer } => {
+                self.advice_received(call, answer, now)
+            }
             Event::Advisors(names) => self.set_advisors(names),
             Event::ThrottleAnswered { executor, answer } => {
                 self.throttle_answered(executor, answer, now);
--- a/puffinknot-core/src/jobs/scheduler/ranking.rs
+++ b/puffinknot-core/src/jobs/scheduler/ranking.rs
@@ -197,7 +197,7 @@
                 *first = came.min(*first);
             }
         }
-        let turns = &mut self.late_turns.0;
+        let turns = &mut self.late_boosts.0;
         for (class, turn) in turns.iter_mut() {
             let mut steps = order.iter();
             let holds = |(rank, key): &(Rank, StepKey)| {
