--- a/puffinknot-core/src/jobs/scheduler/commit.rs
+++ b/puffinknot-core/src/jobs/scheduler/commit.rs
@@ -1,9 +1,10 @@
 /*!
-Groups what has to be written, and does what may be done only after that.
+Batches writes to the store, and does what may be done only once they are
+durable.
 
-One commit is under way at a time. All that it says about jobs is one record,
-so that a slow store takes as many jobs as a fast one; see
-[`super::records`] for how records go again.
+At most one commit is in flight at a time. It holds new jobs and progress in a
+single record, so a slow store accepts as many jobs as a fast one. See
+[`super::records`] for how records are removed.
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,44 +19,44 @@
 use crate::jobs::scheduler::records::Records;
 use crate::jobs::scheduler::Scheduler;
 
-/// The most changes in one commit.
+/// The maximum number of changes in one commit.
 const MAX_CHANGES: usize = 28;
-/// New jobs in one commit have about so many bytes at the most; stores take
-/// values of a megabyte.
+/// The approximate maximum size of the new jobs, and of the executor shards, in
+/// one commit. Stores accept values of up to one megabyte.
 const MAX_BYTES: usize = 400_000;
-/// A commit that takes longer than this means that the store is in trouble,
-/// in milliseconds.
-const SLOW: Millis = 600;
-/// What may still run of ended jobs is worked out anew after this time, in
-/// milliseconds: about as long as a stop takes.
-const STOPPING_AGAIN: Millis = 1_000;
+/// If a commit takes longer than this, the store is in trouble.
+const STALLED_AFTER: Millis = 600;
+/// How often the resources that ended jobs may still use are computed anew:
+/// about as long as a stop takes.
+const STOPPING_REFRESH_INTERVAL: Millis = 1_000;
 
-/// What waits to be written, and what is being written.
+/// Changes that wait to be written, and the commit in flight.
 #[derive(Debug)]
 pub(super) struct CommitQueue {
     pub records: Records,
     accepted: BTreeSet<JobId>,
     progress: BTreeSet<JobId>,
     ends: BTreeSet<JobId>,
-    /// Executors that have listed ends since the last commit.
+    /// Executors that have reported ends since the last commit.
     pub unacknowledged: BTreeSet<ExecutorIndex>,
-    /// The shards of the list of executors that have to be written.
+    /// The shards of the executor list that have to be written.
     shards: BTreeSet<u8>,
-    /// Lists of an earlier version, which go once all shards are written.
+    /// Lists of an earlier version. They are removed once all shards are
+    /// written.
     pub legacy_lists: Vec<String>,
-    waves: bool,
-    /// What was written last of what may still run of ended jobs, and when
-    /// that was worked out.
+    maintenance_dirty: bool,
+    /// The resources that ended jobs may still use, as written last, and when
+    /// they were computed.
     pub stopping: Stopping,
-    stopping_at: Millis,
-    /// Since when something waits.
-    since: Option<Millis>,
+    stopping_computed_at: Millis,
+    /// Since when anything waits to be written.
+    pending_since: Option<Millis>,
     /// When the last commit was written.
-    last: Millis,
-    under_way: Option<Batch>,
+    written_at: Millis,
+    in_flight: Option<Batch>,
 }
 
-/// What a commit that is under way covers.
+/// What the commit in flight covers.
 #[derive(Debug, Default)]
 struct Batch {
     sent_at: Millis,
@@ -65,8 +66,8 @@
     ends: Vec<EndedJob>,
     enrolled: Vec<ExecutorIndex>,
     removed: Vec<RecordNumber>,
-    /// Ends on executors that are written with it.
-    noted: BTreeMap<ExecutorIndex, u64>,
+    /// The number of the last end on each executor that the commit covers.
+    acknowledged: BTreeMap<ExecutorIndex, u64>,
 }
 
 impl CommitQueue {
@@ -79,100 +80,101 @@
             unacknowledged: BTreeSet::new(),
             shards: BTreeSet::new(),
             legacy_lists: Vec::new(),
-            waves: false,
+            maintenance_dirty: false,
             stopping: Stopping::new(),
-            stopping_at: 0,
-            since: None,
-            last: 0,
-            under_way: None,
+            stopping_computed_at: 0,
+            pending_since: None,
+            written_at: 0,
+            in_flight: None,
         }
     }
 
-    fn touch(&mut self, now: Millis) {
-        self.since.get_or_insert(now);
+    fn schedule(&mut self, now: Millis) {
+        self.pending_since.get_or_insert(now);
     }
 
     pub fn job_accepted(&mut self, job: JobId, now: Millis) {
         self.accepted.insert(job);
-        self.touch(now);
+        self.schedule(now);
     }
 
     pub fn job_progressed(&mut self, job: JobId) {
         self.progress.insert(job);
-        self.touch(0);
+        self.schedule(0);
     }
 
     pub fn job_ended(&mut self, job: JobId) {
         self.ends.insert(job);
-        self.touch(0);
+        self.schedule(0);
     }
 
-    /// What is kept of this executor has changed.
+    /// Schedules the shard of an executor to be written, since its stored
+    /// description has changed.
     pub fn executor_changed(&mut self, id: &str) {
         self.shards.insert(record::shard_of(id));
-        self.touch(0);
+        self.schedule(0);
     }
 
-    pub fn waves(&mut self) {
-        self.waves = true;
-        self.touch(0);
+    pub fn maintenance_changed(&mut self) {
+        self.maintenance_dirty = true;
+        self.schedule(0);
     }
 
-    /// When the next commit is due, if there is anything to write and none
-    /// is under way.
+    /// Returns when the next commit is due. `None` if there is nothing to
+    /// write or a commit is in flight.
     pub fn due(&self, gap: Millis) -> Option<Millis> {
-        if self.under_way.is_some() {
+        if self.in_flight.is_some() {
             return None;
         }
-        self.since.map(|since| since.max(self.last + gap))
+        self.pending_since.map(|since| since.max(self.written_at + gap))
     }
 
-    /// Whether everything is written.
-    fn idle(&self) -> bool {
-        self.under_way.is_none() && self.since.is_none()
+    /// Returns whether everything is written.
+    fn is_idle(&self) -> bool {
+        self.in_flight.is_none() && self.pending_since.is_none()
     }
 
-    /// Whether the store has not answered for long.
+    /// Returns whether the store has not answered for too long.
     pub fn is_stalled(&self, now: Millis) -> bool {
-        let batch = self.under_way.as_ref();
-        batch.is_some_and(|batch| now > batch.sent_at + SLOW)
+        let batch = self.in_flight.as_ref();
+        batch.is_some_and(|batch| now > batch.sent_at + STALLED_AFTER)
     }
 
-    /// The new jobs that are in no commit yet. What is to stay among them has
-    /// to be handed back by [`CommitQueue::job_accepted`].
+    /// Takes the new jobs that are in no commit yet. The caller returns those
+    /// that are to stay with [`CommitQueue::job_accepted`].
     pub fn take_accepted(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.accepted)
     }
 
-    /// When the commit that is under way was sent, the number of its record
+    /// Returns when the commit in flight was sent, the number of its record,
     /// and the new jobs in it.
-    pub fn under_way(
+    pub fn in_flight(
         &self,
     ) -> Option<(Millis, RecordNumber, BTreeSet<JobId>)> {
-        let batch = self.under_way.as_ref()?;
+        let batch = self.in_flight.as_ref()?;
         Some((batch.sent_at, batch.number, batch.accepted.clone()))
     }
 
-    /// Takes a new job out of the commit that is under way.
+    /// Removes a new job from the commit in flight.
     pub fn withdraw(&mut self, job: JobId) {
-        if let Some(batch) = &mut self.under_way {
+        if let Some(batch) = &mut self.in_flight {
             batch.accepted.remove(&job);
         }
-        self.records.forget(job);
+        self.records.remove_job(job);
     }
 }
 
 impl Scheduler {
     pub(super) fn send_commit(&mut self, now: Millis) {
-        if self.commits.records.have_garbage(now) {
-            self.commits.touch(now);
+        if self.commits.records.needs_cleanup(now) {
+            self.commits.schedule(now);
         }
         let due = self.commits.due(self.config.min_commit_interval);
         if due.is_none_or(|due| due > now) {
             return;
         }
         let queue = &mut self.commits;
-        queue.since = None;
+        queue.pending_since = None;
         let mut batch = Batch {
             sent_at: now,
             accepted: std::mem::take(&mut queue.accepted),
@@ -183,7 +185,7 @@
         self.commit_ends(&mut changes, &mut batch, now);
         self.commit_record(&mut changes, &mut batch, now);
         self.commit_shards(&mut changes, &mut batch, now);
-        if std::mem::take(&mut self.commits.waves) {
+        if std::mem::take(&mut self.commits.maintenance_dirty) {
             let name = record::WAVES.to_string();
             let value = record::encode(&self.machines.finished);
             changes.push(Change::Put { name, value });
@@ -191,17 +193,18 @@
         self.commit_stopping(&mut changes, &batch, now);
         for index in std::mem::take(&mut self.commits.unacknowledged) {
             if let Some(executor) = self.executors.get(&index) {
-                batch.noted.insert(index, executor.received_end);
+                batch.acknowledged.insert(index, executor.received_end);
             }
         }
-        let room = MAX_CHANGES.saturating_sub(changes.len());
-        let (removed, names) = self.commits.records.garbage(room, now);
+        let remaining = MAX_CHANGES.saturating_sub(changes.len());
+        let (removed, names) =
+            self.commits.records.take_garbage(remaining, now);
         batch.removed = removed;
         changes.extend(names.into_iter().map(|name| Change::Remove { name }));
-        let nothing = changes.is_empty();
-        self.commits.under_way = Some(batch);
-        if nothing {
-            // What had to be written has been overtaken.
+        let is_empty = changes.is_empty();
+        self.commits.in_flight = Some(batch);
+        if is_empty {
+            // The changes are obsolete by now.
             return self.committed(now);
         }
         self.count("commits");
@@ -230,26 +233,27 @@
         changes.push(Change::Put { name, value });
     }
 
-    /// Writes new jobs and progress, and again what stands in the oldest
-    /// record, if there are many.
+    /// Writes new jobs and progress. If there are too many records or the
+    /// oldest one is too old, also rewrites what is still needed of the
+    /// oldest.
     fn commit_record(
         &mut self,
         changes: &mut Vec<Change>,
         batch: &mut Batch,
         now: Millis,
     ) {
-        self.bound_accepted(batch, now);
+        self.defer_excess_jobs(batch, now);
         let mut jobs = batch.accepted.clone();
         let mut progress = batch.progress.clone();
-        self.commits.records.rewrite(&mut jobs, &mut progress, now);
+        self.commits.records.add_rewrites(&mut jobs, &mut progress, now);
         let mut record = Record::default();
         let mut bytes = 0;
         for job in &jobs {
             let Some(live) = self.jobs.get(job) else { continue };
-            // What is only written again can wait for another commit.
+            // Jobs that are only rewritten can wait for another commit.
             bytes += live.encoded_size();
-            let due = batch.accepted.contains(job) || bytes <= MAX_BYTES;
-            if live.ended.is_none() && due {
+            let fits = batch.accepted.contains(job) || bytes <= MAX_BYTES;
+            if live.ended.is_none() && fits {
                 let queue = (*live.queue).clone();
                 record.accepted.push((live.job.clone(), queue));
             }
@@ -277,9 +281,9 @@
         changes.push(Change::Put { name, value });
     }
 
-    /// Leaves new jobs for the next commit that would make this one larger
-    /// than the store takes.
-    fn bound_accepted(&mut self, batch: &mut Batch, now: Millis) {
+    /// Defers the new jobs that would make this commit larger than the store
+    /// accepts to the next one.
+    fn defer_excess_jobs(&mut self, batch: &mut Batch, now: Millis) {
         let mut bytes = 0;
         let mut kept = BTreeSet::new();
         for job in std::mem::take(&mut batch.accepted) {
@@ -293,23 +297,25 @@
         batch.accepted = kept;
     }
 
-    /// Writes what may still run of jobs that end before their tasks do. It
-    /// has to stand in the store with the ends; that it shrinks may be
-    /// written later.
+    /// Writes the resources that may still be used by jobs that ended before
+    /// their tasks. An increase has to be written together with the ends. A
+    /// decrease may be written later.
     fn commit_stopping(
         &mut self,
         changes: &mut Vec<Change>,
         batch: &Batch,
         now: Millis,
     ) {
-        let given_up =
+        let ended_early =
             batch.ends.iter().any(|ended| ended.state != JobState::Succeeded);
-        let aged = !self.commits.stopping.is_empty()
-            && now >= self.commits.stopping_at + STOPPING_AGAIN;
-        if !given_up && !aged {
+        let outdated = !self.commits.stopping.is_empty()
+            && now
+                >= self.commits.stopping_computed_at
+                    + STOPPING_REFRESH_INTERVAL;
+        if !ended_early && !outdated {
             return;
         }
-        self.commits.stopping_at = now;
+        self.commits.stopping_computed_at = now;
         let stopping = self.stopping();
         if stopping == self.commits.stopping {
             return;
@@ -320,8 +326,8 @@
         self.commits.stopping = stopping;
     }
 
-    /// Writes the shards of the list of executors that have changed, as many
-    /// as have about the size that a commit may have.
+    /// Writes changed shards of the executor list, up to about the maximum
+    /// size of a commit.
     fn commit_shards(
         &mut self,
         changes: &mut Vec<Change>,
@@ -335,7 +341,7 @@
             BTreeMap::new();
         for (index, executor) in self.executors.iter_mut() {
             let id = &executor.info.id;
-            // A life that was followed is nobody to ask any more.
+            // A superseded incarnation is not asked any more.
             let newest = self.by_id.get(id) == Some(index);
             if newest && self.commits.shards.contains(&executor.shard) {
                 let (shard, indices) =
@@ -366,36 +372,36 @@
             }
         }
         if !self.commits.shards.is_empty() {
-            return self.commits.touch(now);
+            return self.commits.schedule(now);
         }
-        let former = std::mem::take(&mut self.commits.legacy_lists);
-        changes.extend(former.into_iter().map(|name| Change::Remove { name }));
+        let legacy = std::mem::take(&mut self.commits.legacy_lists);
+        changes.extend(legacy.into_iter().map(|name| Change::Remove { name }));
     }
 
-    /// The outstanding commit is written.
+    /// Handles that the commit in flight is written.
     pub(super) fn committed(&mut self, now: Millis) {
-        let Some(batch) = self.commits.under_way.take() else { return };
-        self.commits.last = now;
-        self.outages.end(now);
+        let Some(batch) = self.commits.in_flight.take() else { return };
+        self.commits.written_at = now;
+        self.store_outages.end(now);
         let records = &mut self.commits.records;
-        records.written(batch.number);
-        records.removed(&batch.removed);
+        records.mark_written(batch.number);
+        records.mark_removed(&batch.removed);
         for index in batch.enrolled {
             if let Some(executor) = self.executors.get_mut(&index) {
                 executor.enrolled = true;
             }
         }
         for job in batch.accepted {
-            self.accepted(job);
+            self.job_written(job);
         }
         for ended in batch.ends {
-            self.commits.records.forget(ended.job);
+            self.commits.records.remove_job(ended.job);
             self.end_written(ended, now);
         }
-        for (index, noted) in batch.noted {
+        for (index, end) in batch.acknowledged {
             if let Some(executor) = self.executors.get_mut(&index) {
-                if noted > executor.acknowledged_end {
-                    executor.acknowledged_end = noted;
+                if end > executor.acknowledged_end {
+                    executor.acknowledged_end = end;
                     executor.next_renewal = now;
                     self.renewal_queue.enqueue(index);
                 }
@@ -404,7 +410,7 @@
         self.needs_placement = true;
     }
 
-    fn accepted(&mut self, job: JobId) {
+    fn job_written(&mut self, job: JobId) {
         let Some(live) = self.jobs.get_mut(&job) else { return };
         live.written = true;
         let submitters = std::mem::take(&mut live.submitters);
@@ -443,30 +449,31 @@
         }
     }
 
-    /// Refuses the jobs that wait for a store that does not answer. They
-    /// are in no commit, so that they never run.
+    /// Refuses new jobs that wait for a store that does not answer. No commit
+    /// holds them, so they never run.
     pub(super) fn refuse_waiting(&mut self, now: Millis) {
-        let stuck = self.commits.is_stalled(now);
+        let stalled = self.commits.is_stalled(now);
         if !self.is_enabled(Mechanism::AfterOutage) {
-            if stuck {
+            if stalled {
                 for job in self.commits.take_accepted() {
                     self.refuse_new(job, now);
                 }
             }
             return;
         }
-        if let Some((sent_at, ..)) = self.commits.under_way().filter(|_| stuck)
+        if let Some((sent_at, ..)) =
+            self.commits.in_flight().filter(|_| stalled)
         {
-            if self.outages.begin(sent_at) {
+            if self.store_outages.begin(sent_at) {
                 self.count("outages");
             }
         }
-        self.refuse_hopeless(now);
+        self.refuse_overlong_waits(now);
     }
 
-    /// Whether everything that executors have reported is written or needs
-    /// no writing.
+    /// Returns whether everything that executors have reported is written or
+    /// needs no writing.
     pub(super) fn has_no_pending_writes(&self) -> bool {
-        self.commits.idle()
+        self.commits.is_idle()
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/cordons.rs
+++ b/puffinknot-core/src/jobs/scheduler/cordons.rs
@@ -1,11 +1,11 @@
 /*!
-Data centres that take no new work, see [`crate::jobs::cordon`].
+Data centres that accept no new work, see [`crate::jobs::cordon`].
 
-What runs there runs on. Orders to start that were not answered when the
-cordon came may have been carried out: their executor is asked, as for any
-other unanswered order, and only what it denies is placed elsewhere. A step
-that no longer fits waits: a cordon ends, and nobody can say when, so that
-nothing which was accepted is given up for it.
+Running tasks go on. A start that was unanswered when the cordon began may have
+been carried out. Its executor is asked, as for any other unanswered start, and
+the task is placed elsewhere only if the executor denies it. A step that no
+longer fits waits: a cordon ends, but nobody knows when, so no accepted work is
+given up because of it.
 */
 
 use crate::jobs::cordon::Cordons;
@@ -13,8 +13,8 @@
 use crate::jobs::scheduler::Scheduler;
 
 impl Scheduler {
-    /// Takes in which data centres take no new work, unless something newer
-    /// is known.
+    /// Sets which data centres accept no new work, unless a newer set is
+    /// known.
     pub fn set_cordons(&mut self, cordons: Cordons) {
         if cordons.since() <= self.cordons.since() {
             return;
@@ -27,8 +27,8 @@
         self.count("cordons_changed");
     }
 
-    /// Whether all executors of a service are where nothing new may start, so
-    /// that nobody can say when a job would begin.
+    /// Returns whether all executors of a service are cordoned, so that nobody
+    /// can say when a new job would start.
     pub(super) fn is_service_cordoned(&self, service: &str) -> bool {
         if self.cordons.is_empty() || !self.entries_read {
             return false;
--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -105,7 +105,7 @@
 use self::renewal_queue::RenewalQueue;
 use self::silence_alarm::SilenceAlarm;
 use self::speeds::EstimateErrors;
-use self::store_outage::Outages;
+use self::store_outage::StoreOutages;
 use self::token_buckets::TokenBuckets;
 use self::urgent_headroom::UrgentHeadroom;
 
@@ -208,7 +208,7 @@
     /// The share of executors that may run the steps of a queue.
     approval_rates: BTreeMap<String, f64>,
     commits: CommitQueue,
-    outages: Outages,
+    store_outages: StoreOutages,
     departures: Departures,
     machines: Machines,
     failure_domains: FailureDomains,
@@ -237,7 +237,7 @@
         let mut scheduler = Scheduler {
             next_run: config.token * RUNS_PER_TOKEN,
             commits: CommitQueue::new(config.token),
-            outages: Outages::default(),
+            store_outages: StoreOutages::default(),
             departures: Departures::default(),
             machines: Machines::default(),
             failure_domains: FailureDomains::default(),
@@ -357,10 +357,10 @@
             Event::ThrottleAnswered { executor, answer } => {
                 self.throttle_answered(executor, answer, now);
             }
-            Event::Wave(info) => self.wave(info, now),
+            Event::Wave(info) => self.update_wave(info, now),
             Event::Machines(machines) => self.machines_listed(machines, now),
             Event::MaintenanceAnswered { wave, machine, answer } => {
-                self.upkeep_answered(wave, &machine, answer, now);
+                self.maintenance_answered(wave, &machine, answer, now);
             }
             Event::Committed => self.committed(now),
             Event::CommitDeclined(changes) => {
--- a/puffinknot-core/src/jobs/scheduler/records.rs
+++ b/puffinknot-core/src/jobs/scheduler/records.rs
@@ -1,12 +1,15 @@
 /*!
-Which of the leader's records still matter.
-
-Each commit is one record. A record matters as long as it holds the only copy
-of a live job or of its newest progress. When there are too many, what still
-matters of the oldest is written again with the next commit, and the oldest
-goes. Names of ended jobs are kept apart, in chunks; a chunk goes once its
-jobs need not be known any more and no record from its time is left, so that
-no ended job can come back.
+Which of the leader's records are still needed.
+
+Each commit writes at most one record. A record is needed as long as it holds
+the only copy of a live job or of a job's latest progress. If there are too
+many records, or if the oldest one is too old, what is still needed of the
+oldest is rewritten with the next commit, and the oldest records are removed.
+
+The IDs of ended jobs are kept separately, in chunks. A chunk is removed once
+its jobs need not be remembered any more and no record written while it was
+filled is left. Otherwise a successor could restore an ended job from such a
+record.
 */
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -15,52 +18,52 @@
 use crate::jobs::model::JobId;
 use crate::jobs::record::{self, EndedChunk, EndedJob, RecordNumber};
 
-/// The most records; more are written together.
+/// If there are more records than this, the oldest are merged.
 const MAX_RECORDS: usize = 80;
-/// So many of the oldest records are written again as one.
-const TOGETHER: usize = 8;
-/// A record older than this is written again, in milliseconds.
-const MAX_AGE: Millis = 20_000;
-/// The number of jobs in a chunk of ended jobs.
-const CHUNK: usize = 120;
-/// Chunks are kept this much longer than their jobs, in milliseconds.
-const CHUNK_SLACK: Millis = 10_000;
+/// The number of oldest records that are merged into one.
+const RECORDS_PER_MERGE: usize = 8;
+/// The oldest record is rewritten when it is older than this.
+const MAX_RECORD_AGE: Millis = 20_000;
+/// A chunk takes no more jobs once it has this many.
+const JOBS_PER_CHUNK: usize = 120;
+/// How much longer chunks are kept than their jobs have to be remembered.
+const CHUNK_GRACE: Millis = 10_000;
 
 /// What a record holds the only copy of.
 #[derive(Debug, Default)]
 struct Contents {
     jobs: BTreeSet<JobId>,
     progress: BTreeSet<JobId>,
-    since: Millis,
+    added_at: Millis,
     written: bool,
 }
 
 impl Contents {
-    fn empty(&self) -> bool {
+    fn is_empty(&self) -> bool {
         self.jobs.is_empty() && self.progress.is_empty()
     }
 }
 
 /// A chunk that takes no more jobs.
 #[derive(Debug)]
-struct Closed {
+struct ClosedChunk {
     name: String,
     until: Millis,
-    /// Records up to this one are from its time.
+    /// The last record that may have been written while the chunk was filled.
     at: RecordNumber,
 }
 
-/// The records of this tenure and of its predecessors.
+/// The records of this term and of former ones.
 #[derive(Debug)]
 pub(super) struct Records {
     token: u64,
     sequence: u64,
     records: BTreeMap<RecordNumber, Contents>,
-    jobs: BTreeMap<JobId, RecordNumber>,
-    progress: BTreeMap<JobId, RecordNumber>,
+    record_of_job: BTreeMap<JobId, RecordNumber>,
+    record_of_progress: BTreeMap<JobId, RecordNumber>,
     chunk: EndedChunk,
     chunk_number: u64,
-    closed: VecDeque<Closed>,
+    closed_chunks: VecDeque<ClosedChunk>,
 }
 
 impl Records {
@@ -69,21 +72,22 @@
             token,
             sequence: 0,
             records: BTreeMap::new(),
-            jobs: BTreeMap::new(),
-            progress: BTreeMap::new(),
+            record_of_job: BTreeMap::new(),
+            record_of_progress: BTreeMap::new(),
             chunk: EndedChunk::default(),
             chunk_number: 0,
-            closed: VecDeque::new(),
+            closed_chunks: VecDeque::new(),
         }
     }
 
-    /// The number of the next record.
+    /// Returns the number of the next record.
     pub fn next_number(&mut self) -> RecordNumber {
         self.sequence += 1;
         RecordNumber { token: self.token, sequence: self.sequence }
     }
 
-    /// A record holds the newest copy of these.
+    /// Adds a record that holds the latest copy of these jobs and this
+    /// progress.
     pub fn insert(
         &mut self,
         number: RecordNumber,
@@ -92,106 +96,110 @@
         now: Millis,
     ) {
         for job in &jobs {
-            if let Some(old) = self.jobs.insert(*job, number) {
+            if let Some(old) = self.record_of_job.insert(*job, number) {
                 if let Some(contents) = self.records.get_mut(&old) {
                     contents.jobs.remove(job);
                 }
             }
         }
         for job in &progress {
-            if let Some(old) = self.progress.insert(*job, number) {
+            if let Some(old) = self.record_of_progress.insert(*job, number) {
                 if let Some(contents) = self.records.get_mut(&old) {
                     contents.progress.remove(job);
                 }
             }
         }
         let written = false;
-        let contents = Contents { jobs, progress, since: now, written };
+        let contents = Contents { jobs, progress, added_at: now, written };
         self.records.insert(number, contents);
     }
 
-    /// A record stands in the store.
-    pub fn written(&mut self, number: RecordNumber) {
+    /// Notes that a record is in the store.
+    pub fn mark_written(&mut self, number: RecordNumber) {
         if let Some(contents) = self.records.get_mut(&number) {
             contents.written = true;
         }
     }
 
-    /// A job has ended, and that is written.
-    pub fn forget(&mut self, job: JobId) {
-        if let Some(number) = self.jobs.remove(&job) {
+    /// Drops a job whose end is written, or that was withdrawn from the store.
+    pub fn remove_job(&mut self, job: JobId) {
+        if let Some(number) = self.record_of_job.remove(&job) {
             if let Some(contents) = self.records.get_mut(&number) {
                 contents.jobs.remove(&job);
             }
         }
-        if let Some(number) = self.progress.remove(&job) {
+        if let Some(number) = self.record_of_progress.remove(&job) {
             if let Some(contents) = self.records.get_mut(&number) {
                 contents.progress.remove(&job);
             }
         }
     }
 
-    /// Adds what is to be written again to what is to be written.
-    pub fn rewrite(
+    /// Adds the jobs and the progress that have to be rewritten to those to be
+    /// written.
+    pub fn add_rewrites(
         &self,
         jobs: &mut BTreeSet<JobId>,
         progress: &mut BTreeSet<JobId>,
         now: Millis,
     ) {
         let many = self.records.len() > MAX_RECORDS;
-        let most = if many { TOGETHER } else { 1 };
+        let most = if many { RECORDS_PER_MERGE } else { 1 };
         for contents in self.records.values().take(most) {
-            if many || contents.since + MAX_AGE < now {
+            if many || contents.added_at + MAX_RECORD_AGE < now {
                 jobs.extend(contents.jobs.iter().copied());
                 progress.extend(contents.progress.iter().copied());
             }
         }
     }
 
-    /// Whether anything should go, or be written again.
-    pub fn have_garbage(&self, now: Millis) -> bool {
+    /// Returns whether anything has to be removed or rewritten.
+    pub fn needs_cleanup(&self, now: Millis) -> bool {
         let oldest = self.records.values().next();
-        let old = oldest.is_some_and(|c| c.since + MAX_AGE < now);
+        let old = oldest.is_some_and(|c| c.added_at + MAX_RECORD_AGE < now);
         let many = self.records.len() > MAX_RECORDS;
-        let chunk = self.closed.front();
-        old || many || chunk.is_some_and(|c| self.may_go(c, now))
+        let chunk = self.closed_chunks.front();
+        old || many || chunk.is_some_and(|c| self.is_removable(c, now))
     }
 
-    fn may_go(&self, chunk: &Closed, now: Millis) -> bool {
+    fn is_removable(&self, chunk: &ClosedChunk, now: Millis) -> bool {
         let oldest = self.records.keys().next();
         chunk.until <= now && oldest.is_none_or(|oldest| *oldest > chunk.at)
     }
 
-    /// Up to `most` names to remove, and the records among them.
-    pub fn garbage(
+    /// Returns up to `most` names to remove from the store, and the numbers of
+    /// the records among them.
+    pub fn take_garbage(
         &mut self,
         most: usize,
         now: Millis,
     ) -> (Vec<RecordNumber>, Vec<String>) {
         let empty =
-            self.records.iter().filter(|(_, c)| c.written && c.empty());
+            self.records.iter().filter(|(_, c)| c.written && c.is_empty());
         let numbers: Vec<RecordNumber> =
             empty.map(|(number, _)| *number).take(most).collect();
         let mut names: Vec<String> =
             numbers.iter().map(|n| record::record_name(*n)).collect();
         while names.len() < most {
-            let Some(chunk) = self.closed.front() else { break };
-            if !self.may_go(chunk, now) {
+            let Some(chunk) = self.closed_chunks.front() else { break };
+            if !self.is_removable(chunk, now) {
                 break;
             }
-            names.extend(self.closed.pop_front().map(|chunk| chunk.name));
+            names.extend(
+                self.closed_chunks.pop_front().map(|chunk| chunk.name),
+            );
         }
         (numbers, names)
     }
 
-    /// These records are removed from the store.
-    pub fn removed(&mut self, numbers: &[RecordNumber]) {
+    /// Notes that records are removed from the store.
+    pub fn mark_removed(&mut self, numbers: &[RecordNumber]) {
         for number in numbers {
             self.records.remove(number);
         }
     }
 
-    /// Adds ended jobs to the present chunk, and returns its name and value.
+    /// Adds ended jobs to the current chunk, and returns its name and value.
     pub fn add_ended(
         &mut self,
         jobs: &[EndedJob],
@@ -202,23 +210,23 @@
         let (token, number) = (self.token, self.chunk_number);
         let name = format!("{}{token}-{number}", record::ENDED);
         let value = record::encode(&self.chunk);
-        if self.chunk.jobs.len() >= CHUNK {
+        if self.chunk.jobs.len() >= JOBS_PER_CHUNK {
             self.chunk = EndedChunk::default();
             self.chunk_number += 1;
-            self.close(name.clone(), now + keep + CHUNK_SLACK);
+            self.close_chunk(name.clone(), now + keep + CHUNK_GRACE);
         }
         (name, value)
     }
 
-    fn close(&mut self, name: String, until: Millis) {
-        // What is under way now may be of its time too.
+    fn close_chunk(&mut self, name: String, until: Millis) {
+        // The commit in flight may belong to the chunk too.
         let sequence = self.sequence + 1;
         let at = RecordNumber { token: self.token, sequence };
-        self.closed.push_back(Closed { name, until, at });
+        self.closed_chunks.push_back(ClosedChunk { name, until, at });
     }
 
-    /// Takes over a chunk of a predecessor.
+    /// Takes over a chunk of a former leader.
     pub fn inherit_chunk(&mut self, name: String, until: Millis) {
-        self.close(name, until + CHUNK_SLACK);
+        self.close_chunk(name, until + CHUNK_GRACE);
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/restore.rs
+++ b/puffinknot-core/src/jobs/scheduler/restore.rs
@@ -161,7 +161,7 @@
             let progress = progress.filter(live).collect();
             let known = &mut self.commits.records;
             known.insert(number, jobs, progress, now);
-            known.written(number);
+            known.mark_written(number);
             for (job, queue) in record.accepted {
                 self.restore_job(job, queue, now);
             }
--- a/puffinknot-core/src/jobs/scheduler/store_outage.rs
+++ b/puffinknot-core/src/jobs/scheduler/store_outage.rs
@@ -1,20 +1,21 @@
 /*!
-What becomes of new jobs while the store is away.
-
-A job is accepted only once it is written, so that nobody can accept one while
-the store does not answer. Its client is told to come back at once if waiting
-would not serve it sooner than that. How much longer an outage should last is
-reckoned from earlier ones that had lasted as long; if there is none, as long
-again as it has lasted.
-
-A commit that the store has declined has not been made and never will be.
-Its new jobs are taken out of it, and their clients told, too. If no answer
-came, it may still be made: its jobs may be accepted, so that their clients
-can't be told that they are not.
-
-What runs and what was accepted goes on: executors are the arbiters of what
-runs. That a job has ended is not said before it is written, or a successor
-that can't reach its executors any more would run it again.
+Handling of new jobs while the store is unavailable.
+
+A job is accepted only once it is written, so no node can accept jobs while the
+store does not answer. A client is told at once to retry later if waiting would
+not serve it sooner. The remaining time of an outage is estimated from former
+outages that lasted longer than it has so far. If there are none, it is
+expected to last as long again.
+
+A commit that the store has declined was not made and never will be. Its new
+jobs that should not wait are removed from it, and their clients are refused as
+well. A commit
+without an answer may still be made. Its jobs may be accepted, so their clients
+can't be refused.
+
+Running tasks and accepted jobs go on, since executors decide what runs. The
+end of a job is not reported before it is written. Otherwise a successor that
+can't reach the executors any more would run the job again.
 */
 
 use std::collections::{BTreeSet, VecDeque};
@@ -28,87 +29,96 @@
 use crate::jobs::scheduler::requests::{slack, RETRY_AFTER};
 use crate::jobs::scheduler::Scheduler;
 
-/// If the store turns away this leader only, another node leads after so long,
-/// in milliseconds: the lead is offered after three failures, about 0.2 s, and
-/// to a second node 0.25 s later. Its clients are served sooner by that one
-/// than if they came back.
-const LEAD_MOVES: Millis = 500;
-/// So many outages are remembered.
-const REMEMBERED: usize = 16;
+/// If the store refuses only this leader, another node leads after this time.
+/// A leader offers the lead after three failures, which take about 0.2 s, and
+/// offers it to a second node 0.25 s later. The new leader serves the clients
+/// sooner than if they came back later.
+const LEADER_CHANGE: Millis = 500;
+/// The number of outages whose durations are remembered.
+const MAX_REMEMBERED: usize = 16;
 
-/// The outages of the store in this tenure.
+/// The outages of the store in this term.
 #[derive(Debug, Default)]
-pub(super) struct Outages {
-    /// Since when the store is away, if it is.
-    since: Option<Millis>,
-    /// How long the last ones have lasted, in milliseconds.
-    lasted: VecDeque<Millis>,
+pub(super) struct StoreOutages {
+    /// When the current outage began, if there is one.
+    started_at: Option<Millis>,
+    /// The durations of the latest outages.
+    durations: VecDeque<Millis>,
 }
 
-impl Outages {
-    /// The store does not take what was sent to it then. Returns whether that
-    /// is news.
+impl StoreOutages {
+    /// Records that the store does not accept what was sent to it at
+    /// `sent_at`. Returns whether this begins an outage.
     pub fn begin(&mut self, sent_at: Millis) -> bool {
-        let news = self.since.is_none();
-        self.since.get_or_insert(sent_at);
-        news
+        let is_new = self.started_at.is_none();
+        self.started_at.get_or_insert(sent_at);
+        is_new
     }
 
-    /// Whether the store is away.
-    pub fn on(&self) -> bool {
-        self.since.is_some()
+    /// Returns whether the store is unavailable.
+    pub fn is_active(&self) -> bool {
+        self.started_at.is_some()
     }
 
-    /// The store takes what is sent to it.
+    /// Records that the store accepts writes.
     pub fn end(&mut self, now: Millis) {
-        let Some(since) = self.since.take() else { return };
-        self.lasted.push_back(now.saturating_sub(since));
-        if self.lasted.len() > REMEMBERED {
-            self.lasted.pop_front();
+        let Some(since) = self.started_at.take() else { return };
+        self.durations.push_back(now.saturating_sub(since));
+        if self.durations.len() > MAX_REMEMBERED {
+            self.durations.pop_front();
         }
     }
 
-    /// How much longer the store should be away, in milliseconds, if it is.
-    fn left(&self, now: Millis) -> Option<Millis> {
-        let age = now.saturating_sub(self.since?);
-        let longer = self.lasted.iter().filter_map(|all| {
-            let left = all.saturating_sub(age);
+    /// Returns how much longer the current outage should last, or `None` if
+    /// there is no outage.
+    fn remaining(&self, now: Millis) -> Option<Millis> {
+        let age = now.saturating_sub(self.started_at?);
+        let remaining = self.durations.iter().filter_map(|duration| {
+            let left = duration.saturating_sub(age);
             (left > 0).then_some(left)
         });
-        let longer: Vec<Millis> = longer.collect();
-        let sum: Millis = longer.iter().sum();
-        Some(sum.checked_div(longer.len() as Millis).unwrap_or(age))
+        let remaining: Vec<Millis> = remaining.collect();
+        let sum: Millis = remaining.iter().sum();
+        Some(sum.checked_div(remaining.len() as Millis).unwrap_or(age))
     }
 
-    /// Whether a job that was handed in then, and is late if it is accepted
-    /// after `slack`, is to wait for the store. One that should be late is
-    /// refused, and so is one whose client would be back as soon.
-    pub fn bears(&self, since: Millis, slack: Millis, now: Millis) -> bool {
-        let Some(left) = self.left(now) else { return true };
-        let begun = self.since.unwrap_or(now);
-        now < begun + LEAD_MOVES || now + left < since + slack.min(RETRY_AFTER)
+    /// Returns whether a job that was submitted at `since` should wait for the
+    /// store. The job will be late if it is accepted more than `slack` after
+    /// that. It should wait if the store should be back before that time and
+    /// before the client would retry, or if another leader may still take over
+    /// in time.
+    pub fn should_wait(
+        &self,
+        since: Millis,
+        slack: Millis,
+        now: Millis,
+    ) -> bool {
+        let Some(remaining) = self.remaining(now) else { return true };
+        let started = self.started_at.unwrap_or(now);
+        now < started + LEADER_CHANGE
+            || now + remaining < since + slack.min(RETRY_AFTER)
     }
 }
 
 impl Scheduler {
-    /// Whether a job that comes now is to wait for the store.
+    /// Returns whether a job that is submitted now should wait for the store.
     pub(super) fn may_wait_for_store(
         &self,
         job: &Job,
         queue: &Queue,
         now: Millis,
     ) -> bool {
-        self.outages.bears(now, slack(job, queue), now)
+        self.store_outages.should_wait(now, slack(job, queue), now)
     }
 
-    /// Refuses the new jobs that are not to wait for the store any longer.
-    /// They are in no commit, so that they never run.
-    pub(super) fn refuse_hopeless(&mut self, now: Millis) {
-        if !self.outages.on() {
+    /// Refuses the new jobs that should not wait for the store any longer. No
+    /// commit holds them, so they never run.
+    pub(super) fn refuse_overlong_waits(&mut self, now: Millis) {
+        if !self.store_outages.is_active() {
             return;
         }
         for job in self.commits.take_accepted() {
-            if self.is_hopeless(job, now) {
+            if self.waits_too_long(job, now) {
                 self.refuse_new(job, now);
             } else {
                 self.commits.job_accepted(job, now);
@@ -116,13 +126,14 @@
         }
     }
 
-    fn is_hopeless(&self, job: JobId, now: Millis) -> bool {
+    fn waits_too_long(&self, job: JobId, now: Millis) -> bool {
         let Some(live) = self.jobs.get(&job) else { return true };
         let slack = slack(&live.job, &live.queue);
-        !self.outages.bears(live.arrived_at, slack, now)
+        !self.store_outages.should_wait(live.arrived_at, slack, now)
     }
 
-    /// Drops a job that is not written, and tells those who wait for it.
+    /// Drops a job that is not written, and refuses the requests that wait for
+    /// it.
     pub(super) fn refuse_new(&mut self, job: JobId, now: Millis) {
         let Some(live) = self.jobs.remove(&job) else { return };
         self.record_refusal(job, live.arrived_at, now);
@@ -134,41 +145,42 @@
         }
     }
 
-    /// The store has declined the outstanding commit: nothing of it is done.
-    /// It is made again without the new jobs that are not to wait for it.
+    /// Handles that the store has declined the commit in flight, so nothing of
+    /// it is done. The commit is retried without the new jobs that should not
+    /// wait for it.
     pub(super) fn commit_declined(
         &mut self,
         mut changes: Vec<Change>,
         now: Millis,
     ) {
-        let batch = self.commits.under_way();
-        let Some((sent_at, number, accepted)) = batch else { return };
+        let commit = self.commits.in_flight();
+        let Some((sent_at, number, accepted)) = commit else { return };
         if !self.is_enabled(Mechanism::AfterOutage) {
             return self.actions.push(Action::Commit(changes));
         }
-        if self.outages.begin(sent_at) {
+        if self.store_outages.begin(sent_at) {
             self.count("outages");
         }
-        let hopeless: BTreeSet<JobId> = accepted
+        let refused: BTreeSet<JobId> = accepted
             .into_iter()
-            .filter(|job| self.is_hopeless(*job, now))
+            .filter(|job| self.waits_too_long(*job, now))
             .collect();
         let name = record::record_name(number);
-        if !hopeless.is_empty() && withdraw(&mut changes, &name, &hopeless) {
-            for job in hopeless {
+        if !refused.is_empty() && remove_jobs(&mut changes, &name, &refused) {
+            for job in refused {
                 self.commits.withdraw(job);
                 self.count("withdrawn");
                 self.refuse_new(job, now);
             }
         }
-        self.refuse_hopeless(now);
+        self.refuse_overlong_waits(now);
         self.actions.push(Action::Commit(changes));
     }
 }
 
-/// Takes jobs out of the record of this name. Returns whether it could be
-/// read.
-fn withdraw(
+/// Removes jobs from the record with this name. Returns `false` if the record
+/// can't be decoded.
+fn remove_jobs(
     changes: &mut [Change],
     name: &str,
     jobs: &BTreeSet<JobId>,
