--- a/puffinknot-core/src/jobs/scheduler/cordons.rs
+++ b/puffinknot-core/src/jobs/scheduler/cordons.rs
@@ -13,8 +13,8 @@
 use crate::jobs::scheduler::Scheduler;
 
 impl Scheduler {
-    /// Sets which data centres accept no new work, unless a newer set is
-    /// known.
+    /// Sets which data centres accept no new work, unless this set or a newer
+    /// one is known.
     pub fn set_cordons(&mut self, cordons: Cordons) {
         if cordons.since() <= self.cordons.since() {
             return;
@@ -36,10 +36,10 @@
         let all = self.executors.values();
         let mut of_service = all.filter(|e| e.info.service == service);
         let mut any = false;
-        let closed = of_service.all(|executor| {
+        let all_cordoned = of_service.all(|executor| {
             any = true;
             executor.cordoned
         });
-        any && closed
+        any && all_cordoned
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/in_flight.rs
+++ b/puffinknot-core/src/jobs/scheduler/in_flight.rs
@@ -67,7 +67,7 @@
         for order in orders {
             self.remove_run(index, &order.task);
             self.count("orders_in_flight");
-            self.in_flight.push(order);
+            self.in_flight_starts.push(order);
         }
     }
 
@@ -84,11 +84,11 @@
         let Some(executor) = self.executors.get(&next) else { return };
         let (name, address) = (&executor.info.id, &executor.info.address);
         let (caught, left): (Vec<InFlightStart>, Vec<InFlightStart>) =
-            std::mem::take(&mut self.in_flight).into_iter().partition(
+            std::mem::take(&mut self.in_flight_starts).into_iter().partition(
                 |order| order.name == *name || order.address == *address,
             );
         let name = name.clone();
-        self.in_flight = left;
+        self.in_flight_starts = left;
         for InFlightStart { name: meant, from, task, on, .. } in caught {
             if meant == name {
                 self.count_on_next(from, next, task, on, now);
@@ -103,10 +103,10 @@
     pub(super) fn expire_in_flight_starts(&mut self, now: Millis) {
         let known = self.processed_until(now);
         let (open, over): (Vec<InFlightStart>, Vec<InFlightStart>) =
-            std::mem::take(&mut self.in_flight)
+            std::mem::take(&mut self.in_flight_starts)
                 .into_iter()
                 .partition(|order| order.may_come(known));
-        self.in_flight = open;
+        self.in_flight_starts = open;
         for InFlightStart { from, task, on, .. } in over {
             self.vacate(from, task, on.run, None);
         }
--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -1,31 +1,59 @@
 /*!
-The state of the node that leads the cell.
-
-What is done with it has modules of its own: `authorization` knows who may call,
-`requests` answers clients, `ledger` counts what client accounts have running,
-`renewals` takes in what executors report, `runs` follows single runs to their
-ends, `membership` knows when an executor's life is over, `incarnations` which life
-follows it under its name, `in_flight` which orders that one may carry out,
-`machine_list` what the list of machines tells of lives, `ranking` says what
-comes first, `run_time_estimate` how long runs take, `fit` where a task fits, `placement`
-chooses what starts where, `gangs` does so for gangs, `urgent_headroom` keeps room free
-for urgent tasks, `preemption` has others give way to them and to gangs, `account_shares`
-knows which accounts hold more than their share, `token_buckets` what comes beyond an
-account's due, `speeds` learns how long runs take,
-`failure_domains` finds data centres that are out of reach, `cordons` knows those that
-take no new work, `admission` refuses what can't be done in time,
-`silence_alarm` connections that have fallen silent, `event_lag` how late the leader's
-news are, `breakers` executors that fail what they run, `crash_suspects` tasks that
-crash the executors that start them, `renewal_queue`
-knows which executors to look at, `advice` spreads the calls for advice over
-all nodes, which `advisors` knows, `commit` groups what has to be written,
-`store_outage` refuses what would wait in vain for the store,
-`departures` moves what runs on executors that are about to go,
-`placement_stats` counts what placing looks through, `placement_rounds` bounds its part of the
-time,
-`records` knows what of it still matters, `throttle` slows tasks that fill beside
-tasks that serve, `maintenance` takes machines down for their upkeep, and `restore`
-takes over from a predecessor.
+The scheduler: the state and the decisions of the node that leads the cell.
+
+A [`Scheduler`] performs no I/O and reads no clock. Its driver passes it events
+and the current time, and carries out the actions that it returns.
+
+Clients are served by these modules:
+
+- `authorization` decides who may call a queue
+- `requests` answers requests
+- `admission` refuses jobs that can't be done in time
+- `retry_schedule` tells refused clients when to retry
+- `ledger` counts what client accounts have running
+- `account_shares` finds accounts that hold more than their fair share
+- `token_buckets` finds jobs beyond what is due to their account
+- `live_job` holds the jobs that have not ended
+
+Tasks are placed by these modules:
+
+- `ranking` orders the steps
+- `run_time_estimate` estimates how long runs take, and `speeds` learns it
+- `fit` finds where a task fits
+- `placement` decides which task starts where, and `gangs` does so for gangs
+- `urgent_headroom` keeps capacity free for urgent tasks
+- `preemption` preempts tasks for these and for gangs
+- `throttle` slows tasks that fill free capacity beside serving tasks
+- `advice` spreads calls for advice over all nodes, which `advisors` tracks
+- `placement_stats` counts what placement examines, and `placement_rounds`
+  bounds the time that it takes
+
+Executors are managed by these modules:
+
+- `renewals` renews leases and handles reports, and `renewal_queue` knows which
+  executors are due
+- `runs` follows single runs until they end
+- `membership` decides when an incarnation of an executor is over
+- `incarnations` finds which incarnation follows it under its name
+- `in_flight` tracks the starts that the following incarnation may carry out
+- `machine_list` derives the end of incarnations from the machine list
+- `departures` moves runs away from executors that are departing
+- `cordons` knows the data centres that accept no new work
+- `maintenance` takes machines down for maintenance
+
+Failures are detected by these modules:
+
+- `silence_alarm` finds connections that have fallen silent
+- `event_lag` measures how late the leader handles events
+- `failure_domains` finds unreachable data centres
+- `breakers` finds executors that fail what they run
+- `crash_suspects` finds tasks that crash the executors that start them
+
+State is stored by these modules:
+
+- `commit` batches writes, and `records` knows which records are still needed
+- `store_outage` refuses jobs that would wait in vain for the store
+- `restore` takes over from a former leader
 */
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -109,61 +137,61 @@
 use self::token_buckets::TokenBuckets;
 use self::urgent_headroom::UrgentHeadroom;
 
-/// What a scheduler is told once.
+/// The configuration of a scheduler.
 #[derive(Clone, Debug)]
 pub struct SchedulerConfig {
-    /// The fencing token of its tenure.
+    /// The fencing token of its term.
     pub token: u64,
     /// The longest lease on an executor, in milliseconds.
     pub lease: Millis,
     /// How long ended jobs stay known, in milliseconds.
     pub ended_retention: Millis,
-    /// For how long a predecessor's orders may be in force on executors
-    /// that don't answer, in milliseconds.
+    /// How long a former leader's orders may stay in force on executors that
+    /// don't answer, in milliseconds.
     pub inherited_order_lifetime: Millis,
-    /// Executors may be asked for advice in calls of at most this many.
+    /// The maximum number of executors that one call for advice asks about.
     pub max_advice_batch: usize,
-    /// The least time between two writes to the store, in milliseconds.
+    /// The minimum time between two writes to the store, in milliseconds.
     pub min_commit_interval: Millis,
-    /// The mechanisms that are switched off.
+    /// Which mechanisms are enabled.
     pub mechanisms: Mechanisms,
 }
 
 /// How a job has ended.
 #[derive(Clone, Debug)]
-struct EndedAs {
+struct EndedState {
     state: JobState,
-    /// The client account that it belonged to.
+    /// The client account that the job belonged to.
     account: Option<String>,
 }
 
 /// The jobs that have ended, as long as they have to be known.
 #[derive(Clone, Debug, Default)]
-struct Ended {
-    jobs: BTreeMap<JobId, EndedAs>,
-    /// When each of them may be forgotten, in order.
-    until: VecDeque<(Millis, JobId)>,
+struct EndedJobs {
+    jobs: BTreeMap<JobId, EndedState>,
+    /// When each job may be forgotten, in order.
+    forget_at: VecDeque<(Millis, JobId)>,
 }
 
-impl Ended {
+impl EndedJobs {
     fn insert(&mut self, ended: EndedJob, until: Millis) {
         let EndedJob { job, state, account } = ended;
-        self.jobs.insert(job, EndedAs { state, account });
-        self.until.push_back((until, job));
+        self.jobs.insert(job, EndedState { state, account });
+        self.forget_at.push_back((until, job));
     }
 
     fn forget(&mut self, now: Millis) {
-        while let Some(&(until, job)) = self.until.front() {
+        while let Some(&(until, job)) = self.forget_at.front() {
             if until > now {
                 return;
             }
-            self.until.pop_front();
+            self.forget_at.pop_front();
             self.jobs.remove(&job);
         }
     }
 }
 
-/// The state of the leader. See the module's documentation.
+/// The state of the leader. See the [module documentation](self).
 #[derive(Debug)]
 pub struct Scheduler {
     config: SchedulerConfig,
@@ -178,34 +206,34 @@
     token_buckets: TokenBuckets,
     late_boosts: LateBoosts,
     jobs: BTreeMap<JobId, LiveJob>,
-    ended: Ended,
+    ended: EndedJobs,
     executors: Executors,
-    /// The newest life of each name.
+    /// The newest incarnation of each executor, by the executor's ID.
     by_id: BTreeMap<String, ExecutorIndex>,
-    /// Orders that a life which is not known yet may carry out.
-    in_flight: Vec<InFlightStart>,
-    /// Executors not heard yet on which something that a predecessor ordered
-    /// may run unseen.
+    /// Starts that an incarnation may carry out which is not known yet.
+    in_flight_starts: Vec<InFlightStart>,
+    /// Executors not heard yet on which orders of a former leader may be in
+    /// force.
     unheard_executors: BTreeSet<ExecutorIndex>,
-    /// Whether the entries of executors were read in this tenure.
+    /// Whether the entries of all executors were read in this term.
     entries_read: bool,
-    /// Executors that may be due for a hold.
+    /// Executors whose lease renewal may be due.
     renewal_queue: RenewalQueue,
     /// Steps with tasks that may be started.
     ready: BTreeSet<StepKey>,
-    /// Whether something has changed that may let a task start.
+    /// Whether anything has changed that may let a task start.
     needs_placement: bool,
-    /// When steps that are not urgent were looked at last.
+    /// When steps that are not urgent were examined last.
     last_full_round: Millis,
     placement_rounds: PlacementRounds,
-    /// Steps that have room kept, and on which executors.
+    /// Steps for which capacity is reserved, and the executors where it is.
     reservations: BTreeMap<StepKey, Vec<ExecutorIndex>>,
     next_run: u64,
     arrivals: u64,
     advisors: Advisors,
     advice_calls: BTreeMap<CallId, AdviceCall>,
     next_advice_call: CallId,
-    /// The share of executors that may run the steps of a queue.
+    /// The smoothed fraction of executors that may run the steps of a queue.
     approval_rates: BTreeMap<String, f64>,
     commits: CommitQueue,
     store_outages: StoreOutages,
@@ -216,23 +244,25 @@
     crash_rate: CrashRate,
     silence_alarm: SilenceAlarm,
     event_lag: EventLag,
-    /// Until when what a predecessor ordered may be unknown, if it may.
+    /// If the takeover is not complete: until when orders of a former leader
+    /// may be in force on executors that don't answer.
     takeover_deadline: Option<Millis>,
-    /// When the store was last asked and confirmed that nobody else leads.
+    /// When the request was made by which the store last confirmed that no
+    /// other node leads.
     leadership_confirmed_at: Millis,
-    /// Wall time less monotonic time, in milliseconds.
+    /// Wall time minus monotonic time, in milliseconds.
     wall_offset: i64,
     placement_stats: PlacementStats,
     counters: BTreeMap<&'static str, u64>,
     actions: Vec<Action>,
 }
 
-/// Run numbers of one tenure begin at its token times this.
+/// The run numbers of a term start at its token times this number.
 const RUNS_PER_TOKEN: u64 = 1_000_000;
 
 impl Scheduler {
-    /// A scheduler for a cell that nobody has led before. For a successor,
-    /// see [`Scheduler::restore`].
+    /// Creates a scheduler for a cell that has had no leader before. To take
+    /// over from a former leader, use [`Scheduler::restore`].
     pub fn new(config: SchedulerConfig, policy: Arc<Policy>) -> Scheduler {
         let mut scheduler = Scheduler {
             next_run: config.token * RUNS_PER_TOKEN,
@@ -257,13 +287,13 @@
             token_buckets: TokenBuckets::default(),
             late_boosts: LateBoosts::default(),
             jobs: BTreeMap::new(),
-            ended: Ended::default(),
+            ended: EndedJobs::default(),
             executors: Executors::default(),
             unheard_executors: BTreeSet::new(),
             entries_read: false,
             renewal_queue: RenewalQueue::default(),
             by_id: BTreeMap::new(),
-            in_flight: Vec::new(),
+            in_flight_starts: Vec::new(),
             ready: BTreeSet::new(),
             needs_placement: false,
             last_full_round: 0,
@@ -285,8 +315,8 @@
         scheduler
     }
 
-    /// Puts a version of the operators' policy in force. An older one than
-    /// the present is passed over.
+    /// Applies a version of the operators' policy. Ignores versions older than
+    /// the current one.
     pub fn set_policy(&mut self, policy: Arc<Policy>) {
         if policy.version < self.policy.version {
             return;
@@ -298,9 +328,9 @@
         for live in self.jobs.values_mut() {
             if let Some(queue) = self.queues.get(&live.job.queue) {
                 live.queue = queue.clone();
-                // It may be of another service.
-                for run in live.steps.values_mut() {
-                    run.advice.all_asked = None;
+                // The queue may belong to another service now.
+                for state in live.steps.values_mut() {
+                    state.advice.all_asked = None;
                 }
             }
         }
@@ -310,20 +340,20 @@
         self.needs_placement = true;
     }
 
-    /// Sets when the store was last asked and confirmed that nobody else
-    /// leads. Only leases that ran out before, and lives that were over
-    /// before, are given up: a successor may have renewed them since, or
-    /// heard what has ended there.
+    /// Records that the store was asked at `at` and has confirmed that no
+    /// other node leads. Leases and incarnations are given up only if they
+    /// ended before that time. Later a successor may have renewed the leases,
+    /// or may have heard what has ended there.
     pub fn confirm_leadership(&mut self, at: Millis) {
         self.leadership_confirmed_at = self.leadership_confirmed_at.max(at);
     }
 
-    /// Sets wall time less monotonic time, in milliseconds.
+    /// Sets wall time minus monotonic time, in milliseconds.
     pub fn set_wall_offset(&mut self, offset: i64) {
         self.wall_offset = offset;
     }
 
-    /// Takes in an event and returns what is to be done.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Action> {
         self.handle_received(event, now, now)
     }
@@ -370,8 +400,8 @@
         }
     }
 
-    /// Does what has become possible since the last time. To be called
-    /// after a group of events.
+    /// Does what has become possible since the last call, and returns the
+    /// actions to carry out. Call this after each group of events.
     pub fn advance(&mut self, now: Millis) -> Vec<Action> {
         if std::mem::take(&mut self.needs_placement) {
             self.place(now);
@@ -382,12 +412,12 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`Scheduler::advance`] has something to do at the latest, if
-    /// nothing happens before.
+    /// Returns when [`Scheduler::advance`] has to be called at the latest, if
+    /// no event arrives before. `None` if no time requires it.
     pub fn next_advance(&self) -> Option<Millis> {
         let commit = self.commits.due(self.config.min_commit_interval);
-        let holds = self.renewal_queue.has_ready().then_some(0);
-        [commit, holds, self.placement_rounds.next_start()]
+        let renewals = self.renewal_queue.has_ready().then_some(0);
+        [commit, renewals, self.placement_rounds.next_start()]
             .into_iter()
             .flatten()
             .min()
@@ -411,27 +441,27 @@
         self.needs_placement = true;
     }
 
-    /// The number of events of each kind so far.
+    /// Returns the number of events of each kind so far.
     pub fn counters(&self) -> &BTreeMap<&'static str, u64> {
         &self.counters
     }
 
-    /// The number of jobs that have not ended.
+    /// Returns the number of jobs that have not ended.
     pub fn live_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// The name and the address of an executor, if it is known.
+    /// Returns an executor, if it is known.
     pub fn executor(&self, index: ExecutorIndex) -> Option<&Executor> {
         self.executors.get(&index)
     }
 
-    /// The number of executors.
+    /// Returns the number of executors, by ID.
     pub fn executor_count(&self) -> usize {
         self.by_id.len()
     }
 
-    /// The number of executors in each data centre.
+    /// Returns the number of known executor incarnations in each data centre.
     pub fn executors_by_dc(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for executor in self.executors.values() {
@@ -440,7 +470,7 @@
         counts
     }
 
-    /// Whether a mechanism is on.
+    /// Returns whether a mechanism is enabled.
     fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.config.mechanisms.enabled(mechanism)
     }
