--- a/puffinknot-core/src/jobs/scheduler/advice.rs
+++ b/puffinknot-core/src/jobs/scheduler/advice.rs
@@ -497,7 +497,7 @@
         self.advisors.call_succeeded();
         advice.open_calls.remove(&id);
         advice.answered = true;
-        let until = now + call.cost.valid.saturating_sub(TICKET_MARGIN);
+        let valid_until = now + call.cost.valid.saturating_sub(TICKET_MARGIN);
         let asked = call.executors.len().max(1) as f64;
         let found = rows.len() as f64 / asked;
         let first = advice.tickets.is_empty();
@@ -508,7 +508,7 @@
             let index = self.by_id.get(&row.executor);
             // The advice does not apply to a later incarnation.
             if let Some(index) = index.filter(|i| call.executors.contains(i)) {
-                let ticket = Ticket { text: row.ticket, valid_until: until };
+                let ticket = Ticket { text: row.ticket, valid_until };
                 advice.tickets.insert(*index, ticket);
             }
         }
