--- a/puffinknot-core/src/jobs/scheduler/breakers.rs
+++ b/puffinknot-core/src/jobs/scheduler/breakers.rs
@@ -1,5 +1,6 @@
 /*!
-Judges executors by how the runs there end, see [`crate::jobs::circuit_breaker`].
+Feeds the circuit breakers of executors with the ends of their runs, see
+[`crate::jobs::circuit_breaker`].
 */
 
 use crate::ids::Millis;
@@ -8,13 +9,14 @@
 use crate::jobs::model::TaskKey;
 use crate::jobs::scheduler::Scheduler;
 
-/// At most one executor of a service in so many is kept from running. If more
-/// fail, the cause is rather in what they run, and the room is needed.
-const MOST_TRIPPED: usize = 4;
+/// At most one executor of a service in this many has a tripped breaker. If
+/// more of them fail, the cause is more likely in what they run, and their
+/// capacity is needed.
+const MAX_TRIPPED_FRACTION: usize = 4;
 
 impl Scheduler {
-    /// Takes in what the end of a run says about its executor.
-    pub(super) fn judge(
+    /// Updates the circuit breaker of an executor with the end of a run.
+    pub(super) fn record_run_end(
         &mut self,
         index: ExecutorIndex,
         end: &EndReport,
@@ -29,7 +31,7 @@
                     executor.breaker.done();
                 }
             }
-            EndKind::Failed if !self.fails_by_itself(end.task) => {
+            EndKind::Failed if !self.is_failure_expected(end.task) => {
                 if !self.may_trip(index) {
                     return;
                 }
@@ -42,29 +44,30 @@
         }
     }
 
-    /// Whether the task is known to fail whatever its executor does: it has
-    /// failed before, or it may fail at any time.
-    fn fails_by_itself(&self, task: TaskKey) -> bool {
+    /// Whether a failure of the task says nothing about its executor: the task
+    /// has failed before, or it may fail at any time.
+    fn is_failure_expected(&self, task: TaskKey) -> bool {
         let Some(live) = self.jobs.get(&task.step.job) else { return true };
-        let place = (task.step.time, task.step.step);
-        let Some(state) = live.steps.get(&place) else { return true };
+        let step_key = (task.step.time, task.step.step);
+        let Some(state) = live.steps.get(&step_key) else { return true };
         let step = &live.job.steps[task.step.step as usize];
-        let counted = step.representative(task.index);
-        step.lasting || state.failed.contains_key(&counted)
+        let representative = step.representative(task.index);
+        step.lasting || state.failed.contains_key(&representative)
     }
 
-    /// Whether another executor of this one's service may be kept from
-    /// running.
+    /// Whether the breaker of an executor is tripped, or may trip without
+    /// exceeding the limit for its service.
     fn may_trip(&self, index: ExecutorIndex) -> bool {
         let Some(executor) = self.executors.get(&index) else { return false };
         let service = &executor.info.service;
-        let of_service =
+        let same_service =
             self.executors.values().filter(|e| e.info.service == *service);
-        let (mut all, mut tripped) = (0, 0);
-        for executor in of_service {
-            all += 1;
+        let (mut total, mut tripped) = (0, 0);
+        for executor in same_service {
+            total += 1;
             tripped += usize::from(executor.breaker.tripped());
         }
-        executor.breaker.tripped() || (tripped + 1) * MOST_TRIPPED <= all
+        executor.breaker.tripped()
+            || (tripped + 1) * MAX_TRIPPED_FRACTION <= total
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/event_lag.rs
+++ b/puffinknot-core/src/jobs/scheduler/event_lag.rs
@@ -1,16 +1,19 @@
 /*!
-How far the leader is behind on its news.
+Event lag: how far the leader lags behind the events that it processes.
 
-What it takes in now may have happened some time ago: news wait in its queue,
-and unread in its connections before that. That time is the leader's own. So
-nothing is reckoned from when news are taken in that can be reckoned from when
-they were given, and nobody counts as silent for what may only be waiting.
+An event may have happened some time before the leader processes it: events
+wait in the leader's queue and, before that, unread in its connections. This
+delay is caused by the leader, not by the executors. So intervals are measured
+from the time at which a report was made where that is known, rather than from
+the time at which it was processed, and an executor does not count as silent
+while its answers may only be waiting.
 
-What the loop knows of its queue it tells by [`Scheduler::handle_received`].
-For the rest, see [`crate::jobs::report_age`]. A leader that has stood still learns of
-nothing that happened meanwhile until it has asked again.
+The event loop passes the time at which it received an event to
+[`Scheduler::handle_received`]. The delay before that is estimated from the
+reports, see [`crate::jobs::report_age`]. A leader that has stalled knows
+nothing of what happened in the meantime until it has asked again.
 
-All of this only makes conclusions later.
+The lag only ever delays a conclusion.
 */
 
 use crate::ids::Millis;
@@ -19,170 +22,192 @@
 use crate::jobs::scheduler::renewals::FAILURES;
 use crate::jobs::scheduler::Scheduler;
 
-/// One account counts for one part in so many of how late they are.
-const WEIGHT: Millis = 8;
-/// While no account has come for so long, in milliseconds, none waits: an
-/// executor that is asked holds its answer back for less.
-const QUIET: Millis = 2_000;
-/// A leader that was called for nothing for so long has stood still, in
-/// milliseconds: many times as long as it waits for anything.
-const STILL: Millis = 1_000;
-/// When a run has ended is known well enough if nobody waited there for that
-/// in one part in so many of the time that it should take.
-const WATCHED: Millis = 8;
-
-/// An account, as far as it tells when something happened.
+/// Each report contributes one part in this many to the smoothed lag.
+const LAG_SMOOTHING: Millis = 8;
+/// If no report has been processed for this long, none is waiting: an executor
+/// delays its answer to a renewal by less than this.
+const LAG_RESET_AFTER: Millis = 2_000;
+/// A leader that has processed no event for this long has stalled: this is
+/// many times as long as it waits for anything.
+const STALL_THRESHOLD: Millis = 1_000;
+/// The duration of a run is accurate enough if no renewal was waiting at the
+/// executor for at most one part in this many of the expected duration.
+const UNWATCHED_FRACTION: Millis = 8;
+
+/// When an executor made a report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportTiming {
-    /// What its executor's clock showed.
+    /// The reading of the executor's clock in the report.
     clock: Millis,
-    /// When it was given at the latest.
-    at: Millis,
-    /// For so long before it no hold may have waited there, in milliseconds:
-    /// an end that it tells of is at most so much older.
+    /// The report was made at this time or earlier.
+    made_at: Millis,
+    /// For at most this long before the report, no renewal was waiting at the
+    /// executor. A run end in the report is older than the report by at most
+    /// this.
     unwatched: Millis,
 }
 
 impl ReportTiming {
-    /// An account that was received then, before anything else of it is taken
-    /// in.
+    /// The timing of a report that was received at `received_at`. Must be
+    /// called before anything else in the report is applied to the executor.
     pub fn new(
         executor: &Executor,
         clock: Millis,
-        received: Millis,
+        received_at: Millis,
     ) -> ReportTiming {
-        let least = executor.clock_bound.at(received).unwrap_or(0);
-        let at = received.saturating_sub(least.saturating_sub(clock));
+        let clock_bound = executor.clock_bound.at(received_at).unwrap_or(0);
+        let made_at =
+            received_at.saturating_sub(clock_bound.saturating_sub(clock));
         let unwatched = match (executor.reported_at, executor.clock) {
-            (Some(last), Some((reading, _))) => {
-                let unsent = executor.renewal_sent_at.saturating_sub(last);
+            (Some(last_report_at), Some((reading, _))) => {
+                let unsent =
+                    executor.renewal_sent_at.saturating_sub(last_report_at);
                 let between = clock.saturating_sub(reading);
                 unsent.max(between.saturating_sub(executor.renewal_wait))
             }
             _ => Millis::MAX,
         };
-        ReportTiming { clock, at, unwatched }
+        ReportTiming { clock, made_at, unwatched }
     }
 
-    /// When it was given at the latest.
+    /// The time at or before which the report was made.
     pub fn made_at(&self) -> Millis {
-        self.at
+        self.made_at
     }
 
-    /// How long a run had been there, in milliseconds.
-    pub fn elapsed(&self, on: &PlacedRun) -> Millis {
-        match on.start_clock {
+    /// How long a run had been on the executor when the report was made.
+    pub fn elapsed(&self, run: &PlacedRun) -> Millis {
+        match run.start_clock {
             Some(began) => self.clock.saturating_sub(began),
-            None => self.at.saturating_sub(on.placed_at),
+            None => self.made_at.saturating_sub(run.placed_at),
         }
     }
 
-    /// How long a run took that it tells the end of, in milliseconds, if that
-    /// is known. It is by how long the run should take, so that short runs are
-    /// not left out where long ones count.
-    pub fn duration(&self, on: &PlacedRun) -> Option<Millis> {
-        let should = on.expected_end.saturating_sub(on.placed_at);
-        let known = should >= self.unwatched.saturating_mul(WATCHED);
-        known.then(|| self.elapsed(on))
+    /// The duration of a run whose end is in the report, if it is known
+    /// accurately enough. Accuracy is judged by the expected duration and not
+    /// the measured one, which would leave out short runs and keep long ones.
+    pub fn duration(&self, run: &PlacedRun) -> Option<Millis> {
+        let expected = run.expected_end.saturating_sub(run.placed_at);
+        let known =
+            expected >= self.unwatched.saturating_mul(UNWATCHED_FRACTION);
+        known.then(|| self.elapsed(run))
     }
 }
 
-/// How far the leader is behind.
+/// The lag of the leader, estimated from the reports that it processes.
 #[derive(Debug, Default)]
 pub(super) struct EventLag {
-    /// When what is taken in now was received.
-    received: Millis,
-    /// How late accounts are taken in, smoothed, in milliseconds.
-    late: Millis,
-    /// When the last one was taken in.
-    heard: Millis,
-    /// When the leader was called last.
-    called: Millis,
-    /// When it went on after it had stood still.
-    resumed: Millis,
+    /// When the event that is being processed was received.
+    received_at: Millis,
+    /// How old reports are when they are processed, smoothed.
+    lag: Millis,
+    /// When the last report was processed.
+    last_report_at: Millis,
+    /// When the leader last began to process an event.
+    last_called_at: Millis,
+    /// When the leader resumed after it had stalled.
+    resumed_at: Millis,
 }
 
 impl EventLag {
-    /// When what is taken in now was received.
-    pub fn received(&self) -> Millis {
-        self.received
+    /// When the event that is being processed was received.
+    pub fn received_at(&self) -> Millis {
+        self.received_at
     }
 
-    /// The leader is called. One that stands still over and over, `most` apart
-    /// or less, concludes after the first time of these.
-    fn call(&mut self, received: Millis, now: Millis, most: Millis) {
-        let still = now > self.called + STILL && self.called > 0;
-        if still && now > self.resumed + most {
-            self.resumed = now;
+    /// Records that the leader processes an event. If it stalls again within
+    /// `max_gap`, the time at which it resumed stays that of the first stall,
+    /// so that repeated stalls don't put off conclusions forever.
+    fn record_call(
+        &mut self,
+        received_at: Millis,
+        now: Millis,
+        max_gap: Millis,
+    ) {
+        let stalled = now > self.last_called_at + STALL_THRESHOLD
+            && self.last_called_at > 0;
+        if stalled && now > self.resumed_at + max_gap {
+            self.resumed_at = now;
         }
-        self.called = now;
-        self.received = received.min(now);
+        self.last_called_at = now;
+        self.received_at = received_at.min(now);
     }
 
-    /// Takes in how late an account was; `most` is the most that counts.
-    fn note(&mut self, late: Millis, most: Millis, now: Millis) {
-        let others = self.late(now) * (WEIGHT - 1);
-        self.late = (others + late.min(most)) / WEIGHT;
-        self.heard = now;
+    /// Records how old a report was, counting `max_lag` at most.
+    fn record_lag(&mut self, lag: Millis, max_lag: Millis, now: Millis) {
+        let weighted = self.current_lag(now) * (LAG_SMOOTHING - 1);
+        self.lag = (weighted + lag.min(max_lag)) / LAG_SMOOTHING;
+        self.last_report_at = now;
     }
 
-    /// How late accounts are taken in, in milliseconds.
-    fn late(&self, now: Millis) -> Millis {
-        if now > self.heard + QUIET {
+    /// How old reports are when they are processed.
+    fn current_lag(&self, now: Millis) -> Millis {
+        if now > self.last_report_at + LAG_RESET_AFTER {
             0
         } else {
-            self.late
+            self.lag
         }
     }
 }
 
 impl Scheduler {
-    /// Takes in an event that was received earlier than now, and has waited
-    /// for the leader since.
+    /// Handles an event that was received before now and has since waited for
+    /// the leader.
     pub fn handle_received(
         &mut self,
         event: Event,
-        received: Millis,
+        received_at: Millis,
         now: Millis,
     ) -> Vec<Action> {
-        self.event_lag.call(received, now, self.config.lease);
+        self.event_lag.record_call(received_at, now, self.config.lease);
         self.apply_event(event, now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Takes in how late an account was. The first one shows no age, but it is
-    /// no older than its order, which was to be answered at once.
-    pub(super) fn note_late(
+    /// Records how old a report was. The age of an executor's first report is
+    /// not known, but the report is no older than its request, which was to be
+    /// answered at once.
+    pub(super) fn record_report_lag(
         &mut self,
         index: ExecutorIndex,
-        first: bool,
+        is_first: bool,
         sent_at: Millis,
         now: Millis,
     ) {
-        let known = self.executors.get(&index).map_or(0, |e| e.report_age);
-        let late = match first {
+        let report_age =
+            self.executors.get(&index).map_or(0, |e| e.report_age);
+        let lag = match is_first {
             true => now.saturating_sub(sent_at),
-            false => known,
+            false => report_age,
         };
-        self.event_lag.note(late, self.config.lease, now);
+        self.event_lag.record_lag(lag, self.config.lease, now);
     }
 
-    /// Until when the leader has probably taken in what was to be heard.
-    /// Silence counts until then, and no longer.
+    /// The time up to which the leader has probably processed everything that
+    /// it was sent. Silence counts up to this time only.
     pub(super) fn processed_until(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.event_lag.late(now))
+        now.saturating_sub(self.event_lag.current_lag(now))
     }
 
-    /// The same of one executor.
-    pub(super) fn news_until(&self, at: &Executor, now: Millis) -> Millis {
-        let own = now.saturating_sub(at.report_age.min(self.config.lease));
+    /// The time up to which the leader has probably processed everything that
+    /// one executor has sent.
+    pub(super) fn reports_processed_until(
+        &self,
+        executor: &Executor,
+        now: Millis,
+    ) -> Millis {
+        let own =
+            now.saturating_sub(executor.report_age.min(self.config.lease));
         own.min(self.processed_until(now))
     }
 
-    /// Whether an executor has left unanswered what was asked of it last, and
-    /// since the leader stood still.
-    pub(super) fn found_silent(&self, at: &Executor) -> bool {
-        let asked = at.missed_renewal.filter(|_| at.failures >= FAILURES);
-        at.incarnation_end.is_some() || asked >= Some(self.event_lag.resumed)
+    /// Whether an executor has left the last renewals unanswered, the latest
+    /// of them sent since the leader resumed from a stall. An incarnation that
+    /// has ended counts as such.
+    pub(super) fn missed_last_renewals(&self, executor: &Executor) -> bool {
+        let missed_at =
+            executor.missed_renewal.filter(|_| executor.failures >= FAILURES);
+        executor.incarnation_end.is_some()
+            || missed_at >= Some(self.event_lag.resumed_at)
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/membership.rs
+++ b/puffinknot-core/src/jobs/scheduler/membership.rs
@@ -178,7 +178,8 @@
         let over = self.executors.iter().filter_map(|(index, executor)| {
             let (why, at) = executor.incarnation_end?;
             // Ends that it has told of may wait.
-            let until = confirmed.min(self.news_until(executor, now));
+            let until =
+                confirmed.min(self.reports_processed_until(executor, now));
             (at <= until).then_some((*index, why))
         });
         let over: Vec<(ExecutorIndex, IncarnationEnd)> = over.collect();
@@ -252,7 +253,8 @@
         let settled = self.takeover_complete();
         let confirmed = self.leadership_confirmed_at;
         let lapsed = self.executors.iter().filter_map(|(index, executor)| {
-            let known = || confirmed.min(self.news_until(executor, now));
+            let known =
+                || confirmed.min(self.reports_processed_until(executor, now));
             let why = match executor.liveness {
                 Liveness::Silent if executor.expiry < known() => {
                     IncarnationEnd::Lapsed
@@ -263,7 +265,7 @@
                 }
                 _ => return None,
             };
-            if !self.found_silent(executor) {
+            if !self.missed_last_renewals(executor) {
                 return None;
             }
             Some((*index, why, executor.listed))
--- a/puffinknot-core/src/jobs/scheduler/renewals.rs
+++ b/puffinknot-core/src/jobs/scheduler/renewals.rs
@@ -221,7 +221,7 @@
             });
             self.meet_in_flight(index, now);
         }
-        let received = self.event_lag.received();
+        let received = self.event_lag.received_at();
         let Some(executor) = self.executors.get_mut(&index) else { return };
         let given = ReportTiming::new(executor, answer.clock, received);
         executor.report_age = now.saturating_sub(given.made_at());
@@ -238,7 +238,7 @@
             executor.reported_at =
                 executor.reported_at.max(Some(given.made_at()));
         }
-        self.note_late(index, first, sent_at, now);
+        self.record_report_lag(index, first, sent_at, now);
         let Some(executor) = self.executors.get_mut(&index) else { return };
         if executor.failures > 0 {
             // Ends there are heard of late.
@@ -440,7 +440,7 @@
         now: Millis,
     ) {
         self.begun(end.task);
-        self.judge(index, &end, now);
+        self.record_run_end(index, &end, now);
         self.learn_from_end(index, &end, given, now);
         self.vacate(index, end.task, end.run, Some(&end));
     }
--- a/puffinknot-core/src/jobs/scheduler/restore.rs
+++ b/puffinknot-core/src/jobs/scheduler/restore.rs
@@ -213,9 +213,10 @@
         let unseen = self.unheard_executors.len();
         let lapsed = |index| match self.executors.get(index) {
             Some(at) => {
-                let known =
-                    self.leadership_confirmed_at.min(self.news_until(at, now));
-                until <= known && self.found_silent(at)
+                let known = self
+                    .leadership_confirmed_at
+                    .min(self.reports_processed_until(at, now));
+                until <= known && self.missed_last_renewals(at)
             }
             None => true,
         };
