--- a/puffinknot-core/src/jobs/scheduler/departures.rs
+++ b/puffinknot-core/src/jobs/scheduler/departures.rs
@@ -72,7 +72,7 @@
             let id = executor.info.id.clone();
             let runs = executor.runs.iter();
             let doomed = runs
-                .filter(|(task, on)| self.is_doomed(**task, on, leaves, now));
+                .filter(|(task, on)| self.must_stop(**task, on, leaves, now));
             let doomed: Vec<(TaskKey, u64)> =
                 doomed.map(|(task, on)| (*task, on.run)).collect();
             if doomed.is_empty() {
@@ -84,13 +84,13 @@
                 runs: doomed.len() as u32,
             });
             for (task, run) in doomed {
-                self.move_away(index, task, run);
+                self.relocate_run(index, task, run);
             }
         }
     }
 
     /// Whether a run is to be stopped now on an executor that leaves then.
-    fn is_doomed(
+    fn must_stop(
         &self,
         task: TaskKey,
         on: &PlacedRun,
@@ -114,10 +114,10 @@
     }
 
     /// Stops a run, or its gang, so that it starts elsewhere.
-    fn move_away(&mut self, at: ExecutorIndex, task: TaskKey, run: u64) {
+    fn relocate_run(&mut self, at: ExecutorIndex, task: TaskKey, run: u64) {
         self.count("runs_moved_from_leaving");
         match self.step(task.step).is_some_and(|step| step.gang) {
-            true => self.break_gang(task.step),
+            true => self.stop_gang(task.step),
             false => self.stop(at, task, run),
         }
     }
--- a/puffinknot-core/src/jobs/scheduler/in_flight.rs
+++ b/puffinknot-core/src/jobs/scheduler/in_flight.rs
@@ -42,7 +42,7 @@
 impl Scheduler {
     /// An executor has gone from its machine. Takes those orders from it that
     /// the life which follows there may carry out.
-    pub(super) fn leave_in_flight(
+    pub(super) fn detach_in_flight_starts(
         &mut self,
         index: ExecutorIndex,
         why: IncarnationEnd,
@@ -50,7 +50,9 @@
     ) {
         // A follower under another name that is heard already refuses them,
         // and nothing would end the wait but its time.
-        if why != IncarnationEnd::LeftMachine || self.has_follower(index) {
+        if why != IncarnationEnd::LeftMachine
+            || self.has_next_incarnation(index)
+        {
             return;
         }
         let Some(executor) = self.executors.get(&index) else { return };
@@ -72,15 +74,19 @@
     }
 
     /// Whether another life answers at the address of one.
-    fn has_follower(&self, index: ExecutorIndex) -> bool {
+    fn has_next_incarnation(&self, index: ExecutorIndex) -> bool {
         let Some(former) = self.executors.get(&index) else { return false };
-        self.lives_at(&former.info.address).any(|(other, executor)| {
+        self.incarnations_at(&former.info.address).any(|(other, executor)| {
             other != index && executor.liveness == Liveness::Ready
         })
     }
 
     /// A life is heard for the first time.
-    pub(super) fn meet_in_flight(&mut self, next: ExecutorIndex, now: Millis) {
+    pub(super) fn resolve_in_flight_starts(
+        &mut self,
+        next: ExecutorIndex,
+        now: Millis,
+    ) {
         let Some(executor) = self.executors.get(&next) else { return };
         let (name, address) = (&executor.info.id, &executor.info.address);
         let (caught, left): (Vec<InFlightStart>, Vec<InFlightStart>) =
@@ -91,10 +97,10 @@
         self.in_flight = left;
         for InFlightStart { name: meant, from, task, on, .. } in caught {
             if meant == name {
-                self.count_on_next(from, next, task, on, now);
+                self.assign_to_next(from, next, task, on, now);
             } else {
                 // Another name refuses it.
-                self.vacate(from, task, on.run, None);
+                self.conclude_run(from, task, on.run, None);
             }
         }
     }
@@ -108,14 +114,14 @@
                 .partition(|order| order.may_come(known));
         self.in_flight = open;
         for InFlightStart { from, task, on, .. } in over {
-            self.vacate(from, task, on.run, None);
+            self.conclude_run(from, task, on.run, None);
         }
     }
 
     /// An order counts as given to the life that follows the one that it was
     /// meant for: the account shows whether it is there, and else it is
     /// sealed.
-    pub(super) fn count_on_next(
+    pub(super) fn assign_to_next(
         &mut self,
         former: ExecutorIndex,
         next: ExecutorIndex,
@@ -124,7 +130,7 @@
         now: Millis,
     ) {
         let run = on.run;
-        let wanted = self.move_place(task, run, former, next)
+        let wanted = self.move_placement(task, run, former, next)
             && !matches!(on.phase, Phase::Stopping(_));
         let on = PlacedRun {
             phase: Phase::Starting,
@@ -144,7 +150,7 @@
 
     /// A run of a task is on another executor, if it is the one that counts.
     /// Returns whether it is.
-    fn move_place(
+    fn move_placement(
         &mut self,
         task: TaskKey,
         run: u64,
--- a/puffinknot-core/src/jobs/scheduler/incarnations.rs
+++ b/puffinknot-core/src/jobs/scheduler/incarnations.rs
@@ -40,7 +40,7 @@
 
 impl Scheduler {
     /// Which life has answered a call that was meant for one.
-    pub(super) fn life_that_answers(
+    pub(super) fn identify_answerer(
         &mut self,
         asked: ExecutorIndex,
         answer: &ExecutorReport,
@@ -52,7 +52,7 @@
             return Answerer::Known(asked);
         }
         self.count("accounts_of_other_lives");
-        let newest = self.newest_life(asked);
+        let newest = self.newest_incarnation(asked);
         let Some(known) = self.executors.get(&newest) else {
             return Answerer::Known(asked);
         };
@@ -68,14 +68,14 @@
     }
 
     /// The newest life that is known under the name of one.
-    fn newest_life(&self, index: ExecutorIndex) -> ExecutorIndex {
+    fn newest_incarnation(&self, index: ExecutorIndex) -> ExecutorIndex {
         let executor = self.executors.get(&index);
         let newest = executor.and_then(|e| self.by_id.get(&e.info.id));
         newest.copied().unwrap_or(index)
     }
 
     /// A life that is not known has given an account.
-    pub(super) fn another_life(
+    pub(super) fn unknown_incarnation_answered(
         &mut self,
         asked: ExecutorIndex,
         born: Option<u64>,
@@ -83,24 +83,26 @@
         answer: ExecutorReport,
         now: Millis,
     ) {
-        let newest = self.newest_life(asked);
+        let newest = self.newest_incarnation(asked);
         let Some(known) = self.executors.get_mut(&newest) else { return };
         known.incarnation_unsure_since = Some(now);
         let next = match known.first_heard {
-            None => self.rename(newest, born),
+            None => self.correct_born(newest, born),
             // A hold that may name ends of the former life is still open: it
             // has to be over before anything can end on the next one.
-            Some(_) if known.renewing => return self.ask_again(newest, now),
-            Some(heard) if heard < sent_at => self.follow(newest, born, now),
-            Some(_) => return self.ask_again(newest, now),
+            Some(_) if known.renewing => return self.probe_later(newest, now),
+            Some(heard) if heard < sent_at => {
+                self.replace_incarnation(newest, born, now)
+            }
+            Some(_) => return self.probe_later(newest, now),
         };
         self.mark_responsive(next);
-        self.account(next, sent_at, answer, now);
+        self.process_report(next, sent_at, answer, now);
     }
 
     /// It can't be told yet who answers: an account is asked for again, and
     /// nothing is started there meanwhile.
-    fn ask_again(&mut self, index: ExecutorIndex, now: Millis) {
+    fn probe_later(&mut self, index: ExecutorIndex, now: Millis) {
         self.count("lives_unclear");
         self.mark_unresponsive(index, now);
         self.probe_at(index, now + RETRY);
@@ -108,7 +110,7 @@
 
     /// A life of which only the entry was known, or the name in the store, is
     /// another than that. Nothing was ordered of it in this tenure.
-    fn rename(
+    fn correct_born(
         &mut self,
         index: ExecutorIndex,
         born: Option<u64>,
@@ -131,14 +133,14 @@
 
     /// A life has been followed by another: it is over, and what ran there is
     /// lost. Returns the next one.
-    fn follow(
+    fn replace_incarnation(
         &mut self,
         former: ExecutorIndex,
         born: Option<u64>,
         now: Millis,
     ) -> ExecutorIndex {
         self.count("executors_reborn");
-        self.executor_over(former, IncarnationEnd::AnotherAnswers, now);
+        self.end_incarnation(former, IncarnationEnd::AnotherAnswers, now);
         let Some(before) = self.executors.get_mut(&former) else {
             return former;
         };
@@ -155,19 +157,19 @@
         };
         let (machine, listed) = (before.machine.clone(), before.listed);
         self.commits.executor_changed(&info.id);
-        let next = self.enrol(info, now);
+        let next = self.add_executor(info, now);
         if let Some(executor) = self.executors.get_mut(&next) {
             executor.description = described;
             executor.machine = machine;
             executor.listed = listed;
         }
-        self.carry_over(former, next, now);
+        self.carry_over_runs(former, next, now);
         next
     }
 
     /// What may have been carried out by the next life instead of a former one
     /// counts as ordered of that: its account shows whether it is there.
-    fn carry_over(
+    fn carry_over_runs(
         &mut self,
         former: ExecutorIndex,
         next: ExecutorIndex,
@@ -182,15 +184,15 @@
             if let Some(before) = self.executors.get_mut(&former) {
                 before.carried_over.insert(task, on.clone());
             }
-            self.count_on_next(former, next, task, on, now);
+            self.assign_to_next(former, next, task, on, now);
         }
         self.probe_now(next, now);
     }
 
     /// What was carried over and is at work on the next life was never on the
     /// former one, and did it no harm.
-    pub(super) fn forget_carried_over(&mut self, former: ExecutorIndex) {
-        let newest = self.newest_life(former);
+    pub(super) fn drop_carried_over_runs(&mut self, former: ExecutorIndex) {
+        let newest = self.newest_incarnation(former);
         let Some(next) = self.executors.get(&newest) else { return };
         let there = next.runs.iter().filter(|(_, on)| on.listed);
         let there: BTreeSet<(TaskKey, u64)> =
@@ -204,7 +206,7 @@
 
     /// The store lists another life under the name of one. Entries lag, so
     /// that this one may be the newer or the older: it is asked.
-    pub(super) fn another_listed(
+    pub(super) fn other_incarnation_listed(
         &mut self,
         index: ExecutorIndex,
         info: ExecutorInfo,
--- a/puffinknot-core/src/jobs/scheduler/machine_list.rs
+++ b/puffinknot-core/src/jobs/scheduler/machine_list.rs
@@ -33,11 +33,11 @@
 impl Scheduler {
     /// Whether the list of machines may tell what has to be known.
     pub(super) fn needs_machine_list(&self, now: Millis) -> bool {
-        self.misses_executors(now) || self.misses_machines(now)
+        self.has_silent_executors(now) || self.has_unknown_machines(now)
     }
 
     /// Whether executors are silent that something may depend on.
-    fn misses_executors(&self, now: Millis) -> bool {
+    fn has_silent_executors(&self, now: Millis) -> bool {
         self.executors.values().any(|executor| {
             let silent = executor.liveness != Liveness::Ready
                 && executor.silent_since + SILENT_FOR < now;
@@ -46,7 +46,7 @@
     }
 
     /// Whether there are executors whose machines were not looked for.
-    fn misses_machines(&self, now: Millis) -> bool {
+    fn has_unknown_machines(&self, now: Millis) -> bool {
         if now < self.machines.list_requested_at + LEARN_EVERY {
             return false;
         }
@@ -67,12 +67,12 @@
             return;
         }
         self.machines.answered_request_at = self.machines.list_requested_at;
-        self.learn_machines(machines);
-        self.give_up_departed(machines, now);
+        self.record_machines(machines);
+        self.end_departed_incarnations(machines, now);
     }
 
     /// Takes in on which machines executors live.
-    fn learn_machines(&mut self, machines: &[MachineInfo]) {
+    fn record_machines(&mut self, machines: &[MachineInfo]) {
         for info in machines {
             let Some(index) = self.by_id.get(&info.executor) else { continue };
             let Some(executor) = self.executors.get_mut(index) else {
@@ -87,7 +87,11 @@
 
     /// Gives up silent executors that have gone from their machines. The
     /// list was asked for after they had become silent.
-    fn give_up_departed(&mut self, machines: &[MachineInfo], now: Millis) {
+    fn end_departed_incarnations(
+        &mut self,
+        machines: &[MachineInfo],
+        now: Millis,
+    ) {
         let by_name: BTreeMap<&str, &MachineInfo> =
             machines.iter().map(|m| (m.machine.as_str(), m)).collect();
         let asked_at = self.machines.list_requested_at;
@@ -95,18 +99,21 @@
             executor.liveness != Liveness::Ready
                 && executor.silent_since + SILENT_FOR < asked_at
                 && !executor.machine.is_empty()
-                && self.departed(executor, by_name.get(&*executor.machine))
+                && self.has_left_machine(
+                    executor,
+                    by_name.get(&*executor.machine),
+                )
         });
         let departed: Vec<ExecutorIndex> =
             departed.map(|(index, _)| *index).collect();
         for index in departed {
             self.count("executors_gone");
-            self.executor_over(index, IncarnationEnd::LeftMachine, now);
+            self.end_incarnation(index, IncarnationEnd::LeftMachine, now);
         }
     }
 
     /// Whether a life has gone from the machine on which it was shown before.
-    fn departed(
+    fn has_left_machine(
         &self,
         executor: &Executor,
         machine: Option<&&MachineInfo>,
@@ -123,13 +130,13 @@
             MachineState::Down
             | MachineState::Moving
             | MachineState::Maintenance => true,
-            MachineState::Up => self.answers(&machine.executor),
+            MachineState::Up => self.is_responsive(&machine.executor),
             MachineState::Unknown => false,
         }
     }
 
     /// Whether an executor is known and answers.
-    fn answers(&self, id: &str) -> bool {
+    fn is_responsive(&self, id: &str) -> bool {
         let index = self.by_id.get(id);
         let executor = index.and_then(|index| self.executors.get(index));
         executor.is_some_and(|e| e.liveness == Liveness::Ready)
--- a/puffinknot-core/src/jobs/scheduler/membership.rs
+++ b/puffinknot-core/src/jobs/scheduler/membership.rs
@@ -37,7 +37,7 @@
             executor.listed = true;
             executor.unlisted_at = None;
             if executor.info.born != info.born {
-                return self.another_listed(index, info, now);
+                return self.other_incarnation_listed(index, info, now);
             }
             self.needs_placement |=
                 executor.description != DescriptionSource::ByEntry;
@@ -48,15 +48,15 @@
             }
             return;
         }
-        if !self.needs_service(&info.service) {
+        if !self.is_service_needed(&info.service) {
             // It would be asked, and waited for by a successor, for nothing.
             return self.count("entries_of_unknown_services");
         }
         // Entries may outlive their executors, so that it is not known which
         // of two lives with one address is the newer.
-        self.ask_others_at(&info.address, now);
+        self.probe_incarnations_at(&info.address, now);
         self.commits.executor_changed(&info.id);
-        self.enrol(info, now);
+        self.add_executor(info, now);
     }
 
     /// Takes over what an executor says of itself.
@@ -74,14 +74,14 @@
 
     /// Whether the policy names a service, or a job that was accepted before
     /// goes there.
-    fn needs_service(&self, service: &str) -> bool {
+    fn is_service_needed(&self, service: &str) -> bool {
         let mut jobs = self.jobs.values();
         self.policy.serves(service)
             || jobs.any(|live| live.queue.service == service)
     }
 
     /// The lives that are known with an address.
-    pub(super) fn lives_at<'a>(
+    pub(super) fn incarnations_at<'a>(
         &'a self,
         address: &'a str,
     ) -> impl Iterator<Item = (ExecutorIndex, &'a Executor)> {
@@ -91,8 +91,8 @@
 
     /// Asks the lives that are known with an address: whichever is over is
     /// told by the other's answer.
-    fn ask_others_at(&mut self, address: &str, now: Millis) {
-        let there = self.lives_at(address).map(|(index, _)| index);
+    fn probe_incarnations_at(&mut self, address: &str, now: Millis) {
+        let there = self.incarnations_at(address).map(|(index, _)| index);
         for index in there.collect::<Vec<_>>() {
             self.probe_now(index, now);
         }
@@ -116,7 +116,7 @@
     }
 
     /// Takes an executor up, to be asked at once.
-    pub(super) fn enrol(
+    pub(super) fn add_executor(
         &mut self,
         info: ExecutorInfo,
         now: Millis,
@@ -157,7 +157,7 @@
     /// A life of an executor is over, and with it all that ran there. It is
     /// given up once the store has confirmed after that that nobody else
     /// leads: a successor may have heard of ends there before.
-    pub(super) fn executor_over(
+    pub(super) fn end_incarnation(
         &mut self,
         index: ExecutorIndex,
         why: IncarnationEnd,
@@ -184,11 +184,11 @@
         });
         let over: Vec<(ExecutorIndex, IncarnationEnd)> = over.collect();
         for (index, why) in over {
-            self.give_up_life(index, why, now);
+            self.give_up_incarnation(index, why, now);
         }
     }
 
-    fn give_up_life(
+    fn give_up_incarnation(
         &mut self,
         index: ExecutorIndex,
         why: IncarnationEnd,
@@ -206,9 +206,9 @@
         });
         self.count("executors_over");
         self.count(why.counter());
-        self.forget_carried_over(index);
+        self.drop_carried_over_runs(index);
         let crash = self.assess_crash(index, why);
-        self.leave_in_flight(index, why, now);
+        self.detach_in_flight_starts(index, why, now);
         self.give_up_runs(index, why);
         if let Some(crash) = crash {
             self.record_crash(crash, now);
@@ -244,7 +244,7 @@
                 ran,
                 survived,
             });
-            self.vacate(index, task, run, None);
+            self.conclude_run(index, task, run, None);
         }
     }
 
@@ -275,7 +275,7 @@
         for (index, why, listed) in lapsed {
             match listed {
                 true => self.give_up_runs(index, why),
-                false => self.give_up_life(index, why, now),
+                false => self.give_up_incarnation(index, why, now),
             }
         }
     }
--- a/puffinknot-core/src/jobs/scheduler/renewals.rs
+++ b/puffinknot-core/src/jobs/scheduler/renewals.rs
@@ -46,11 +46,11 @@
     pub(super) fn send_renewals(&mut self, now: Millis) {
         let idle = self.has_no_pending_writes();
         for index in self.renewal_queue.take_ready(now, AT_ONCE) {
-            self.send_hold(index, idle, now);
+            self.send_renewal(index, idle, now);
         }
     }
 
-    fn send_hold(&mut self, index: ExecutorIndex, idle: bool, now: Millis) {
+    fn send_renewal(&mut self, index: ExecutorIndex, idle: bool, now: Millis) {
         let lease = self.config.lease;
         let close = self.needs_frequent_reports(index);
         let Some(executor) = self.executors.get_mut(&index) else { return };
@@ -98,7 +98,7 @@
         let clock = clock.filter(|_| executor.failures == 0);
         let due = clock.map(|clock| clock + lease);
         if due.is_some() {
-            executor.expiry = expiry(now, lease);
+            executor.expiry = lease_expiry(now, lease);
         }
         executor.renewing = true;
         executor.probe &= !asked;
@@ -108,7 +108,7 @@
         executor.renewal_sent_at = now;
         executor.renewal_wait = wait;
         executor.withheld =
-            executor.acknowledged_end > 0 && !may_note(executor, now);
+            executor.acknowledged_end > 0 && !may_acknowledge(executor, now);
         let last_seen =
             if executor.withheld { 0 } else { executor.acknowledged_end };
         self.actions.push(Action::RenewLease {
@@ -142,26 +142,33 @@
             executor.renewing = false;
         }
         match answer {
-            Ok(answer) => match self.life_that_answers(index, &answer) {
+            Ok(answer) => match self.identify_answerer(index, &answer) {
                 Answerer::Known(life) => {
                     self.mark_responsive(life);
-                    self.account(life, sent_at, answer, now);
+                    self.process_report(life, sent_at, answer, now);
                 }
                 Answerer::Other(born) => {
-                    self.another_life(index, born, sent_at, answer, now);
+                    self.unknown_incarnation_answered(
+                        index, born, sent_at, answer, now,
+                    );
                 }
-                Answerer::Unnamed => self.unanswered(index, main, now),
+                Answerer::Unnamed => self.renewal_failed(index, main, now),
             },
             Err(why) => {
-                if !self.ends::<()>(index, Err(why), now) {
-                    self.unanswered(index, main, now);
+                if !self.handle_terminal_failure::<()>(index, Err(why), now) {
+                    self.renewal_failed(index, main, now);
                 }
             }
         }
     }
 
     /// An executor has not answered a hold.
-    fn unanswered(&mut self, index: ExecutorIndex, main: bool, now: Millis) {
+    fn renewal_failed(
+        &mut self,
+        index: ExecutorIndex,
+        main: bool,
+        now: Millis,
+    ) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.incarnation_unsure_since = Some(now);
         if !main {
@@ -191,7 +198,7 @@
     }
 
     /// Takes in an executor's account of itself.
-    pub(super) fn account(
+    pub(super) fn process_report(
         &mut self,
         index: ExecutorIndex,
         sent_at: Millis,
@@ -212,14 +219,14 @@
         if first {
             // Its answer shows no end of the lease that a predecessor gave
             // it. None was given after the answer, and none is longer.
-            executor.expiry = executor.expiry.max(expiry(now, lease));
+            executor.expiry = executor.expiry.max(lease_expiry(now, lease));
             self.actions.push(Action::ExecutorHeard {
                 id: executor.info.id.clone(),
                 born: answer.born,
                 running: answer.running.len() as u32,
                 ended: answer.ended.len() as u32,
             });
-            self.meet_in_flight(index, now);
+            self.resolve_in_flight_starts(index, now);
         }
         let received = self.event_lag.received_at();
         let Some(executor) = self.executors.get_mut(&index) else { return };
@@ -288,11 +295,11 @@
         }
         if !outdated {
             for row in &answer.running {
-                self.run_seen(index, row, now);
+                self.run_reported(index, row, now);
             }
             // What is not listed may have ended and be told of later.
             if !answer.more_ended {
-                self.find_missing(index, &answer.running, sent_at);
+                self.reconcile_runs(index, &answer.running, sent_at);
             }
             self.throttle(index, &answer.running, now);
             self.check_overdue_runs(index, &given, now);
@@ -304,7 +311,7 @@
     }
 
     /// Compares what should run on an executor with its own list.
-    fn find_missing(
+    fn reconcile_runs(
         &mut self,
         index: ExecutorIndex,
         running: &[RunReport],
@@ -331,7 +338,7 @@
         let absent: Vec<(TaskKey, u64)> =
             absent.map(|(task, on)| (*task, on.run)).collect();
         for (task, run) in missing {
-            self.vacate(index, task, run, None);
+            self.conclude_run(index, task, run, None);
         }
         // It may arrive yet: it has to be made sure that it does not.
         for (task, run) in absent {
@@ -340,13 +347,13 @@
     }
 
     /// An executor lists a run.
-    fn run_seen(
+    fn run_reported(
         &mut self,
         index: ExecutorIndex,
         row: &RunReport,
         now: Millis,
     ) {
-        self.begun(row.task);
+        self.mark_job_started(row.task);
         let Some(executor) = self.executors.get_mut(&index) else { return };
         if let Some(on) = executor.runs.get_mut(&row.task) {
             if on.run == row.run {
@@ -359,16 +366,23 @@
                 return;
             }
         }
-        self.adopt(index, row, now);
+        self.adopt_run(index, row, now);
     }
 
     /// Takes over a run that this scheduler has not started, or stops it.
-    fn adopt(&mut self, index: ExecutorIndex, row: &RunReport, now: Millis) {
+    fn adopt_run(
+        &mut self,
+        index: ExecutorIndex,
+        row: &RunReport,
+        now: Millis,
+    ) {
         let key = row.task.step;
         let mut wanted = false;
         let mut need = None;
-        let mut charge =
-            Charge { account: self.account_of(key.job), ..Charge::default() };
+        let mut charge = Charge {
+            account: self.client_account_of(key.job),
+            ..Charge::default()
+        };
         let run_time = self.run_time(key, index);
         let mut urgent = false;
         if let Some(live) = self.jobs.get_mut(&key.job) {
@@ -423,7 +437,7 @@
     }
 
     /// The client account of a job that is live or has ended.
-    fn account_of(&mut self, job: JobId) -> Option<AccountIndex> {
+    fn client_account_of(&mut self, job: JobId) -> Option<AccountIndex> {
         if let Some(live) = self.jobs.get(&job) {
             return live.account;
         }
@@ -439,10 +453,10 @@
         given: &ReportTiming,
         now: Millis,
     ) {
-        self.begun(end.task);
+        self.mark_job_started(end.task);
         self.record_run_end(index, &end, now);
         self.learn_from_end(index, &end, given, now);
-        self.vacate(index, end.task, end.run, Some(&end));
+        self.conclude_run(index, end.task, end.run, Some(&end));
     }
 
     pub(super) fn superseded(&mut self) {
@@ -455,7 +469,7 @@
 /// of an executor numbers its ends anew, and forgets one that nobody has read
 /// if it is told the number of a former life's: so not while another life may
 /// answer, nor while a start is open that may have been carried out by it.
-fn may_note(executor: &Executor, now: Millis) -> bool {
+fn may_acknowledge(executor: &Executor, now: Millis) -> bool {
     let open =
         |on: &PlacedRun| on.phase == Phase::Starting && on.placed_at < now;
     executor.incarnation_unsure_since.is_none()
@@ -463,6 +477,6 @@
 }
 
 /// When a lease that is given now has certainly run out.
-pub(super) fn expiry(now: Millis, lease: Millis) -> Millis {
+pub(super) fn lease_expiry(now: Millis, lease: Millis) -> Millis {
     now + lease + lease / DRIFT + GRAIN
 }
--- a/puffinknot-core/src/jobs/scheduler/restore.rs
+++ b/puffinknot-core/src/jobs/scheduler/restore.rs
@@ -98,7 +98,7 @@
         let speeds = shard.speeds.into_iter().chain(std::iter::repeat(0));
         for (enrolled, speed) in shard.executors.into_iter().zip(speeds) {
             let EnrolledExecutor { info, machine } = enrolled;
-            let index = self.enrol(info, now);
+            let index = self.add_executor(info, now);
             if let Some(executor) = self.executors.get_mut(&index) {
                 executor.machine = machine;
                 executor.kept_speed = speed;
@@ -115,7 +115,7 @@
         for info in enrolled.executors {
             self.commits.executor_changed(&info.id);
             if !self.by_id.contains_key(&info.id) {
-                self.enrol(info, now);
+                self.add_executor(info, now);
             }
         }
         self.commits.legacy_lists.push(EXECUTORS.to_string());
@@ -244,7 +244,7 @@
         }
         for key in broken {
             self.count("gangs_incomplete");
-            self.break_gang(key);
+            self.stop_gang(key);
         }
         self.needs_placement = true;
     }
--- a/puffinknot-core/src/jobs/scheduler/runs.rs
+++ b/puffinknot-core/src/jobs/scheduler/runs.rs
@@ -8,7 +8,7 @@
     Action, EndKind, EndReport, ExecutorIndex, IncarnationEnd, OrderFailure,
 };
 use crate::jobs::model::{JobId, JobState, StepKey, TaskKey};
-use crate::jobs::scheduler::renewals::expiry;
+use crate::jobs::scheduler::renewals::lease_expiry;
 use crate::jobs::scheduler::speeds::is_informative;
 use crate::jobs::scheduler::Scheduler;
 
@@ -49,7 +49,7 @@
         let checkpoint =
             state.checkpoints.get(&saved).cloned().unwrap_or_default();
         let tells = is_informative(step, executor, &checkpoint);
-        executor.expiry = executor.expiry.max(expiry(now, lease));
+        executor.expiry = executor.expiry.max(lease_expiry(now, lease));
         // Its end is wanted at once, also if it was idle and left alone.
         executor.next_renewal = executor.next_renewal.min(now);
         self.renewal_queue.enqueue(index);
@@ -99,7 +99,9 @@
         answer: Result<Option<Millis>, OrderFailure>,
         now: Millis,
     ) {
-        if !self.has_run(index, task, run) || self.ends(index, answer, now) {
+        if !self.has_run(index, task, run)
+            || self.handle_terminal_failure(index, answer, now)
+        {
             return;
         }
         let Some(executor) = self.executors.get_mut(&index) else { return };
@@ -112,7 +114,7 @@
             Ok(false) => {
                 // It may have been another life that has begun it.
                 on.start_unsure_since = Some(now);
-                self.doubt_life(index, now);
+                self.mark_incarnation_unsure(index, now);
                 self.count("starts_by_other_lives");
             }
             Ok(true) => {
@@ -122,13 +124,13 @@
                 if on.phase == Phase::Starting {
                     on.phase = Phase::Running;
                 }
-                self.begun(task);
+                self.mark_job_started(task);
                 self.mark_responsive(index);
             }
             Err(OrderFailure::Unknown) => {
                 // If it has arrived, the next account shows it.
                 on.start_unsure_since = Some(now);
-                self.doubt_life(index, now);
+                self.mark_incarnation_unsure(index, now);
                 self.count("starts_unknown");
                 self.order_unanswered(now);
                 self.mark_unresponsive(index, now);
@@ -146,14 +148,14 @@
                 if why == OrderFailure::Ticket {
                     self.invalidate_ticket(task.step, index);
                 }
-                self.vacate(index, task, run, None);
+                self.conclude_run(index, task, run, None);
             }
         }
     }
 
     /// Another life of an executor may have taken an order: an account is
     /// wanted, which shows it.
-    fn doubt_life(&mut self, index: ExecutorIndex, now: Millis) {
+    fn mark_incarnation_unsure(&mut self, index: ExecutorIndex, now: Millis) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.incarnation_unsure_since = Some(now);
         executor.probe = true;
@@ -162,7 +164,7 @@
 
     /// An executor has confirmed that a task runs, or has run. An order
     /// alone is no beginning: it may never have arrived.
-    pub(super) fn begun(&mut self, task: TaskKey) {
+    pub(super) fn mark_job_started(&mut self, task: TaskKey) {
         if let Some(live) = self.jobs.get_mut(&task.step.job) {
             live.started = true;
         }
@@ -196,7 +198,9 @@
         answer: Result<(), OrderFailure>,
         now: Millis,
     ) {
-        if !self.has_run(index, task, run) || self.ends(index, answer, now) {
+        if !self.has_run(index, task, run)
+            || self.handle_terminal_failure(index, answer, now)
+        {
             return;
         }
         let Some(executor) = self.executors.get_mut(&index) else { return };
@@ -229,7 +233,7 @@
 
     /// Takes in that the answer to an order shows this tenure, or that life
     /// of the executor, to be over. Returns whether it does.
-    pub(super) fn ends<T>(
+    pub(super) fn handle_terminal_failure<T>(
         &mut self,
         index: ExecutorIndex,
         answer: Result<T, OrderFailure>,
@@ -238,7 +242,11 @@
         match answer {
             Err(OrderFailure::Fenced) => self.superseded(),
             Err(OrderFailure::Gone) => {
-                self.executor_over(index, IncarnationEnd::AnotherAnswers, now);
+                self.end_incarnation(
+                    index,
+                    IncarnationEnd::AnotherAnswers,
+                    now,
+                );
             }
             _ => return false,
         }
@@ -264,7 +272,7 @@
 
     /// A run no longer takes up room on an executor: it has ended as `end`
     /// says, or it never began, or it was lost.
-    pub(super) fn vacate(
+    pub(super) fn conclude_run(
         &mut self,
         index: ExecutorIndex,
         task: TaskKey,
@@ -303,7 +311,7 @@
         if later && how != Some(EndKind::Done) {
             // An end of an earlier run: only its failure counts.
             if how == Some(EndKind::Failed) {
-                self.note_failure(task, run);
+                self.record_failure(task, run);
             }
             return;
         }
@@ -339,7 +347,7 @@
             _ => {
                 if !here {
                     if how == Some(EndKind::Failed) {
-                        self.note_failure(task, run);
+                        self.record_failure(task, run);
                     }
                     return;
                 }
@@ -353,10 +361,10 @@
                     state.stopping_gang = true;
                 }
                 if how == Some(EndKind::Failed) {
-                    self.note_failure(task, run);
+                    self.record_failure(task, run);
                 }
                 if gang {
-                    self.break_gang(key);
+                    self.stop_gang(key);
                 }
             }
         }
@@ -364,7 +372,7 @@
 
     /// Stops what is left of a gang's run; once nothing is, all of it may
     /// be started again.
-    pub(super) fn break_gang(&mut self, key: StepKey) {
+    pub(super) fn stop_gang(&mut self, key: StepKey) {
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
         if live.ended.is_some() {
             return;
@@ -391,7 +399,7 @@
     }
 
     /// Counts a failed run against the attempts of its task.
-    fn note_failure(&mut self, task: TaskKey, run: u64) {
+    fn record_failure(&mut self, task: TaskKey, run: u64) {
         let key = task.step;
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
         let step = &live.job.steps[key.step as usize];
--- a/puffinknot-core/src/jobs/scheduler/throttle.rs
+++ b/puffinknot-core/src/jobs/scheduler/throttle.rs
@@ -111,7 +111,7 @@
         answer: Result<(), OrderFailure>,
         now: Millis,
     ) {
-        self.ends(index, answer, now);
+        self.handle_terminal_failure(index, answer, now);
     }
 
     /// Whether an executor has fillers beside serving tasks, so that its
