--- a/puffinknot-core/src/jobs/scheduler/incarnations.rs
+++ b/puffinknot-core/src/jobs/scheduler/incarnations.rs
@@ -1,21 +1,25 @@
 /*!
-Lives that follow others under the same name.
+Tells apart the incarnations of an executor, which share its name.
 
-An executor may start again under the name that it had. Its next life holds
-and knows nothing of before, and numbers its ends anew; what its entry and its
-accounts tell of its birth, [`ExecutorInfo::born`], is all that shows it. Each
-life is an executor of its own here, with a number of its own, so that nothing
-that was learnt of one counts for another.
+An executor that restarts may keep its name. Its next incarnation remembers
+nothing of the previous one and numbers its run ends from the start again. Only
+[`ExecutorInfo::born`], which is part of its entry and of its reports, tells
+the two apart. The scheduler treats each incarnation as an executor of its own
+with an index of its own, so that nothing learnt about one is applied to
+another.
 
-*Which of two lives is the newer?* Births are read from clocks that jump, and
-entries and answers come late. But the lives of one name follow each other, so
-that whoever answers a call that was made after a life was heard is no earlier
-one than that. Only such an answer ends a life; an entry never does.
+*Which of two incarnations is the newer one?* Birth times are read from clocks
+that may jump, and entries and answers may be delayed. But incarnations of one
+name never overlap, so whoever answers a call that was sent after an
+incarnation was heard is that incarnation or a later one. Only such an answer
+ends an incarnation; an entry never does.
 
-*What was ordered of a former life* may have been carried out by the next one,
-or may be yet: a name in a call doesn't keep the next life off. So what no
-account of the former life has listed is carried over: it is on the next life,
-or it is sealed there before its task starts elsewhere.
+*What happens to orders for an ended incarnation?* The next incarnation may
+have carried them out, or may do so later: an executor's name in a call does
+not keep the next incarnation from accepting it. So each run that no report of
+the ended incarnation has listed is carried over: either it is found on the
+next incarnation, or it is stopped there, which also rejects a start that
+arrives late, before its task starts elsewhere.
 */
 
 use std::collections::BTreeSet;
@@ -28,27 +32,29 @@
 use crate::jobs::scheduler::Scheduler;
 use crate::jobs::speed::Speed;
 
-/// Which life has given an account.
+/// The incarnation that has made a report.
 pub(super) enum Answerer {
-    /// One that is known.
+    /// An incarnation that is known.
     Known(ExecutorIndex),
-    /// Another, that was born then, if it says so.
-    Other(Option<u64>),
-    /// It does not say, though lives of its name are told apart.
-    Unnamed,
+    /// An incarnation that is not known, with the birth time that it reports,
+    /// if any.
+    New(Option<u64>),
+    /// The report has no birth time, though incarnations of this name have
+    /// them.
+    Unidentified,
 }
 
 impl Scheduler {
-    /// Which life has answered a call that was meant for one.
+    /// Finds the incarnation that has answered a call meant for `asked`.
     pub(super) fn identify_answerer(
         &mut self,
         asked: ExecutorIndex,
-        answer: &ExecutorReport,
+        report: &ExecutorReport,
     ) -> Answerer {
         let Some(executor) = self.executors.get(&asked) else {
             return Answerer::Known(asked);
         };
-        if answer.born == executor.info.born {
+        if report.born == executor.info.born {
             return Answerer::Known(asked);
         }
         self.count("accounts_of_other_lives");
@@ -56,31 +62,32 @@
         let Some(known) = self.executors.get(&newest) else {
             return Answerer::Known(asked);
         };
-        if known.info.born == answer.born {
+        if known.info.born == report.born {
             return Answerer::Known(newest);
         }
-        // What is known of one that was not heard may be another's writing.
-        if answer.born.is_none() && known.first_heard.is_some() {
+        // The birth time of an incarnation that was never heard comes from its
+        // entry, which another one may have written.
+        if report.born.is_none() && known.first_heard.is_some() {
             self.count("accounts_of_no_life");
-            return Answerer::Unnamed;
+            return Answerer::Unidentified;
         }
-        Answerer::Other(answer.born)
+        Answerer::New(report.born)
     }
 
-    /// The newest life that is known under the name of one.
+    /// The newest known incarnation with the name of `index`.
     fn newest_incarnation(&self, index: ExecutorIndex) -> ExecutorIndex {
         let executor = self.executors.get(&index);
         let newest = executor.and_then(|e| self.by_id.get(&e.info.id));
         newest.copied().unwrap_or(index)
     }
 
-    /// A life that is not known has given an account.
+    /// Handles a report of an incarnation that is not known.
     pub(super) fn unknown_incarnation_answered(
         &mut self,
         asked: ExecutorIndex,
         born: Option<u64>,
         sent_at: Millis,
-        answer: ExecutorReport,
+        report: ExecutorReport,
         now: Millis,
     ) {
         let newest = self.newest_incarnation(asked);
@@ -88,28 +95,29 @@
         known.incarnation_unsure_since = Some(now);
         let next = match known.first_heard {
             None => self.correct_born(newest, born),
-            // A hold that may name ends of the former life is still open: it
-            // has to be over before anything can end on the next one.
+            // An open renewal may acknowledge run ends of the former
+            // incarnation. It has to be over before any run can end on the
+            // next one.
             Some(_) if known.renewing => return self.probe_later(newest, now),
-            Some(heard) if heard < sent_at => {
+            Some(first_heard) if first_heard < sent_at => {
                 self.replace_incarnation(newest, born, now)
             }
             Some(_) => return self.probe_later(newest, now),
         };
         self.mark_responsive(next);
-        self.process_report(next, sent_at, answer, now);
+        self.process_report(next, sent_at, report, now);
     }
 
-    /// It can't be told yet who answers: an account is asked for again, and
-    /// nothing is started there meanwhile.
+    /// Asks for another report, since it is not clear yet which incarnation
+    /// answers. Until then, nothing is started there.
     fn probe_later(&mut self, index: ExecutorIndex, now: Millis) {
         self.count("lives_unclear");
         self.mark_unresponsive(index, now);
         self.probe_at(index, now + RETRY);
     }
 
-    /// A life of which only the entry was known, or the name in the store, is
-    /// another than that. Nothing was ordered of it in this tenure.
+    /// Corrects the birth time of an incarnation that is known only from its
+    /// entry or from the store. Nothing was ordered from it in this term.
     fn correct_born(
         &mut self,
         index: ExecutorIndex,
@@ -131,8 +139,8 @@
         index
     }
 
-    /// A life has been followed by another: it is over, and what ran there is
-    /// lost. Returns the next one.
+    /// Ends an incarnation that the next one has replaced; its runs are lost.
+    /// Returns the index of the next one.
     fn replace_incarnation(
         &mut self,
         former: ExecutorIndex,
@@ -141,25 +149,27 @@
     ) -> ExecutorIndex {
         self.count("executors_reborn");
         self.end_incarnation(former, IncarnationEnd::AnotherAnswers, now);
-        let Some(before) = self.executors.get_mut(&former) else {
+        let Some(ended) = self.executors.get_mut(&former) else {
             return former;
         };
-        // The list of machines may have told it before; but unlike that, this
-        // is certain.
-        let at = before.incarnation_end.map_or(now, |(_, at)| at);
-        before.incarnation_end = Some((IncarnationEnd::AnotherAnswers, at));
-        let (info, described) = match before.take_entry_of(born) {
+        // The machine list may have ended it before, but only this answer is
+        // certain.
+        let ended_at =
+            ended.incarnation_end.map_or(now, |(_, ended_at)| ended_at);
+        ended.incarnation_end =
+            Some((IncarnationEnd::AnotherAnswers, ended_at));
+        let (info, description) = match ended.take_entry_of(born) {
             Some(info) => (info, DescriptionSource::ByEntry),
             None => {
-                let info = ExecutorInfo { born, ..before.info.clone() };
+                let info = ExecutorInfo { born, ..ended.info.clone() };
                 (info, DescriptionSource::Unknown)
             }
         };
-        let (machine, listed) = (before.machine.clone(), before.listed);
+        let (machine, listed) = (ended.machine.clone(), ended.listed);
         self.commits.executor_changed(&info.id);
         let next = self.add_executor(info, now);
         if let Some(executor) = self.executors.get_mut(&next) {
-            executor.description = described;
+            executor.description = description;
             executor.machine = machine;
             executor.listed = listed;
         }
@@ -167,45 +177,48 @@
         next
     }
 
-    /// What may have been carried out by the next life instead of a former one
-    /// counts as ordered of that: its account shows whether it is there.
+    /// Assigns to the next incarnation all runs that it may have started
+    /// instead of the former one. Its report shows whether they are there.
     fn carry_over_runs(
         &mut self,
         former: ExecutorIndex,
         next: ExecutorIndex,
         now: Millis,
     ) {
-        let Some(before) = self.executors.get(&former) else { return };
-        let open = before.runs.iter().filter(|(_, on)| !on.listed);
-        let open: Vec<(TaskKey, PlacedRun)> =
-            open.map(|(task, on)| (*task, on.clone())).collect();
-        for (task, on) in open {
+        let Some(ended) = self.executors.get(&former) else { return };
+        let unconfirmed =
+            ended.runs.iter().filter(|(_, placed)| !placed.listed);
+        let unconfirmed: Vec<(TaskKey, PlacedRun)> = unconfirmed
+            .map(|(task, placed)| (*task, placed.clone()))
+            .collect();
+        for (task, placed) in unconfirmed {
             self.remove_run(former, &task);
-            if let Some(before) = self.executors.get_mut(&former) {
-                before.carried_over.insert(task, on.clone());
+            if let Some(ended) = self.executors.get_mut(&former) {
+                ended.carried_over.insert(task, placed.clone());
             }
-            self.assign_to_next(former, next, task, on, now);
+            self.assign_to_next(former, next, task, placed, now);
         }
         self.probe_now(next, now);
     }
 
-    /// What was carried over and is at work on the next life was never on the
-    /// former one, and did it no harm.
+    /// Forgets those carried-over runs that are active on the next
+    /// incarnation: they were never on the former one, and did not crash it.
     pub(super) fn drop_carried_over_runs(&mut self, former: ExecutorIndex) {
         let newest = self.newest_incarnation(former);
         let Some(next) = self.executors.get(&newest) else { return };
-        let there = next.runs.iter().filter(|(_, on)| on.listed);
-        let there: BTreeSet<(TaskKey, u64)> =
-            there.map(|(task, on)| (*task, on.run)).collect();
+        let listed_runs = next.runs.iter().filter(|(_, placed)| placed.listed);
+        let listed_runs: BTreeSet<(TaskKey, u64)> =
+            listed_runs.map(|(task, placed)| (*task, placed.run)).collect();
         if let Some(former) = self.executors.get_mut(&former) {
-            former
-                .carried_over
-                .retain(|task, on| !there.contains(&(*task, on.run)));
+            former.carried_over.retain(|task, placed| {
+                !listed_runs.contains(&(*task, placed.run))
+            });
         }
     }
 
-    /// The store lists another life under the name of one. Entries lag, so
-    /// that this one may be the newer or the older: it is asked.
+    /// The store lists another incarnation under the name of a known one.
+    /// Entries may be delayed, so this one may be the newer or the older: the
+    /// executor is probed.
     pub(super) fn other_incarnation_listed(
         &mut self,
         index: ExecutorIndex,
--- a/puffinknot-core/src/jobs/scheduler/renewals.rs
+++ b/puffinknot-core/src/jobs/scheduler/renewals.rs
@@ -147,12 +147,14 @@
                     self.mark_responsive(life);
                     self.process_report(life, sent_at, answer, now);
                 }
-                Answerer::Other(born) => {
+                Answerer::New(born) => {
                     self.unknown_incarnation_answered(
                         index, born, sent_at, answer, now,
                     );
                 }
-                Answerer::Unnamed => self.renewal_failed(index, main, now),
+                Answerer::Unidentified => {
+                    self.renewal_failed(index, main, now)
+                }
             },
             Err(why) => {
                 if !self.handle_terminal_failure::<()>(index, Err(why), now) {
