--- a/puffinknot-core/src/jobs/scheduler/departures.rs
+++ b/puffinknot-core/src/jobs/scheduler/departures.rs
@@ -1,15 +1,15 @@
 /*!
-What runs on executors that are about to leave.
+Stops runs on executors that are about to leave.
 
-An executor that gives notice says how much longer it stays; what runs there
-dies when it goes. Nobody is told of that: the tasks may be started elsewhere
-only once their lease has lapsed, or the executor's life is known to be over.
-So what should not end in time is stopped before. A stop is confirmed, so that
-the task, or its whole gang, may be started elsewhere at once.
+A departing executor announces how much longer it stays, and its runs die when
+it goes. Nobody reports that: their tasks may be started elsewhere only once
+their lease has expired or the executor's incarnation is known to have ended.
+So runs that are not expected to end in time are stopped before. A stop is
+confirmed, so the task, or its whole gang, may be started elsewhere at once.
 
-What saves its progress goes on for as long as a stop leaves time, since it
-loses nothing by that. What does not is stopped as soon as it is clear that it
-won't end: all that it still does is lost.
+A run that saves its progress goes on for as long as there is time to stop it,
+since it loses nothing by that. One that doesn't is stopped as soon as it is
+clear that it won't end in time: all that it does from then on is lost.
 */
 
 use std::collections::BTreeMap;
@@ -22,46 +22,48 @@
 use crate::jobs::scheduler::run_time_estimate::expected_end;
 use crate::jobs::scheduler::Scheduler;
 
-/// A stop is ordered at the latest so long before the executor leaves, in
-/// milliseconds: an order is waited for a third of a second, and a stop takes
-/// a second at most.
-const STOPPED_WITHIN: Millis = 1_300;
-/// What should take half as long again as the executor stays, or more, won't
-/// end there: its guess would have to be off by that much, and if it does,
-/// less is saved than is lost otherwise.
-const HOPELESS: f64 = 1.5;
+/// A stop is ordered this long before the executor leaves at the latest: the
+/// answer to an order is awaited for a third of a second, and a stop takes at
+/// most a second.
+const STOP_LEAD_TIME: Millis = 1_300;
+/// A run without checkpoints is stopped early if it is expected to take this
+/// many times as long as its executor stays, or more. It could only finish if
+/// the estimate was off by this factor, and then less work would be saved than
+/// is lost otherwise.
+const HOPELESS_RATIO: f64 = 1.5;
 
-/// The executors that have given notice, and until when they surely stay.
+/// The departing executors, each with the time until which it certainly stays.
 #[derive(Debug, Default)]
 pub(super) struct Departures(BTreeMap<ExecutorIndex, Millis>);
 
 impl Scheduler {
-    /// Takes in what an executor's entry says of its leaving.
+    /// Updates the departures from an executor's entry.
     pub(super) fn record_departure(&mut self, id: &str, now: Millis) {
         let Some(index) = self.by_id.get(id).copied() else { return };
         let Some(executor) = self.executors.get(&index) else { return };
         let info = &executor.info;
-        let Some(left) = info.remaining.filter(|_| info.draining) else {
+        let Some(remaining) = info.remaining.filter(|_| info.draining) else {
             self.departures.0.remove(&index);
             return;
         };
-        // The entry may be read again, and be older then.
-        let leaves = self.departures.0.entry(index).or_insert(now + left);
-        *leaves = (*leaves).min(now + left);
+        // The entry may be read again, and be outdated by then.
+        let departs_at =
+            self.departures.0.entry(index).or_insert(now + remaining);
+        *departs_at = (*departs_at).min(now + remaining);
     }
 
-    /// Stops what would die on executors that leave.
+    /// Stops runs on departing executors that would not end in time.
     pub(super) fn stop_runs_on_departing(&mut self, now: Millis) {
         if !self.is_enabled(Mechanism::Leaving) {
             return;
         }
-        let notices: Vec<(ExecutorIndex, Millis)> = self
+        let departures: Vec<(ExecutorIndex, Millis)> = self
             .departures
             .0
             .iter()
-            .map(|(at, leaves)| (*at, *leaves))
+            .map(|(at, departs_at)| (*at, *departs_at))
             .collect();
-        for (index, leaves) in notices {
+        for (index, departs_at) in departures {
             let executor = self.executors.get(&index);
             let Some(executor) =
                 executor.filter(|e| e.incarnation_end.is_none())
@@ -71,49 +73,51 @@
             };
             let id = executor.info.id.clone();
             let runs = executor.runs.iter();
-            let doomed = runs
-                .filter(|(task, on)| self.must_stop(**task, on, leaves, now));
-            let doomed: Vec<(TaskKey, u64)> =
-                doomed.map(|(task, on)| (*task, on.run)).collect();
-            if doomed.is_empty() {
+            let evicted = runs.filter(|(task, placed)| {
+                self.must_stop(**task, placed, departs_at, now)
+            });
+            let evicted: Vec<(TaskKey, u64)> =
+                evicted.map(|(task, placed)| (*task, placed.run)).collect();
+            if evicted.is_empty() {
                 continue;
             }
             self.actions.push(Action::RunsEvicted {
                 executor: id,
-                left: leaves.saturating_sub(now),
-                runs: doomed.len() as u32,
+                left: departs_at.saturating_sub(now),
+                runs: evicted.len() as u32,
             });
-            for (task, run) in doomed {
+            for (task, run) in evicted {
                 self.relocate_run(index, task, run);
             }
         }
     }
 
-    /// Whether a run is to be stopped now on an executor that leaves then.
+    /// Whether a run must be stopped now on an executor that leaves at
+    /// `departs_at`.
     fn must_stop(
         &self,
         task: TaskKey,
-        on: &PlacedRun,
-        leaves: Millis,
+        placed: &PlacedRun,
+        departs_at: Millis,
         now: Millis,
     ) -> bool {
         let Some(step) = self.step(task.step) else { return false };
         let Some(state) = self.step_state(task.step) else { return false };
-        let place = state.placements.get(&task.index);
-        let here = place.is_some_and(|(_, run)| *run == on.run);
-        if !here || matches!(on.phase, Phase::Stopping(_)) {
+        let placement = state.placements.get(&task.index);
+        let is_current = placement.is_some_and(|(_, run)| *run == placed.run);
+        if !is_current || matches!(placed.phase, Phase::Stopping(_)) {
             return false;
         }
-        let ends = match step.lasting {
+        let ends_at = match step.lasting {
             true => Millis::MAX,
-            false => expected_end(on, now),
+            false => expected_end(placed, now),
         };
-        ends > leaves
-            && (now + STOPPED_WITHIN >= leaves
-                || is_hopeless(step, ends - now, leaves - now))
+        ends_at > departs_at
+            && (now + STOP_LEAD_TIME >= departs_at
+                || cannot_finish(step, ends_at - now, departs_at - now))
     }
 
-    /// Stops a run, or its gang, so that it starts elsewhere.
+    /// Stops a run, or its whole gang, so that it starts elsewhere.
     fn relocate_run(&mut self, at: ExecutorIndex, task: TaskKey, run: u64) {
         self.count("runs_moved_from_leaving");
         match self.step(task.step).is_some_and(|step| step.gang) {
@@ -123,9 +127,14 @@
     }
 }
 
-/// Whether a run that should take so much longer is to be given up on an
-/// executor that stays for so long, in milliseconds.
-fn is_hopeless(step: &Step, takes: Millis, stays: Millis) -> bool {
-    let saves = step.checkpoints || step.lasting;
-    !saves && takes as f64 >= stays as f64 * HOPELESS
+/// Whether a run that is expected to go on for `remaining_run` can't finish on
+/// an executor that stays for `remaining_stay`, and would lose its work.
+fn cannot_finish(
+    step: &Step,
+    remaining_run: Millis,
+    remaining_stay: Millis,
+) -> bool {
+    let keeps_progress = step.checkpoints || step.lasting;
+    !keeps_progress
+        && remaining_run as f64 >= remaining_stay as f64 * HOPELESS_RATIO
 }
--- a/puffinknot-core/src/jobs/scheduler/incarnations.rs
+++ b/puffinknot-core/src/jobs/scheduler/incarnations.rs
@@ -133,7 +133,7 @@
         self.commits.executor_changed(&executor.info.id);
         if let Some(info) = executor.take_entry_of(born) {
             executor.description = DescriptionSource::ByEntry;
-            self.describe(index, info);
+            self.update_info(index, info);
         }
         self.count("executors_reborn");
         index
--- a/puffinknot-core/src/jobs/scheduler/machine_list.rs
+++ b/puffinknot-core/src/jobs/scheduler/machine_list.rs
@@ -1,13 +1,13 @@
 /*!
-What the list of machines tells of the lives of executors.
+Infers from the platform's machine list that incarnations have ended.
 
-The list tells of a crash long before a lease runs out. But it may be older
-than the life that is looked for, or not know yet what lives on a machine, so
-that it is no sign of an end that a life is missing from it. A life is over
+The list shows a crash long before a lease expires. But it may be older than
+the incarnation that is looked for, or not know yet what runs on a machine, so
+an incarnation that is missing from it has not necessarily ended. It has ended
 only if an earlier list has shown it on a machine that is not up any more, or
-on which another life stands that answers. A machine that the list lacks counts
-only if the store lists the executor no more. Which machine it was is kept in
-the store beside the executors, so that a successor knows it too.
+on which another incarnation now answers. A machine that the list lacks counts
+only if the store doesn't list the executor any more. The machine of each
+executor is stored with the executor, so a successor knows it too.
 */
 
 use std::collections::BTreeMap;
@@ -19,45 +19,46 @@
 };
 use crate::jobs::scheduler::Scheduler;
 
-/// An executor that has not answered for this long, in milliseconds, is
-/// looked for in the list.
-const SILENT_FOR: Millis = 500;
-/// An executor that has been known for this long, in milliseconds, is looked
-/// for once, to learn its machine: the platform's records of executors are up
-/// to two seconds old.
-const NAMED_AFTER: Millis = 2_000;
-/// The list is read for that this often at the most, in milliseconds: in a
-/// cell of a thousand machines it takes six calls.
-const LEARN_EVERY: Millis = 4_000;
+/// An executor that has not answered for this long is looked up in the list.
+const LOOKUP_AFTER_SILENCE: Millis = 500;
+/// An executor that has been known for this long is looked up once to learn
+/// its machine: the platform's records of executors are up to two seconds old.
+const LOOKUP_DELAY: Millis = 2_000;
+/// To learn machines, the list is requested at least this long after the last
+/// request: in a cell of a thousand machines, reading it takes six calls.
+const LOOKUP_INTERVAL: Millis = 4_000;
 
 impl Scheduler {
-    /// Whether the list of machines may tell what has to be known.
+    /// Whether the machine list may answer an open question.
     pub(super) fn needs_machine_list(&self, now: Millis) -> bool {
         self.has_silent_executors(now) || self.has_unknown_machines(now)
     }
 
-    /// Whether executors are silent that something may depend on.
+    /// Whether there are silent executors that runs, or the takeover, depend
+    /// on.
     fn has_silent_executors(&self, now: Millis) -> bool {
         self.executors.values().any(|executor| {
             let silent = executor.liveness != Liveness::Ready
-                && executor.silent_since + SILENT_FOR < now;
+                && executor.silent_since + LOOKUP_AFTER_SILENCE < now;
             silent && (!executor.runs.is_empty() || !self.takeover_complete())
         })
     }
 
-    /// Whether there are executors whose machines were not looked for.
+    /// Whether there are executors whose machines have not been looked up.
     fn has_unknown_machines(&self, now: Millis) -> bool {
-        if now < self.machines.list_requested_at + LEARN_EVERY {
+        if now < self.machines.list_requested_at + LOOKUP_INTERVAL {
             return false;
         }
-        let learnt = self.machines.answered_request_at;
+        let answered_request_at = self.machines.answered_request_at;
         self.executors.values().any(|executor| {
-            let due = executor.known_since + NAMED_AFTER;
-            executor.machine.is_empty() && learnt < due && due <= now
+            let lookup_at = executor.known_since + LOOKUP_DELAY;
+            executor.machine.is_empty()
+                && answered_request_at < lookup_at
+                && lookup_at <= now
         })
     }
 
-    /// The list of machines has come.
+    /// Handles a new machine list.
     pub(super) fn machine_list_received(
         &mut self,
         machines: &[MachineInfo],
@@ -68,10 +69,10 @@
         }
         self.machines.answered_request_at = self.machines.list_requested_at;
         self.record_machines(machines);
-        self.end_departed_incarnations(machines, now);
+        self.end_gone_incarnations(machines, now);
     }
 
-    /// Takes in on which machines executors live.
+    /// Records on which machines executors run.
     fn record_machines(&mut self, machines: &[MachineInfo]) {
         for info in machines {
             let Some(index) = self.by_id.get(&info.executor) else { continue };
@@ -85,41 +86,41 @@
         }
     }
 
-    /// Gives up silent executors that have gone from their machines. The
-    /// list was asked for after they had become silent.
-    fn end_departed_incarnations(
+    /// Ends the incarnations of silent executors that have gone from their
+    /// machines. The list was requested after they had become silent.
+    fn end_gone_incarnations(
         &mut self,
         machines: &[MachineInfo],
         now: Millis,
     ) {
         let by_name: BTreeMap<&str, &MachineInfo> =
             machines.iter().map(|m| (m.machine.as_str(), m)).collect();
-        let asked_at = self.machines.list_requested_at;
-        let departed = self.executors.iter().filter(|(_, executor)| {
+        let requested_at = self.machines.list_requested_at;
+        let gone = self.executors.iter().filter(|(_, executor)| {
             executor.liveness != Liveness::Ready
-                && executor.silent_since + SILENT_FOR < asked_at
+                && executor.silent_since + LOOKUP_AFTER_SILENCE < requested_at
                 && !executor.machine.is_empty()
                 && self.has_left_machine(
                     executor,
                     by_name.get(&*executor.machine),
                 )
         });
-        let departed: Vec<ExecutorIndex> =
-            departed.map(|(index, _)| *index).collect();
-        for index in departed {
+        let gone: Vec<ExecutorIndex> = gone.map(|(index, _)| *index).collect();
+        for index in gone {
             self.count("executors_gone");
             self.end_incarnation(index, IncarnationEnd::LeftMachine, now);
         }
     }
 
-    /// Whether a life has gone from the machine on which it was shown before.
+    /// Whether an incarnation has gone from the machine on which it was last
+    /// listed.
     fn has_left_machine(
         &self,
         executor: &Executor,
         machine: Option<&&MachineInfo>,
     ) -> bool {
-        // A list may lack machines. The executor's entry, which the store
-        // keeps, has to be gone as well.
+        // Lists may be incomplete. The executor's entry in the store has to be
+        // gone as well.
         let Some(machine) = machine else {
             return self.entries_read && !executor.listed;
         };
--- a/puffinknot-core/src/jobs/scheduler/membership.rs
+++ b/puffinknot-core/src/jobs/scheduler/membership.rs
@@ -1,11 +1,11 @@
 /*!
-The lives of executors: how the leader comes to know of one, and by what it
-takes one for over.
+Executor membership: how the leader learns of executors, and how it decides
+that an incarnation of one has ended.
 
-What runs on an executor is given up with its life, or when its lease has
-lapsed; it is then started elsewhere. Each way by which that happens is named
-by [`IncarnationEnd`] and logged with what was known of the executor, since a wrong
-one makes tasks run twice.
+The runs on an executor are given up when its incarnation ends or when its
+lease has expired, and are then started elsewhere. Each reason for that is a
+variant of [`IncarnationEnd`]. It is logged together with what was known of the
+executor, because a wrong decision makes tasks run twice.
 */
 
 use crate::ids::Millis;
@@ -16,7 +16,7 @@
 use crate::jobs::scheduler::Scheduler;
 
 impl IncarnationEnd {
-    /// The counter of lives that were over by this.
+    /// The counter of incarnations that ended for this reason.
     fn counter(self) -> &'static str {
         match self {
             IncarnationEnd::AnotherAnswers => "executors_over_another_answers",
@@ -28,7 +28,7 @@
 }
 
 impl Scheduler {
-    /// The store lists an executor.
+    /// Handles an entry of an executor in the store.
     pub(super) fn executor_listed(&mut self, info: ExecutorInfo, now: Millis) {
         if let Some(index) = self.by_id.get(&info.id).copied() {
             let Some(executor) = self.executors.get_mut(&index) else {
@@ -43,24 +43,25 @@
                 executor.description != DescriptionSource::ByEntry;
             executor.description = DescriptionSource::ByEntry;
             if executor.info != info {
-                self.describe(index, info);
+                self.update_info(index, info);
                 self.needs_placement = true;
             }
             return;
         }
         if !self.is_service_needed(&info.service) {
-            // It would be asked, and waited for by a successor, for nothing.
+            // The executor would be probed, and waited for by a successor, in
+            // vain.
             return self.count("entries_of_unknown_services");
         }
-        // Entries may outlive their executors, so that it is not known which
-        // of two lives with one address is the newer.
+        // Entries may outlive their executors, so it is not known which of two
+        // incarnations with the same address is the newer one.
         self.probe_incarnations_at(&info.address, now);
         self.commits.executor_changed(&info.id);
         self.add_executor(info, now);
     }
 
-    /// Takes over what an executor says of itself.
-    pub(super) fn describe(
+    /// Replaces the information that an executor publishes about itself.
+    pub(super) fn update_info(
         &mut self,
         index: ExecutorIndex,
         info: ExecutorInfo,
@@ -72,34 +73,34 @@
         }
     }
 
-    /// Whether the policy names a service, or a job that was accepted before
-    /// goes there.
+    /// Whether the policy names a service, or a job that was accepted earlier
+    /// needs it.
     fn is_service_needed(&self, service: &str) -> bool {
         let mut jobs = self.jobs.values();
         self.policy.serves(service)
             || jobs.any(|live| live.queue.service == service)
     }
 
-    /// The lives that are known with an address.
+    /// The known incarnations with an address.
     pub(super) fn incarnations_at<'a>(
         &'a self,
         address: &'a str,
     ) -> impl Iterator<Item = (ExecutorIndex, &'a Executor)> {
-        let there = self.executors.at(address);
-        there.filter_map(|index| Some((index, self.executors.get(&index)?)))
+        let at_address = self.executors.at(address);
+        at_address
+            .filter_map(|index| Some((index, self.executors.get(&index)?)))
     }
 
-    /// Asks the lives that are known with an address: whichever is over is
-    /// told by the other's answer.
+    /// Probes all known incarnations with an address. The answer of the one
+    /// that is alive shows that the others have ended.
     fn probe_incarnations_at(&mut self, address: &str, now: Millis) {
-        let there = self.incarnations_at(address).map(|(index, _)| index);
-        for index in there.collect::<Vec<_>>() {
+        let at_address = self.incarnations_at(address).map(|(index, _)| index);
+        for index in at_address.collect::<Vec<_>>() {
             self.probe_now(index, now);
         }
     }
 
-    /// Asks an executor without waiting for its turn, also beside a hold
-    /// that waits there.
+    /// Probes an executor at once, even while a renewal is waiting there.
     pub(super) fn probe_now(&mut self, index: ExecutorIndex, now: Millis) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.probe = true;
@@ -107,7 +108,7 @@
         self.renewal_queue.enqueue(index);
     }
 
-    /// Asks an executor then, also beside a hold that waits there.
+    /// Probes an executor at `at`, even while a renewal is waiting there.
     pub(super) fn probe_at(&mut self, index: ExecutorIndex, at: Millis) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.probe = true;
@@ -115,7 +116,7 @@
         self.renewal_queue.schedule(at, index);
     }
 
-    /// Takes an executor up, to be asked at once.
+    /// Adds an executor, to be probed at once.
     pub(super) fn add_executor(
         &mut self,
         info: ExecutorInfo,
@@ -130,8 +131,8 @@
         index
     }
 
-    /// The entry of an executor can't be read: it names none to use. What runs
-    /// there goes on.
+    /// Handles an entry that can't be read. The executor can't be used without
+    /// it, but its runs go on.
     pub(super) fn entry_unreadable(&mut self, id: &str) {
         self.count("entries_unreadable");
         let index = self.by_id.get(id);
@@ -141,8 +142,8 @@
         }
     }
 
-    /// The store lists an executor no more. Its entry may have lapsed while
-    /// it lives on.
+    /// Handles the removal of an executor's entry from the store. The entry
+    /// may have expired while the executor is alive.
     pub(super) fn executor_unlisted(&mut self, id: &str, now: Millis) {
         let index = self.by_id.get(id);
         let executor = index.and_then(|i| self.executors.get_mut(i));
@@ -154,9 +155,10 @@
         }
     }
 
-    /// A life of an executor is over, and with it all that ran there. It is
-    /// given up once the store has confirmed after that that nobody else
-    /// leads: a successor may have heard of ends there before.
+    /// Records that an incarnation has ended, and all its runs with it. They
+    /// are given up only after the store has since confirmed that no other
+    /// node leads: a successor may have received run ends from the executor
+    /// before.
     pub(super) fn end_incarnation(
         &mut self,
         index: ExecutorIndex,
@@ -171,19 +173,19 @@
         }
     }
 
-    /// Gives up the lives that are over, as far as it is confirmed that this
-    /// node led by then.
+    /// Gives up the incarnations that have ended, where it is confirmed that
+    /// this node still led at that time.
     pub(super) fn give_up_incarnations(&mut self, now: Millis) {
         let confirmed = self.leadership_confirmed_at;
-        let over = self.executors.iter().filter_map(|(index, executor)| {
+        let ended = self.executors.iter().filter_map(|(index, executor)| {
             let (why, at) = executor.incarnation_end?;
-            // Ends that it has told of may wait.
-            let until =
+            // Its reports of run ends may still be waiting to be processed.
+            let known_until =
                 confirmed.min(self.reports_processed_until(executor, now));
-            (at <= until).then_some((*index, why))
+            (at <= known_until).then_some((*index, why))
         });
-        let over: Vec<(ExecutorIndex, IncarnationEnd)> = over.collect();
-        for (index, why) in over {
+        let ended: Vec<(ExecutorIndex, IncarnationEnd)> = ended.collect();
+        for (index, why) in ended {
             self.give_up_incarnation(index, why, now);
         }
     }
@@ -213,10 +215,11 @@
         if let Some(crash) = crash {
             self.record_crash(crash, now);
         }
-        // Nothing is left there that counts for an account.
+        // Nothing that counts against the limit of a client account can be
+        // left there.
         self.unheard_executors.remove(&index);
         if let Some(executor) = self.executors.remove(&index) {
-            // Its name may be that of a life that follows it.
+            // The name may already belong to the next incarnation.
             if self.by_id.get(&executor.info.id) == Some(&index) {
                 self.by_id.remove(&executor.info.id);
             }
@@ -225,14 +228,14 @@
         self.check_takeover(now);
     }
 
-    /// What runs on an executor is lost.
+    /// Gives up all runs on an executor as lost.
     fn give_up_runs(&mut self, index: ExecutorIndex, why: IncarnationEnd) {
         let Some(executor) = self.executors.get(&index) else { return };
-        let given_up = executor.runs.iter().map(|(task, on)| {
+        let given_up = executor.runs.iter().map(|(task, placed)| {
             let id = executor.info.id.clone();
             let (ran, survived) =
-                (executor.max_runtime(on), executor.survived(on));
-            (id, *task, on.run, ran, survived)
+                (executor.max_runtime(placed), executor.survived(placed));
+            (id, *task, placed.run, ran, survived)
         });
         let given_up: Vec<_> = given_up.collect();
         for (executor, task, run, ran, survived) in given_up {
@@ -248,19 +251,22 @@
         }
     }
 
-    /// Gives up what has certainly lapsed on executors that are silent.
+    /// Gives up the runs on silent executors whose leases have certainly
+    /// expired. Those executors stay known while the store lists them. Once
+    /// the takeover is complete, also gives up executors that were never heard
+    /// in this term and that the store doesn't list.
     pub(super) fn expire_leases(&mut self, now: Millis) {
-        let settled = self.takeover_complete();
+        let takeover_complete = self.takeover_complete();
         let confirmed = self.leadership_confirmed_at;
         let lapsed = self.executors.iter().filter_map(|(index, executor)| {
-            let known =
+            let known_until =
                 || confirmed.min(self.reports_processed_until(executor, now));
             let why = match executor.liveness {
-                Liveness::Silent if executor.expiry < known() => {
+                Liveness::Silent if executor.expiry < known_until() => {
                     IncarnationEnd::Lapsed
                 }
-                // No lease was given to it in this tenure.
-                Liveness::Unseen if settled && !executor.listed => {
+                // It was given no lease in this term.
+                Liveness::Unseen if takeover_complete && !executor.listed => {
                     IncarnationEnd::NeverHeard
                 }
                 _ => return None,
