--- a/puffinknot-core/src/jobs/scheduler/in_flight.rs
+++ b/puffinknot-core/src/jobs/scheduler/in_flight.rs
@@ -1,12 +1,13 @@
 /*!
-Orders in flight to an executor that has gone.
+Start orders in flight to an executor that has gone.
 
-An order to start that was not answered may be carried out seconds later. As
-long as its executor lives, it is sealed there before the task starts
-elsewhere. If the executor has gone, nobody can be told; but the next life at
-its address may have its name, and would take the order for its own. So the
-task waits until the next life is heard, and the order is sealed there if that
-has the same name, or until no order comes that late.
+A start that was not answered may still be carried out seconds later. While its
+executor is alive, the run is stopped there, which also rejects a start that
+arrives late, before the task starts elsewhere. If the executor has gone, no
+stop can be sent; but the next incarnation at its address may have the same
+name and would accept the start as its own. So the task waits until either the
+next incarnation is heard, where the run is stopped if the name is the same, or
+the start is too old to arrive.
 */
 
 use crate::ids::Millis;
@@ -15,73 +16,75 @@
 use crate::jobs::model::TaskKey;
 use crate::jobs::scheduler::Scheduler;
 
-/// An order that was not answered is taken to come so much later at the most,
-/// in milliseconds. Nothing bounds it, and a task waits for no more than this.
-const LATEST: Millis = 8_000;
+/// An unanswered start is assumed to arrive at most this much later. The delay
+/// has no upper bound, but a task does not wait for longer than this.
+const MAX_START_DELAY: Millis = 8_000;
 
-/// An order to start that may be carried out yet.
+/// A start order that may still be carried out.
 #[derive(Clone, Debug)]
 pub(super) struct InFlightStart {
-    /// The name of the executor that it was for.
+    /// The name of the executor that it was sent to.
     name: String,
-    /// Where that one listened.
+    /// The address of that executor.
     address: String,
-    /// Its number.
-    from: ExecutorIndex,
+    /// The index of that executor.
+    former: ExecutorIndex,
     task: TaskKey,
-    on: PlacedRun,
+    placed: PlacedRun,
 }
 
 impl InFlightStart {
-    /// Whether it may still come.
-    fn may_come(&self, now: Millis) -> bool {
-        now < self.on.placed_at + LATEST
+    /// Whether the start may still arrive.
+    fn may_arrive(&self, now: Millis) -> bool {
+        now < self.placed.placed_at + MAX_START_DELAY
     }
 }
 
 impl Scheduler {
-    /// An executor has gone from its machine. Takes those orders from it that
-    /// the life which follows there may carry out.
+    /// Takes from an executor that has gone from its machine those starts that
+    /// the next incarnation there may carry out.
     pub(super) fn detach_in_flight_starts(
         &mut self,
         index: ExecutorIndex,
         why: IncarnationEnd,
         now: Millis,
     ) {
-        // A follower under another name that is heard already refuses them,
-        // and nothing would end the wait but its time.
-        if why != IncarnationEnd::LeftMachine
-            || self.has_next_incarnation(index)
+        // If an executor with another name already answers at that address, it
+        // rejects these starts, and they would wait for nothing until they
+        // expire.
+        if why != IncarnationEnd::LeftMachine || self.has_live_successor(index)
         {
             return;
         }
         let Some(executor) = self.executors.get(&index) else { return };
-        let open = executor.runs.iter().filter(|(_, on)| !on.start_confirmed);
-        let orders = open.map(|(task, on)| InFlightStart {
+        let unconfirmed =
+            executor.runs.iter().filter(|(_, placed)| !placed.start_confirmed);
+        let starts = unconfirmed.map(|(task, placed)| InFlightStart {
             name: executor.info.id.clone(),
             address: executor.info.address.clone(),
-            from: index,
+            former: index,
             task: *task,
-            on: on.clone(),
+            placed: placed.clone(),
         });
-        let orders = orders.filter(|order| order.may_come(now));
-        let orders: Vec<InFlightStart> = orders.collect();
-        for order in orders {
-            self.remove_run(index, &order.task);
+        let starts = starts.filter(|start| start.may_arrive(now));
+        let starts: Vec<InFlightStart> = starts.collect();
+        for start in starts {
+            self.remove_run(index, &start.task);
             self.count("orders_in_flight");
-            self.in_flight.push(order);
+            self.in_flight.push(start);
         }
     }
 
-    /// Whether another life answers at the address of one.
-    fn has_next_incarnation(&self, index: ExecutorIndex) -> bool {
+    /// Whether another incarnation answers at the address of this one.
+    fn has_live_successor(&self, index: ExecutorIndex) -> bool {
         let Some(former) = self.executors.get(&index) else { return false };
         self.incarnations_at(&former.info.address).any(|(other, executor)| {
             other != index && executor.liveness == Liveness::Ready
         })
     }
 
-    /// A life is heard for the first time.
+    /// Handles the starts in flight to an incarnation that is heard for the
+    /// first time.
     pub(super) fn resolve_in_flight_starts(
         &mut self,
         next: ExecutorIndex,
@@ -89,58 +92,60 @@
     ) {
         let Some(executor) = self.executors.get(&next) else { return };
         let (name, address) = (&executor.info.id, &executor.info.address);
-        let (caught, left): (Vec<InFlightStart>, Vec<InFlightStart>) =
+        let (matching, others): (Vec<InFlightStart>, Vec<InFlightStart>) =
             std::mem::take(&mut self.in_flight).into_iter().partition(
-                |order| order.name == *name || order.address == *address,
+                |start| start.name == *name || start.address == *address,
             );
         let name = name.clone();
-        self.in_flight = left;
-        for InFlightStart { name: meant, from, task, on, .. } in caught {
-            if meant == name {
-                self.assign_to_next(from, next, task, on, now);
+        self.in_flight = others;
+        for InFlightStart {
+            name: intended_name, former, task, placed, ..
+        } in matching
+        {
+            if intended_name == name {
+                self.assign_to_next(former, next, task, placed, now);
             } else {
-                // Another name refuses it.
-                self.conclude_run(from, task, on.run, None);
+                // An executor with another name rejects the start.
+                self.conclude_run(former, task, placed.run, None);
             }
         }
     }
 
-    /// Gives up the orders that come no more.
+    /// Gives up the starts that can no longer arrive.
     pub(super) fn expire_in_flight_starts(&mut self, now: Millis) {
-        let known = self.processed_until(now);
-        let (open, over): (Vec<InFlightStart>, Vec<InFlightStart>) =
+        let processed_until = self.processed_until(now);
+        let (pending, expired): (Vec<InFlightStart>, Vec<InFlightStart>) =
             std::mem::take(&mut self.in_flight)
                 .into_iter()
-                .partition(|order| order.may_come(known));
-        self.in_flight = open;
-        for InFlightStart { from, task, on, .. } in over {
-            self.conclude_run(from, task, on.run, None);
+                .partition(|start| start.may_arrive(processed_until));
+        self.in_flight = pending;
+        for InFlightStart { former, task, placed, .. } in expired {
+            self.conclude_run(former, task, placed.run, None);
         }
     }
 
-    /// An order counts as given to the life that follows the one that it was
-    /// meant for: the account shows whether it is there, and else it is
-    /// sealed.
+    /// Assigns a run to the incarnation that follows the one it was sent to.
+    /// If the next report does not list the run, it is stopped there.
     pub(super) fn assign_to_next(
         &mut self,
         former: ExecutorIndex,
         next: ExecutorIndex,
         task: TaskKey,
-        on: PlacedRun,
+        placed: PlacedRun,
         now: Millis,
     ) {
-        let run = on.run;
+        let run = placed.run;
         let wanted = self.move_placement(task, run, former, next)
-            && !matches!(on.phase, Phase::Stopping(_));
-        let on = PlacedRun {
+            && !matches!(placed.phase, Phase::Stopping(_));
+        let placed = PlacedRun {
             phase: Phase::Starting,
             start_unsure_since: Some(now),
             confirmed: 0,
             measures_speed: false,
             start_clock: None,
-            ..on
+            ..placed
         };
-        self.put_run(next, task, on);
+        self.put_run(next, task, placed);
         self.start_trial(next, task, run, now);
         if !wanted {
             self.stop(next, task, run);
@@ -148,8 +153,8 @@
         self.count("runs_carried_over");
     }
 
-    /// A run of a task is on another executor, if it is the one that counts.
-    /// Returns whether it is.
+    /// Moves the placement of a task to another executor, if it is that of
+    /// this run. Returns whether it is and the run is still wanted.
     fn move_placement(
         &mut self,
         task: TaskKey,
@@ -161,13 +166,16 @@
             return false;
         };
         let wanted = live.ended.is_none();
-        let place = (task.step.time, task.step.step);
-        let state = live.steps.get_mut(&place);
-        let at = state.and_then(|state| state.placements.get_mut(&task.index));
-        let Some(at) = at.filter(|at| **at == (from, run)) else {
+        let step_key = (task.step.time, task.step.step);
+        let state = live.steps.get_mut(&step_key);
+        let placement =
+            state.and_then(|state| state.placements.get_mut(&task.index));
+        let Some(placement) =
+            placement.filter(|placement| **placement == (from, run))
+        else {
             return false;
         };
-        *at = (to, run);
+        *placement = (to, run);
         wanted
     }
 }
