--- a/puffinknot-core/src/jobs/scheduler/event_lag.rs
+++ b/puffinknot-core/src/jobs/scheduler/event_lag.rs
@@ -19,7 +19,7 @@
 use crate::ids::Millis;
 use crate::jobs::executor::{Executor, PlacedRun};
 use crate::jobs::message::{Action, Event, ExecutorIndex};
-use crate::jobs::scheduler::renewals::FAILURES;
+use crate::jobs::scheduler::renewals::FAILURES_UNTIL_SILENT;
 use crate::jobs::scheduler::Scheduler;
 
 /// Each report contributes one part in this many to the smoothed lag.
@@ -205,8 +205,9 @@
     /// of them sent since the leader resumed from a stall. An incarnation that
     /// has ended counts as such.
     pub(super) fn missed_last_renewals(&self, executor: &Executor) -> bool {
-        let missed_at =
-            executor.missed_renewal.filter(|_| executor.failures >= FAILURES);
+        let missed_at = executor
+            .missed_renewal
+            .filter(|_| executor.failures >= FAILURES_UNTIL_SILENT);
         executor.incarnation_end.is_some()
             || missed_at >= Some(self.event_lag.resumed_at)
     }
--- a/puffinknot-core/src/jobs/scheduler/incarnations.rs
+++ b/puffinknot-core/src/jobs/scheduler/incarnations.rs
@@ -28,7 +28,7 @@
 use crate::jobs::executor::{DescriptionSource, ExecutorInfo, PlacedRun};
 use crate::jobs::message::{ExecutorIndex, ExecutorReport, IncarnationEnd};
 use crate::jobs::model::TaskKey;
-use crate::jobs::scheduler::renewals::RETRY;
+use crate::jobs::scheduler::renewals::RETRY_DELAY;
 use crate::jobs::scheduler::Scheduler;
 use crate::jobs::speed::Speed;
 
@@ -113,7 +113,7 @@
     fn probe_later(&mut self, index: ExecutorIndex, now: Millis) {
         self.count("lives_unclear");
         self.mark_unresponsive(index, now);
-        self.probe_at(index, now + RETRY);
+        self.probe_at(index, now + RETRY_DELAY);
     }
 
     /// Corrects the birth time of an incarnation that is known only from its
--- a/puffinknot-core/src/jobs/scheduler/renewals.rs
+++ b/puffinknot-core/src/jobs/scheduler/renewals.rs
@@ -1,5 +1,5 @@
 /*!
-The exchange with executors: their leases, and what they report.
+Lease renewals: they extend the leases of executors and return their reports.
 */
 
 use crate::ids::Millis;
@@ -15,85 +15,103 @@
 use crate::jobs::scheduler::incarnations::Answerer;
 use crate::jobs::scheduler::Scheduler;
 
-/// How long an executor may wait for an end before it answers a hold.
-const WAIT: Millis = 1_000;
+/// How long an executor may wait for a run to end before it answers a renewal.
+const MAX_WAIT: Millis = 1_000;
 /// The same for an executor whose tasks disturb each other.
-const CLOSE: Millis = 400;
-/// The most executors that are asked in one turn.
-const AT_ONCE: usize = 64;
-/// Idle executors are asked about so often a second, all together.
-const IDLE_HOLDS: Millis = 500;
-/// The longest time that an idle executor is left alone. Its clock may lose
-/// a fiftieth of it, which [`expiry`] covers.
-const LONGEST_PAUSE: Millis = 5_000;
-/// The time after the first hold that an executor has not answered until the
-/// next. It doubles with each, [`RETRY_DOUBLINGS`] times at most.
-pub(super) const RETRY: Millis = 150;
-/// More would add more than half a second to the time until an executor that
-/// is back is heard of.
+const MAX_WAIT_FREQUENT: Millis = 400;
+/// The most executors whose leases are renewed in one turn of the event loop.
+const MAX_RENEWALS_PER_TURN: usize = 64;
+/// The rate at which idle executors are asked, all of them together.
+const IDLE_RENEWALS_PER_SECOND: Millis = 500;
+/// The longest time for which an idle executor is not asked. Its clock may
+/// lose a fiftieth of this time, which [`lease_expiry`] covers.
+const MAX_IDLE_PAUSE: Millis = 5_000;
+/// The delay after the first renewal that an executor has not answered. It
+/// doubles with each further one, [`RETRY_DOUBLINGS`] times at most.
+pub(super) const RETRY_DELAY: Millis = 150;
+/// More doublings would make an executor that is back be heard over half a
+/// second later.
 const RETRY_DOUBLINGS: u32 = 2;
-/// The time between holds while reports can't be written.
-const UNWRITTEN: Millis = 500;
-/// Holds in a row that fail before an executor counts as silent.
-pub(super) const FAILURES: u32 = 2;
-/// The time until the next hold after one that could not tell which ends are
-/// noted: an order that is open is answered within it.
-const WITHHELD: Millis = 30;
+/// The time between renewals while reported run ends can't be written to the
+/// store.
+const UNWRITTEN_RENEWAL_INTERVAL: Millis = 500;
+/// The number of renewals in a row that must fail for an executor to count as
+/// silent.
+pub(super) const FAILURES_UNTIL_SILENT: u32 = 2;
+/// The delay after a renewal that could not acknowledge run ends. An open
+/// order is answered within it.
+const WITHHELD_RENEWAL_DELAY: Millis = 30;
 
 impl Scheduler {
-    /// Sends the holds that are due, to some executors at a time, so that a
-    /// takeover of many holds nothing else up for long.
+    /// Sends the renewals that are due, to a limited number of executors at a
+    /// time, so that taking over many of them does not block other work for
+    /// long.
     pub(super) fn send_renewals(&mut self, now: Millis) {
-        let idle = self.has_no_pending_writes();
-        for index in self.renewal_queue.take_ready(now, AT_ONCE) {
-            self.send_renewal(index, idle, now);
+        let no_pending_writes = self.has_no_pending_writes();
+        for index in self.renewal_queue.take_ready(now, MAX_RENEWALS_PER_TURN)
+        {
+            self.send_renewal(index, no_pending_writes, now);
         }
     }
 
-    fn send_renewal(&mut self, index: ExecutorIndex, idle: bool, now: Millis) {
+    fn send_renewal(
+        &mut self,
+        index: ExecutorIndex,
+        no_pending_writes: bool,
+        now: Millis,
+    ) {
         let lease = self.config.lease;
-        let close = self.needs_frequent_reports(index);
+        let frequent = self.needs_frequent_reports(index);
         let Some(executor) = self.executors.get_mut(&index) else { return };
         if executor.incarnation_end.is_some() {
             return;
         }
         if executor.renewing {
-            // An answer is told from that to the main hold by its time.
-            let probes = executor.next_probe.max(executor.renewal_sent_at + 1);
-            if executor.probe && probes <= now {
+            // The answers to the probe and to the open renewal are told apart
+            // by the times at which they were sent.
+            let probe_at =
+                executor.next_probe.max(executor.renewal_sent_at + 1);
+            if executor.probe && probe_at <= now {
                 executor.probe = false;
                 self.actions.push(Action::RenewLease {
                     executor: index,
                     sent_at: now,
                     due: None,
-                    // Nothing tells which life answers beside the hold.
+                    // It is not known which incarnation answers a probe, so it
+                    // acknowledges nothing.
                     last_seen: 0,
                     known: executor.received_end,
                     wait: 0,
                 });
             } else if executor.probe {
-                self.renewal_queue.schedule(probes, index);
+                self.renewal_queue.schedule(probe_at, index);
             }
             return;
         }
         if executor.next_renewal > now {
             return self.renewal_queue.schedule(executor.next_renewal, index);
         }
-        // What is reported already would be reported again at once.
-        let fresh = executor.acknowledged_end == executor.received_end;
-        let settled = executor.liveness == Liveness::Ready;
-        let asked = executor.probe && executor.next_probe <= now;
-        let sure = executor.incarnation_unsure_since.is_none();
-        let patient = fresh && settled && sure && !asked;
-        let longest = if close { CLOSE } else { WAIT };
-        let wait = if patient { longest } else { 0 };
-        if !fresh && !idle && now < executor.renewal_sent_at + UNWRITTEN {
-            return self
-                .renewal_queue
-                .schedule(executor.renewal_sent_at + UNWRITTEN, index);
+        // Ends that are not acknowledged yet would be reported again at once.
+        let all_acknowledged =
+            executor.acknowledged_end == executor.received_end;
+        let is_ready = executor.liveness == Liveness::Ready;
+        let probe_due = executor.probe && executor.next_probe <= now;
+        let incarnation_known = executor.incarnation_unsure_since.is_none();
+        let may_wait =
+            all_acknowledged && is_ready && incarnation_known && !probe_due;
+        let max_wait = if frequent { MAX_WAIT_FREQUENT } else { MAX_WAIT };
+        let wait = if may_wait { max_wait } else { 0 };
+        if !all_acknowledged
+            && !no_pending_writes
+            && now < executor.renewal_sent_at + UNWRITTEN_RENEWAL_INTERVAL
+        {
+            return self.renewal_queue.schedule(
+                executor.renewal_sent_at + UNWRITTEN_RENEWAL_INTERVAL,
+                index,
+            );
         }
-        // An executor that did not answer gets no more time, or what runs
-        // there could never be given up.
+        // The lease of an executor that did not answer is not extended, or its
+        // runs could never be given up.
         let clock = executor.clock_at(now);
         let clock = clock.filter(|_| executor.failures == 0);
         let due = clock.map(|clock| clock + lease);
@@ -101,7 +119,7 @@
             executor.expiry = lease_expiry(now, lease);
         }
         executor.renewing = true;
-        executor.probe &= !asked;
+        executor.probe &= !probe_due;
         if executor.probe {
             self.renewal_queue.schedule(executor.next_probe, index);
         }
@@ -121,11 +139,12 @@
         });
     }
 
-    /// How long an executor on which nothing runs is left alone after it has
-    /// answered: all idle executors together are asked only so often.
+    /// How long an executor without runs is not asked after it has answered.
+    /// Idle executors share one rate of renewals.
     fn idle_pause(&self) -> Millis {
-        let turn = self.by_id.len() as Millis * 1_000 / IDLE_HOLDS;
-        turn.saturating_sub(WAIT).min(LONGEST_PAUSE)
+        let interval =
+            self.by_id.len() as Millis * 1_000 / IDLE_RENEWALS_PER_SECOND;
+        interval.saturating_sub(MAX_WAIT).min(MAX_IDLE_PAUSE)
     }
 
     pub(super) fn renewal_answered(
@@ -137,52 +156,53 @@
     ) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         self.renewal_queue.enqueue(index);
-        let main = executor.renewal_sent_at == sent_at;
-        if main {
+        let is_renewal = executor.renewal_sent_at == sent_at;
+        if is_renewal {
             executor.renewing = false;
         }
         match answer {
-            Ok(answer) => match self.identify_answerer(index, &answer) {
-                Answerer::Known(life) => {
-                    self.mark_responsive(life);
-                    self.process_report(life, sent_at, answer, now);
+            Ok(report) => match self.identify_answerer(index, &report) {
+                Answerer::Known(incarnation) => {
+                    self.mark_responsive(incarnation);
+                    self.process_report(incarnation, sent_at, report, now);
                 }
                 Answerer::New(born) => {
                     self.unknown_incarnation_answered(
-                        index, born, sent_at, answer, now,
+                        index, born, sent_at, report, now,
                     );
                 }
                 Answerer::Unidentified => {
-                    self.renewal_failed(index, main, now)
+                    self.renewal_failed(index, is_renewal, now)
                 }
             },
             Err(why) => {
                 if !self.handle_terminal_failure::<()>(index, Err(why), now) {
-                    self.renewal_failed(index, main, now);
+                    self.renewal_failed(index, is_renewal, now);
                 }
             }
         }
     }
 
-    /// An executor has not answered a hold.
+    /// Handles a renewal that an executor has not answered.
     fn renewal_failed(
         &mut self,
         index: ExecutorIndex,
-        main: bool,
+        is_renewal: bool,
         now: Millis,
     ) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.incarnation_unsure_since = Some(now);
-        if !main {
+        if !is_renewal {
             executor.unanswered_since.get_or_insert(now);
             executor.probe = true;
-            executor.next_probe = now + RETRY;
+            executor.next_probe = now + RETRY_DELAY;
             return;
         }
         self.order_unanswered(now);
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.missed_renewal = Some(executor.renewal_sent_at);
-        // An executor that is silent is missed when the wait is over.
+        // An executor that has fallen silent is missed only when the wait is
+        // over. A renewal that fails before that was broken off.
         if executor.failures == 0
             && now < executor.renewal_sent_at + executor.renewal_wait
         {
@@ -191,26 +211,26 @@
         }
         let doublings = executor.failures.min(RETRY_DOUBLINGS);
         executor.failures += 1;
-        executor.next_renewal = now + (RETRY << doublings);
-        let silent = executor.failures >= FAILURES;
+        executor.next_renewal = now + (RETRY_DELAY << doublings);
+        let silent = executor.failures >= FAILURES_UNTIL_SILENT;
         if silent && executor.falls_silent(now) {
             self.count("executors_silent");
         }
         self.mark_unresponsive(index, now);
     }
 
-    /// Takes in an executor's account of itself.
+    /// Processes a report of an executor.
     pub(super) fn process_report(
         &mut self,
         index: ExecutorIndex,
         sent_at: Millis,
-        answer: ExecutorReport,
+        report: ExecutorReport,
         now: Millis,
     ) {
         let pause = self.idle_pause();
         let lease = self.config.lease;
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        let first = executor.first_heard.is_none();
+        let is_first = executor.first_heard.is_none();
         executor.first_heard.get_or_insert(now);
         if executor
             .incarnation_unsure_since
@@ -218,39 +238,39 @@
         {
             executor.incarnation_unsure_since = None;
         }
-        if first {
-            // Its answer shows no end of the lease that a predecessor gave
-            // it. None was given after the answer, and none is longer.
+        if is_first {
+            // The report does not say when a lease that a predecessor granted
+            // expires. None was granted after the report, and none is longer.
             executor.expiry = executor.expiry.max(lease_expiry(now, lease));
             self.actions.push(Action::ExecutorHeard {
                 id: executor.info.id.clone(),
-                born: answer.born,
-                running: answer.running.len() as u32,
-                ended: answer.ended.len() as u32,
+                born: report.born,
+                running: report.running.len() as u32,
+                ended: report.ended.len() as u32,
             });
             self.resolve_in_flight_starts(index, now);
         }
-        let received = self.event_lag.received_at();
+        let received_at = self.event_lag.received_at();
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        let given = ReportTiming::new(executor, answer.clock, received);
-        executor.report_age = now.saturating_sub(given.made_at());
-        executor.clock_bound.take(answer.clock, received);
+        let timing = ReportTiming::new(executor, report.clock, received_at);
+        executor.report_age = now.saturating_sub(timing.made_at());
+        executor.clock_bound.take(report.clock, received_at);
         executor.missed_renewal = None;
-        // An answer that was held up may be older than one that came before
-        // it. It still tells of ends, which are numbered, but not of what
-        // runs: a task may have been started again since.
+        // A delayed report may be older than one that was processed before.
+        // Its run ends still count, since they are numbered, but its list of
+        // runs doesn't: a task may have been started again since.
         let clock = executor.clock.map(|(reading, _)| reading);
-        let outdated = clock.is_some_and(|newest| answer.clock < newest);
+        let outdated = clock.is_some_and(|newest| report.clock < newest);
         if !outdated {
-            executor.clock = Some((answer.clock, received));
+            executor.clock = Some((report.clock, received_at));
             executor.clock_asked = sent_at;
             executor.reported_at =
-                executor.reported_at.max(Some(given.made_at()));
+                executor.reported_at.max(Some(timing.made_at()));
         }
-        self.record_report_lag(index, first, sent_at, now);
+        self.record_report_lag(index, is_first, sent_at, now);
         let Some(executor) = self.executors.get_mut(&index) else { return };
         if executor.failures > 0 {
-            // Ends there are heard of late.
+            // The ends of these runs are reported late.
             for run in executor.runs.values_mut() {
                 run.measures_speed = false;
             }
@@ -266,19 +286,22 @@
             executor.liveness = Liveness::Ready;
             self.unheard_executors.remove(&index);
         }
-        let fresh: Vec<EndReport> = answer
+        let new_ends: Vec<EndReport> = report
             .ended
             .into_iter()
             .filter(|end| end.number > executor.received_end)
             .collect();
         if !executor.renewing {
-            let idle = executor.runs.is_empty() && answer.running.is_empty();
-            let reported = executor.acknowledged_end == executor.received_end;
-            let rest = idle && reported && fresh.is_empty();
+            let nothing_runs =
+                executor.runs.is_empty() && report.running.is_empty();
+            let all_acknowledged =
+                executor.acknowledged_end == executor.received_end;
+            let may_pause =
+                nothing_runs && all_acknowledged && new_ends.is_empty();
             executor.next_renewal = now
-                + match (rest, executor.withheld) {
+                + match (may_pause, executor.withheld) {
                     (true, _) => pause,
-                    (_, true) => WITHHELD,
+                    (_, true) => WITHHELD_RENEWAL_DELAY,
                     _ => 0,
                 };
         }
@@ -286,33 +309,35 @@
         if outdated {
             self.count("accounts_outdated");
         }
-        if !fresh.is_empty() {
+        if !new_ends.is_empty() {
             self.commits.unacknowledged.insert(index);
         }
-        for end in fresh {
+        for end in new_ends {
             if let Some(executor) = self.executors.get_mut(&index) {
                 executor.received_end = executor.received_end.max(end.number);
             }
-            self.run_ended(index, end, &given, now);
+            self.run_ended(index, end, &timing, now);
         }
         if !outdated {
-            for row in &answer.running {
+            for row in &report.running {
                 self.run_reported(index, row, now);
             }
-            // What is not listed may have ended and be told of later.
-            if !answer.more_ended {
-                self.reconcile_runs(index, &answer.running, sent_at);
+            // A run that is not listed may have ended, and its end may be
+            // reported later.
+            if !report.more_ended {
+                self.reconcile_runs(index, &report.running, sent_at);
             }
-            self.throttle(index, &answer.running, now);
-            self.check_overdue_runs(index, &given, now);
+            self.throttle(index, &report.running, now);
+            self.check_overdue_runs(index, &timing, now);
         }
         self.check_trial(index, now);
-        if first {
+        if is_first {
             self.check_takeover(now);
         }
     }
 
-    /// Compares what should run on an executor with its own list.
+    /// Compares the runs that an executor should have with those that it
+    /// lists.
     fn reconcile_runs(
         &mut self,
         index: ExecutorIndex,
@@ -323,32 +348,35 @@
         let listed = |task: &TaskKey, run: u64| {
             running.iter().any(|row| row.task == *task && row.run == run)
         };
-        let missing = executor.runs.iter().filter(|(task, on)| {
-            let settled =
-                matches!(on.phase, Phase::Running | Phase::Stopping(true));
-            settled && on.confirmed < sent_at && !listed(task, on.run)
+        let missing = executor.runs.iter().filter(|(task, placed)| {
+            let is_active =
+                matches!(placed.phase, Phase::Running | Phase::Stopping(true));
+            is_active
+                && placed.confirmed < sent_at
+                && !listed(task, placed.run)
         });
         let missing: Vec<(TaskKey, u64)> =
-            missing.map(|(task, on)| (*task, on.run)).collect();
-        let absent = executor.runs.iter().filter(|(task, on)| {
-            let since =
-                on.start_unsure_since.filter(|_| on.phase == Phase::Starting);
-            // It is stopped by that, whether it arrives yet or not.
+            missing.map(|(task, placed)| (*task, placed.run)).collect();
+        let unconfirmed = executor.runs.iter().filter(|(task, placed)| {
+            let since = placed
+                .start_unsure_since
+                .filter(|_| placed.phase == Phase::Starting);
+            // The stop works whether or not the start arrives later.
             since.is_some_and(|since| since <= sent_at)
-                && !listed(task, on.run)
+                && !listed(task, placed.run)
         });
-        let absent: Vec<(TaskKey, u64)> =
-            absent.map(|(task, on)| (*task, on.run)).collect();
+        let unconfirmed: Vec<(TaskKey, u64)> =
+            unconfirmed.map(|(task, placed)| (*task, placed.run)).collect();
         for (task, run) in missing {
             self.conclude_run(index, task, run, None);
         }
-        // It may arrive yet: it has to be made sure that it does not.
-        for (task, run) in absent {
+        // The start may still arrive. The stop makes sure that it is rejected.
+        for (task, run) in unconfirmed {
             self.stop(index, task, run);
         }
     }
 
-    /// An executor lists a run.
+    /// Handles a run that an executor lists.
     fn run_reported(
         &mut self,
         index: ExecutorIndex,
@@ -357,13 +385,13 @@
     ) {
         self.mark_job_started(row.task);
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        if let Some(on) = executor.runs.get_mut(&row.task) {
-            if on.run == row.run {
-                on.listed = true;
-                on.start_confirmed = true;
-                if on.phase == Phase::Starting {
-                    on.phase = Phase::Running;
-                    on.confirmed = now;
+        if let Some(placed) = executor.runs.get_mut(&row.task) {
+            if placed.run == row.run {
+                placed.listed = true;
+                placed.start_confirmed = true;
+                if placed.phase == Phase::Starting {
+                    placed.phase = Phase::Running;
+                    placed.confirmed = now;
                 }
                 return;
             }
@@ -371,7 +399,7 @@
         self.adopt_run(index, row, now);
     }
 
-    /// Takes over a run that this scheduler has not started, or stops it.
+    /// Adopts a run that this scheduler has not started, or stops it.
     fn adopt_run(
         &mut self,
         index: ExecutorIndex,
@@ -397,21 +425,23 @@
             let ended = live.ended;
             let gang = live.job.steps.get(key.step as usize);
             let gang = gang.is_some_and(|step| step.gang);
-            let place = live.step_state(key.time, key.step);
-            if let (None, Some(run)) = (ended, place) {
+            let state = live.step_state(key.time, key.step);
+            if let (None, Some(state)) = (ended, state) {
                 let others =
-                    run.placements.values().all(|(_, r)| *r == row.run);
-                let waited = run.add_run(row.task.index, index, row.run);
-                wanted = waited && !run.stopping_gang && (others || !gang);
+                    state.placements.values().all(|(_, r)| *r == row.run);
+                let was_waiting =
+                    state.add_run(row.task.index, index, row.run);
+                wanted =
+                    was_waiting && !state.stopping_gang && (others || !gang);
             }
         }
         let Some(executor) = self.executors.get(&index) else { return };
         let capacity = executor.info.capacity;
         if need.is_none() {
-            // What it needs is not known any more.
+            // It is not known any more what the run needs.
             charge.amount = capacity;
         }
-        let on = PlacedRun {
+        let placed = PlacedRun {
             run: row.run,
             need: need.unwrap_or(capacity),
             charge,
@@ -426,10 +456,10 @@
             listed: true,
             expected_end: now + run_time / 2,
             measures_speed: false,
-            // It has been there for some time.
+            // The run has been there for some time.
             window: 0,
         };
-        self.put_run(index, row.task, on);
+        self.put_run(index, row.task, placed);
         if wanted {
             self.count("runs_adopted");
         } else {
@@ -447,17 +477,17 @@
         Some(self.ledger.index(account))
     }
 
-    /// An executor reports the end of a run.
+    /// Handles the end of a run that an executor reports.
     fn run_ended(
         &mut self,
         index: ExecutorIndex,
         end: EndReport,
-        given: &ReportTiming,
+        timing: &ReportTiming,
         now: Millis,
     ) {
         self.mark_job_started(end.task);
         self.record_run_end(index, &end, now);
-        self.learn_from_end(index, &end, given, now);
+        self.learn_from_end(index, &end, timing, now);
         self.conclude_run(index, end.task, end.run, Some(&end));
     }
 
@@ -467,18 +497,20 @@
     }
 }
 
-/// Whether an executor may be told which of its ends are noted. The next life
-/// of an executor numbers its ends anew, and forgets one that nobody has read
-/// if it is told the number of a former life's: so not while another life may
-/// answer, nor while a start is open that may have been carried out by it.
+/// Whether run ends may be acknowledged to an executor. The next incarnation
+/// of the executor numbers its ends from the start again. If it is given the
+/// number of an end of the former incarnation, it discards an end that nobody
+/// has read. So nothing is acknowledged while another incarnation may answer,
+/// nor while there is an open start that another one may have carried out.
 fn may_acknowledge(executor: &Executor, now: Millis) -> bool {
-    let open =
-        |on: &PlacedRun| on.phase == Phase::Starting && on.placed_at < now;
+    let open = |placed: &PlacedRun| {
+        placed.phase == Phase::Starting && placed.placed_at < now
+    };
     executor.incarnation_unsure_since.is_none()
         && !executor.runs.values().any(open)
 }
 
-/// When a lease that is given now has certainly run out.
+/// The time at which a lease that is granted now has certainly expired.
 pub(super) fn lease_expiry(now: Millis, lease: Millis) -> Millis {
     now + lease + lease / DRIFT + GRAIN
 }
