--- a/puffinknot-core/src/jobs/scheduler/runs.rs
+++ b/puffinknot-core/src/jobs/scheduler/runs.rs
@@ -1,5 +1,5 @@
 /*!
-Single runs: how they are ordered, and what follows from their ends.
+Single runs: how they are started and stopped, and what their ends lead to.
 */
 
 use crate::ids::Millis;
@@ -12,11 +12,12 @@
 use crate::jobs::scheduler::speeds::is_informative;
 use crate::jobs::scheduler::Scheduler;
 
-/// A stop that is not confirmed is sent again after this time.
-const STOP_AGAIN: Millis = 500;
+/// A stop that was not confirmed is sent again after this time.
+const STOP_RETRY_DELAY: Millis = 500;
 
 impl Scheduler {
-    /// Orders a run. The executor must have room and a known clock.
+    /// Starts a run. The executor must have enough free capacity and a known
+    /// clock.
     pub(super) fn start(
         &mut self,
         index: ExecutorIndex,
@@ -26,7 +27,7 @@
         now: Millis,
     ) {
         let lease = self.config.lease;
-        let ends = now + self.run_time(task.step, index);
+        let expected_end = now + self.run_time(task.step, index);
         self.consume_urgent_slots(task.step, index);
         let Some(live) = self.jobs.get_mut(&task.step.job) else { return };
         let step = &live.job.steps[task.step.step as usize];
@@ -37,20 +38,25 @@
             urgent: live.queue.priority == 0,
         };
         let urgent = live.is_urgent();
-        let place = (task.step.time, task.step.step);
-        let Some(state) = live.steps.get_mut(&place) else { return };
+        let step_key = (task.step.time, task.step.step);
+        let Some(state) = live.steps.get_mut(&step_key) else { return };
         let Some(executor) = self.executors.get_mut(&index) else { return };
         let Some(clock) = executor.clock_at(now) else { return };
         state.waiting.remove(&task.index);
         state.placements.insert(task.index, (index, run));
-        // Any member's checkpoint is good for its gang; all bring the same.
-        let saved = step.representative(task.index);
-        let window = state.window(saved);
-        let checkpoint =
-            state.checkpoints.get(&saved).cloned().unwrap_or_default();
-        let tells = is_informative(step, executor, &checkpoint);
+        // A checkpoint of any member is valid for the whole gang, since all
+        // members save the same one.
+        let representative = step.representative(task.index);
+        let window = state.window(representative);
+        let checkpoint = state
+            .checkpoints
+            .get(&representative)
+            .cloned()
+            .unwrap_or_default();
+        let measures_speed = is_informative(step, executor, &checkpoint);
         executor.expiry = executor.expiry.max(lease_expiry(now, lease));
-        // Its end is wanted at once, also if it was idle and left alone.
+        // The end of the run should be reported at once, even if the executor
+        // was idle and its next renewal is some time away.
         executor.next_renewal = executor.next_renewal.min(now);
         self.renewal_queue.enqueue(index);
         executor.breaker.started(now);
@@ -63,7 +69,7 @@
             checkpoint,
             ticket,
         });
-        let on = PlacedRun {
+        let placed = PlacedRun {
             run,
             need,
             charge,
@@ -76,16 +82,16 @@
             start_confirmed: false,
             start_clock: None,
             listed: false,
-            expected_end: ends,
-            measures_speed: tells,
+            expected_end,
+            measures_speed,
             window,
         };
-        self.put_run(index, task, on);
+        self.put_run(index, task, placed);
         self.start_trial(index, task, run, now);
         self.count("starts");
     }
 
-    /// A number for the next run.
+    /// Returns the number for a new run.
     pub(super) fn new_run_number(&mut self) -> u64 {
         self.next_run += 1;
         self.next_run
@@ -105,31 +111,33 @@
             return;
         }
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        let Some(on) = executor.runs.get(&task) else { return };
-        let own = |clock| executor.fits_clock(clock, on.placed_at, now);
-        let began = answer.unwrap_or(None);
-        let by_this_life = answer.map(|clock| clock.is_none_or(own));
-        let Some(on) = executor.runs.get_mut(&task) else { return };
-        match by_this_life {
+        let Some(placed) = executor.runs.get(&task) else { return };
+        let is_own_clock =
+            |clock| executor.fits_clock(clock, placed.placed_at, now);
+        let start_clock = answer.unwrap_or(None);
+        let by_this_incarnation =
+            answer.map(|clock| clock.is_none_or(is_own_clock));
+        let Some(placed) = executor.runs.get_mut(&task) else { return };
+        match by_this_incarnation {
             Ok(false) => {
-                // It may have been another life that has begun it.
-                on.start_unsure_since = Some(now);
+                // Another incarnation may have started the run.
+                placed.start_unsure_since = Some(now);
                 self.mark_incarnation_unsure(index, now);
                 self.count("starts_by_other_lives");
             }
             Ok(true) => {
-                on.start_clock = on.start_clock.or(began);
-                on.confirmed = now;
-                on.start_confirmed = true;
-                if on.phase == Phase::Starting {
-                    on.phase = Phase::Running;
+                placed.start_clock = placed.start_clock.or(start_clock);
+                placed.confirmed = now;
+                placed.start_confirmed = true;
+                if placed.phase == Phase::Starting {
+                    placed.phase = Phase::Running;
                 }
                 self.mark_job_started(task);
                 self.mark_responsive(index);
             }
             Err(OrderFailure::Unknown) => {
-                // If it has arrived, the next account shows it.
-                on.start_unsure_since = Some(now);
+                // If the start has arrived, the next report lists the run.
+                placed.start_unsure_since = Some(now);
                 self.mark_incarnation_unsure(index, now);
                 self.count("starts_unknown");
                 self.order_unanswered(now);
@@ -153,8 +161,8 @@
         }
     }
 
-    /// Another life of an executor may have taken an order: an account is
-    /// wanted, which shows it.
+    /// Asks an executor for a report, since another incarnation may have
+    /// carried out an order. The report shows which one it is.
     fn mark_incarnation_unsure(&mut self, index: ExecutorIndex, now: Millis) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
         executor.incarnation_unsure_since = Some(now);
@@ -162,16 +170,16 @@
         self.renewal_queue.enqueue(index);
     }
 
-    /// An executor has confirmed that a task runs, or has run. An order
-    /// alone is no beginning: it may never have arrived.
+    /// Records that an executor has confirmed that a task runs or has run. An
+    /// order alone doesn't count as a start: it may never have arrived.
     pub(super) fn mark_job_started(&mut self, task: TaskKey) {
         if let Some(live) = self.jobs.get_mut(&task.step.job) {
             live.started = true;
         }
     }
 
-    /// Orders the end of a run. Its room stays taken until the executor
-    /// reports the end, or denies that there is such a run.
+    /// Stops a run. Its capacity stays in use until the executor reports its
+    /// end, or reports that there is no such run.
     pub(super) fn stop(
         &mut self,
         index: ExecutorIndex,
@@ -179,12 +187,12 @@
         run: u64,
     ) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        let Some(on) = executor.runs.get_mut(&task) else { return };
-        if on.run != run || matches!(on.phase, Phase::Stopping(_)) {
+        let Some(placed) = executor.runs.get_mut(&task) else { return };
+        if placed.run != run || matches!(placed.phase, Phase::Stopping(_)) {
             return;
         }
-        on.phase = Phase::Stopping(false);
-        on.stop_again = 0;
+        placed.phase = Phase::Stopping(false);
+        placed.stop_again = 0;
         self.needs_placement = true;
         self.count("stops");
         self.actions.push(Action::Stop { executor: index, task, run });
@@ -204,19 +212,19 @@
             return;
         }
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        let Some(on) = executor.runs.get_mut(&task) else { return };
+        let Some(placed) = executor.runs.get_mut(&task) else { return };
         match answer {
             Ok(()) => {
-                on.phase = Phase::Stopping(true);
-                on.confirmed = now;
-                if on.start_unsure_since.is_some() {
-                    // It may never have been there: an account that is asked
-                    // for from now on shows it.
+                placed.phase = Phase::Stopping(true);
+                placed.confirmed = now;
+                if placed.start_unsure_since.is_some() {
+                    // The run may never have been there: a report requested
+                    // from now on shows it.
                     self.probe_at(index, now + 1);
                 }
             }
             Err(why) => {
-                on.stop_again = now + STOP_AGAIN;
+                placed.stop_again = now + STOP_RETRY_DELAY;
                 if why == OrderFailure::Unknown {
                     self.order_unanswered(now);
                 }
@@ -224,15 +232,15 @@
         }
     }
 
-    /// Whether an executor is thought to have this run.
+    /// Whether a run is placed on an executor.
     fn has_run(&self, index: ExecutorIndex, task: TaskKey, run: u64) -> bool {
         let executor = self.executors.get(&index);
-        let on = executor.and_then(|executor| executor.runs.get(&task));
-        on.is_some_and(|on| on.run == run)
+        let placed = executor.and_then(|executor| executor.runs.get(&task));
+        placed.is_some_and(|placed| placed.run == run)
     }
 
-    /// Takes in that the answer to an order shows this tenure, or that life
-    /// of the executor, to be over. Returns whether it does.
+    /// If a failed order shows that the term of this leader or the incarnation
+    /// of the executor has ended, records that. Returns whether it does.
     pub(super) fn handle_terminal_failure<T>(
         &mut self,
         index: ExecutorIndex,
@@ -256,22 +264,22 @@
     /// Sends stops again that were not confirmed.
     pub(super) fn resend_stops(&mut self, now: Millis) {
         for (&index, executor) in self.executors.iter_mut() {
-            for (task, on) in &mut executor.runs {
-                let due = on.stop_again != 0 && on.stop_again <= now;
-                if on.phase == Phase::Stopping(false) && due {
-                    on.stop_again = 0;
+            for (task, placed) in &mut executor.runs {
+                let due = placed.stop_again != 0 && placed.stop_again <= now;
+                if placed.phase == Phase::Stopping(false) && due {
+                    placed.stop_again = 0;
                     self.actions.push(Action::Stop {
                         executor: index,
                         task: *task,
-                        run: on.run,
+                        run: placed.run,
                     });
                 }
             }
         }
     }
 
-    /// A run no longer takes up room on an executor: it has ended as `end`
-    /// says, or it never began, or it was lost.
+    /// Removes a run from an executor and updates its task: the run has ended
+    /// as `end` says, or never started, or was lost.
     pub(super) fn conclude_run(
         &mut self,
         index: ExecutorIndex,
@@ -292,24 +300,24 @@
         let gang = step.gang;
         let step = step.clone();
         let Some(state) = live.step_state(key.time, key.step) else { return };
-        let placed = state.placements.contains_key(&task.index);
+        let has_placement = state.placements.contains_key(&task.index);
         let executors = &self.executors;
-        let goes_on = |at, run| {
-            let on = executors.get(&at).and_then(|e| e.runs.get(&task));
-            on.is_some_and(|on| on.run == run)
+        let is_running = |at, run| {
+            let placed = executors.get(&at).and_then(|e| e.runs.get(&task));
+            placed.is_some_and(|placed| placed.run == run)
         };
-        let here = state.end_run(task.index, index, run, goes_on);
+        let was_current = state.end_run(task.index, index, run, is_running);
         let how = end.map(|end| end.how);
         if let Some(end) = end.filter(|end| !end.checkpoint.is_empty()) {
-            let saved = step.representative(task.index);
-            state.checkpoints.insert(saved, end.checkpoint.clone());
+            let representative = step.representative(task.index);
+            state.checkpoints.insert(representative, end.checkpoint.clone());
         }
         if how == Some(EndKind::Failed) {
             state.failed_on.insert(index);
         }
-        let later = placed && !here;
-        if later && how != Some(EndKind::Done) {
-            // An end of an earlier run: only its failure counts.
+        let is_earlier_run = has_placement && !was_current;
+        if is_earlier_run && how != Some(EndKind::Done) {
+            // The end of an earlier run: only a failure counts.
             if how == Some(EndKind::Failed) {
                 self.record_failure(task, run);
             }
@@ -318,12 +326,12 @@
         if state.done.contains(&task.index) {
             return self.step_progressed(key);
         }
-        if later && step.lasting {
+        if is_earlier_run && step.lasting {
             return;
         }
-        // It was taken for lost, but has done its work: once that is taken
-        // note of, the task may not start again.
-        let needless: Vec<(u32, (ExecutorIndex, u64))> = match later {
+        // The run was considered lost but has done its work. Once that is
+        // recorded, the task must not start again.
+        let needless: Vec<(u32, (ExecutorIndex, u64))> = match is_earlier_run {
             true => state.placements_of(task.index, gang),
             false => Vec::new(),
         };
@@ -345,14 +353,14 @@
                 self.step_progressed(key);
             }
             _ => {
-                if !here {
+                if !was_current {
                     if how == Some(EndKind::Failed) {
                         self.record_failure(task, run);
                     }
                     return;
                 }
                 if !gang {
-                    // It waits for another run of it to end.
+                    // If another run of the task goes on, its end is awaited.
                     if !state.placements.contains_key(&task.index) {
                         state.waiting.insert(task.index);
                         self.ready.insert(key);
@@ -370,16 +378,16 @@
         }
     }
 
-    /// Stops what is left of a gang's run; once nothing is, all of it may
-    /// be started again.
+    /// Stops the remaining members of a gang. Once there are none, the whole
+    /// gang may be started again.
     pub(super) fn stop_gang(&mut self, key: StepKey) {
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
         if live.ended.is_some() {
             return;
         }
         let count = live.job.steps[key.step as usize].count;
-        let place = (key.time, key.step);
-        let Some(state) = live.steps.get_mut(&place) else { return };
+        let step_key = (key.time, key.step);
+        let Some(state) = live.steps.get_mut(&step_key) else { return };
         if !state.done.is_empty() {
             return;
         }
@@ -403,29 +411,29 @@
         let key = task.step;
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
         let step = &live.job.steps[key.step as usize];
-        let counted = step.representative(task.index);
+        let representative = step.representative(task.index);
         let lasting = step.lasting;
-        let most = live.queue.max_attempts.max(1) as usize;
-        let place = (key.time, key.step);
-        let Some(state) = live.steps.get_mut(&place) else { return };
-        let runs = state.failed.entry(counted).or_default();
+        let max_attempts = live.queue.max_attempts.max(1) as usize;
+        let step_key = (key.time, key.step);
+        let Some(state) = live.steps.get_mut(&step_key) else { return };
+        let runs = state.failed.entry(representative).or_default();
         runs.insert(run);
-        let over = runs.len() >= most && !lasting;
+        let exhausted = runs.len() >= max_attempts && !lasting;
         self.count("runs_failed");
         self.commits.job_progressed(key.job);
-        if over {
+        if exhausted {
             self.finish(key.job, JobState::Failed);
         }
     }
 
-    /// A task of a step is done: what does that allow?
+    /// Releases what depends on a step if all its tasks are done.
     fn step_progressed(&mut self, key: StepKey) {
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
         let step = &live.job.steps[key.step as usize];
-        let place = (key.time, key.step);
+        let step_key = (key.time, key.step);
         let done = live
             .steps
-            .get(&place)
+            .get(&step_key)
             .is_some_and(|state| state.is_complete(step));
         if !done {
             return;
