--- a/puffinknot-core/src/jobs/scheduler/restore.rs
+++ b/puffinknot-core/src/jobs/scheduler/restore.rs
@@ -1,11 +1,11 @@
 /*!
-Taking over from a predecessor.
+Restores the scheduler from the store when a leader takes over.
 
-A successor knows from the store what was accepted and what has ended, and
-from executors what runs. Until each executor that a predecessor may have
-ordered has answered under the new token, or its orders there have certainly
-lapsed, tasks of inherited jobs that were not found may run unseen, so that
-none of them is started.
+A successor knows from the store which jobs were accepted and what has ended,
+and from the executors what runs. An executor that a predecessor may have sent
+orders to must first answer under the new token, or those orders must certainly
+have expired. Until that is true of all of them, tasks of inherited jobs that
+were not found may still run unseen, so none of them is started.
 */
 
 use std::collections::BTreeMap;
@@ -27,64 +27,67 @@
 use crate::jobs::speed::Speed;
 
 impl Scheduler {
-    /// A scheduler that takes over what stands in the store.
+    /// Creates a scheduler from the state in the store.
     ///
     /// # Errors
     ///
-    /// If a value can't be read; nothing may be decided without it.
+    /// If a value can't be read, since no decision is safe without it.
     pub fn restore(
         config: SchedulerConfig,
         policy: Arc<Policy>,
-        kept: &[StoredValue],
+        values: &[StoredValue],
         now: Millis,
     ) -> Result<Scheduler, String> {
         let mut scheduler = Scheduler::new(config, policy);
-        let named = |prefix: &'static str| {
-            kept.iter().filter(move |k| k.name.starts_with(prefix))
+        let with_prefix = |prefix: &'static str| {
+            values.iter().filter(move |stored| stored.name.starts_with(prefix))
         };
-        for kept in named(ENDED) {
-            scheduler.restore_ended(kept, now)?;
+        for stored in with_prefix(ENDED) {
+            scheduler.restore_ended(stored, now)?;
         }
         let mut records: Vec<(RecordNumber, Record)> = Vec::new();
-        for kept in named(RECORD) {
-            let Some(number) = record::record_number(&kept.name) else {
-                return Err(format!("{} is no record", kept.name));
+        for stored in with_prefix(RECORD) {
+            let Some(number) = record::record_number(&stored.name) else {
+                return Err(format!(
+                    "{} is not a valid record key",
+                    stored.name
+                ));
             };
-            records.push((number, record::decode(&kept.value)?));
+            records.push((number, record::decode(&stored.value)?));
         }
         records.sort_by_key(|(number, _)| *number);
         scheduler.restore_records(records, now);
-        for kept in named(SHARDS) {
-            let shard = Shard::read(&kept.value)?;
+        for stored in with_prefix(SHARDS) {
+            let shard = Shard::read(&stored.value)?;
             scheduler.restore_shard(shard, now);
         }
-        for kept in named(EXECUTORS) {
-            let enrolled: LegacyEnrolled = record::decode(&kept.value)?;
-            scheduler.restore_enrolled(enrolled, now);
+        for stored in with_prefix(EXECUTORS) {
+            let enrolled: LegacyEnrolled = record::decode(&stored.value)?;
+            scheduler.restore_legacy_enrolled(enrolled, now);
         }
-        for kept in named(MACHINES) {
-            scheduler.restore_machines(record::decode(&kept.value)?);
-            scheduler.commits.legacy_lists.push(kept.name.clone());
+        for stored in with_prefix(MACHINES) {
+            scheduler.restore_machines(record::decode(&stored.value)?);
+            scheduler.commits.legacy_lists.push(stored.name.clone());
         }
         scheduler.machines = Machines::new(now);
-        for kept in named(WAVES) {
-            let finished: FinishedMaintenance = record::decode(&kept.value)?;
+        for stored in with_prefix(WAVES) {
+            let finished: FinishedMaintenance = record::decode(&stored.value)?;
             scheduler.machines.finished = finished;
         }
-        for kept in named(STOPPING) {
-            let stopping: Stopping = record::decode(&kept.value)?;
+        for stored in with_prefix(STOPPING) {
+            let stopping: Stopping = record::decode(&stored.value)?;
             scheduler.ledger.inherit(&stopping);
             scheduler.commits.stopping = stopping;
         }
-        // They are enrolled already, but what they are by now is unknown.
+        // The store knows them, but their present state is unknown.
         for (index, executor) in scheduler.executors.iter_mut() {
             scheduler.unheard_executors.insert(*index);
             executor.enrolled = true;
             executor.listed = false;
             executor.description = DescriptionSource::ByPredecessor;
         }
-        let until = now + scheduler.config.inherited_order_lifetime;
-        scheduler.takeover_deadline = Some(until);
+        let deadline = now + scheduler.config.inherited_order_lifetime;
+        scheduler.takeover_deadline = Some(deadline);
         let jobs: Vec<JobId> = scheduler.jobs.keys().copied().collect();
         for job in jobs {
             scheduler.finish_if_complete(job);
@@ -109,9 +112,13 @@
         }
     }
 
-    /// Takes over the list of a leader of an earlier version, to be written
-    /// in shards.
-    fn restore_enrolled(&mut self, enrolled: LegacyEnrolled, now: Millis) {
+    /// Restores the executor list of a leader of an earlier version, which is
+    /// then written in shards.
+    fn restore_legacy_enrolled(
+        &mut self,
+        enrolled: LegacyEnrolled,
+        now: Millis,
+    ) {
         for info in enrolled.executors {
             self.commits.executor_changed(&info.id);
             if !self.by_id.contains_key(&info.id) {
@@ -133,20 +140,20 @@
 
     fn restore_ended(
         &mut self,
-        kept: &StoredValue,
+        stored: &StoredValue,
         now: Millis,
     ) -> Result<(), String> {
-        let chunk: EndedChunk = record::decode(&kept.value)?;
+        let chunk: EndedChunk = record::decode(&stored.value)?;
         let until = now + self.config.ended_retention;
         for ended in chunk.jobs {
             self.ended.insert(ended, until);
         }
         let chunks = &mut self.commits.records;
-        chunks.inherit_chunk(kept.name.clone(), until);
+        chunks.inherit_chunk(stored.name.clone(), until);
         Ok(())
     }
 
-    /// Takes over records, oldest first.
+    /// Restores records, oldest first.
     fn restore_records(
         &mut self,
         records: Vec<(RecordNumber, Record)>,
@@ -180,7 +187,7 @@
         }
         let queue = match self.queues.get(&job.queue) {
             Some(queue) => queue.clone(),
-            // Its queue was dropped; what was accepted is finished.
+            // The queue was removed, but its accepted jobs are finished.
             None => Arc::new(queue),
         };
         let mut live = self.new_live_job(job, queue, now);
@@ -207,42 +214,43 @@
         }
     }
 
-    /// Whether everything that a predecessor ordered is known by now.
+    /// Completes the takeover if all orders of a predecessor are accounted
+    /// for: each executor was heard, or its orders have certainly expired.
     pub(super) fn check_takeover(&mut self, now: Millis) {
-        let Some(until) = self.takeover_deadline else { return };
+        let Some(deadline) = self.takeover_deadline else { return };
         let unseen = self.unheard_executors.len();
-        let lapsed = |index| match self.executors.get(index) {
-            Some(at) => {
-                let known = self
+        let has_expired = |index| match self.executors.get(index) {
+            Some(executor) => {
+                let known_until = self
                     .leadership_confirmed_at
-                    .min(self.reports_processed_until(at, now));
-                until <= known && self.missed_last_renewals(at)
+                    .min(self.reports_processed_until(executor, now));
+                deadline <= known_until && self.missed_last_renewals(executor)
             }
             None => true,
         };
-        if !self.unheard_executors.iter().all(lapsed) {
+        if !self.unheard_executors.iter().all(has_expired) {
             return;
         }
         self.takeover_deadline = None;
         let name = if unseen > 0 { "settled_late" } else { "settled" };
         self.count(name);
         self.actions.push(Action::TakeoverComplete { unseen: unseen as u32 });
-        let mut broken = Vec::new();
+        let mut incomplete = Vec::new();
         for (&job, live) in &self.jobs {
             for (&(time, number), state) in &live.steps {
                 let step = &live.job.steps[number as usize];
                 let key = StepKey { job, time, step: number };
-                let missing = step.gang
+                let is_incomplete = step.gang
                     && !state.placements.is_empty()
                     && !state.waiting.is_empty();
-                if missing {
-                    broken.push(key);
+                if is_incomplete {
+                    incomplete.push(key);
                 } else if !state.waiting.is_empty() {
                     self.ready.insert(key);
                 }
             }
         }
-        for key in broken {
+        for key in incomplete {
             self.count("gangs_incomplete");
             self.stop_gang(key);
         }
