--- a/puffinknot-core/src/jobs/scheduler/in_flight.rs
+++ b/puffinknot-core/src/jobs/scheduler/in_flight.rs
@@ -16,8 +16,8 @@
 use crate::jobs::model::TaskKey;
 use crate::jobs::scheduler::Scheduler;
 
-/// An unanswered start is assumed to arrive at most this much later. The delay
-/// has no upper bound, but a task does not wait for longer than this.
+/// How long a task waits for an unanswered start that may still arrive. The
+/// actual delay of a start has no upper bound.
 const MAX_START_DELAY: Millis = 8_000;
 
 /// A start order that may still be carried out.
--- a/puffinknot-core/src/jobs/scheduler/incarnations.rs
+++ b/puffinknot-core/src/jobs/scheduler/incarnations.rs
@@ -12,7 +12,7 @@
 that may jump, and entries and answers may be delayed. But incarnations of one
 name never overlap, so whoever answers a call that was sent after an
 incarnation was heard is that incarnation or a later one. Only such an answer
-ends an incarnation; an entry never does.
+shows that an incarnation was replaced; an entry never does.
 
 *What happens to orders for an ended incarnation?* The next incarnation may
 have carried them out, or may do so later: an executor's name in a call does
--- a/puffinknot-core/src/jobs/scheduler/renewals.rs
+++ b/puffinknot-core/src/jobs/scheduler/renewals.rs
@@ -26,8 +26,9 @@
 /// The longest time for which an idle executor is not asked. Its clock may
 /// lose a fiftieth of this time, which [`lease_expiry`] covers.
 const MAX_IDLE_PAUSE: Millis = 5_000;
-/// The delay after the first renewal that an executor has not answered. It
-/// doubles with each further one, [`RETRY_DOUBLINGS`] times at most.
+/// The delay between the first renewal that an executor has not answered and
+/// the next one. It doubles with each further renewal, [`RETRY_DOUBLINGS`]
+/// times at most.
 pub(super) const RETRY_DELAY: Millis = 150;
 /// More doublings would make an executor that is back be heard over half a
 /// second later.
@@ -39,7 +40,7 @@
 /// silent.
 pub(super) const FAILURES_UNTIL_SILENT: u32 = 2;
 /// The delay after a renewal that could not acknowledge run ends. An open
-/// order is answered within it.
+/// order is answered within this time.
 const WITHHELD_RENEWAL_DELAY: Millis = 30;
 
 impl Scheduler {
