--- a/puffinknot-core/src/jobs/scheduler/authorization.rs
+++ b/puffinknot-core/src/jobs/scheduler/authorization.rs
@@ -1,10 +1,10 @@
 /*!
-Who may call a queue, and whose a job is.
+Authorization of calls on queues, and ownership of jobs.
 
-The leader decides, by the newest policy that it knows. The node that took the
-call may know a newer one, so a call says which it knows: a leader that is
-behind can't tell a dropped key from a good one, and has the call repeated
-until it has caught up.
+The leader authorizes calls by the newest policy that it knows. The node that
+received the call may know a newer one, so each call carries that node's policy
+version. A leader with an older policy can't tell a revoked key from a valid
+one, and has the call retried until it has the newer policy.
 */
 
 use crate::jobs::accounts::Caller;
@@ -12,62 +12,63 @@
 use crate::jobs::model::JobId;
 use crate::jobs::scheduler::Scheduler;
 
-/// Asked again at once, by the node that took the call.
-const ASK_AGAIN: Outcome = Outcome::Refused(0);
+/// The node that received the call retries it at once.
+const RETRY_NOW: Outcome = Outcome::Refused(0);
 
-/// Whose jobs a call is about.
+/// The jobs that a call has access to, by owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Admitted {
-    /// Anyone's: the queue is open.
+pub(super) enum JobScope {
+    /// Jobs of any owner: the queue is open.
     Anyone,
-    /// Those of this client account.
+    /// Jobs of this client account.
     Account(String),
 }
 
-impl Admitted {
-    /// Whether it may know of a job of this account. What was handed in while
-    /// its queue was open belongs to none, and to whoever knows its id.
-    pub fn may_know(&self, owner: Option<&str>) -> bool {
+impl JobScope {
+    /// Whether the caller may access a job of this account. A job submitted
+    /// while its queue was open has no account, and is accessible to anyone
+    /// who knows its id.
+    pub fn may_access(&self, owner: Option<&str>) -> bool {
         match (self, owner) {
-            (Admitted::Anyone, _) | (_, None) => true,
-            (Admitted::Account(name), Some(owner)) => name == owner,
+            (JobScope::Anyone, _) | (_, None) => true,
+            (JobScope::Account(name), Some(owner)) => name == owner,
         }
     }
 
-    /// The account that a job belongs to which is handed in so.
+    /// The account that owns a job submitted by this call.
     pub fn owner(self) -> Option<String> {
         match self {
-            Admitted::Anyone => None,
-            Admitted::Account(name) => Some(name),
+            JobScope::Anyone => None,
+            JobScope::Account(name) => Some(name),
         }
     }
 }
 
 impl Scheduler {
-    /// Whose jobs a call on a queue is about.
+    /// Authorizes a call on a queue. Returns the jobs that it has access to.
     ///
     /// # Errors
     ///
-    /// The answer, if it may not be made.
-    pub(super) fn admit(
+    /// The reply to the caller if the call is not allowed.
+    pub(super) fn authorize(
         &mut self,
         caller: &Caller,
         queue: &str,
-    ) -> Result<Admitted, Outcome> {
+    ) -> Result<JobScope, Outcome> {
         if caller.policy > self.policy.version {
             self.count("refused_policy_behind");
-            return Err(ASK_AGAIN);
+            return Err(RETRY_NOW);
         }
         let Some(queue) = self.queues.get(queue) else {
             self.count("refused_no_queue");
             return Err(Outcome::NoSuchQueue);
         };
         if queue.open {
-            return Ok(Admitted::Anyone);
+            return Ok(JobScope::Anyone);
         }
         let key = caller.key.as_ref();
         match key.and_then(|key| self.keys.find(key)) {
-            Some(account) => Ok(Admitted::Account(account.to_string())),
+            Some(account) => Ok(JobScope::Account(account.to_string())),
             None => {
                 self.count("refused_no_key");
                 Err(Outcome::NoSuchKey)
@@ -75,13 +76,13 @@
         }
     }
 
-    /// Whether a caller may know of a job. One that it may not know is
-    /// answered for as one that does not exist.
-    pub(super) fn may_know(&self, who: &Admitted, job: JobId) -> bool {
+    /// Whether a caller may access a job. A job that it may not access is
+    /// reported to it as nonexistent.
+    pub(super) fn may_access(&self, scope: &JobScope, job: JobId) -> bool {
         if let Some(live) = self.jobs.get(&job) {
-            return who.may_know(live.job.account.as_deref());
+            return scope.may_access(live.job.account.as_deref());
         }
         let ended = self.ended.jobs.get(&job);
-        ended.is_some_and(|ended| who.may_know(ended.account.as_deref()))
+        ended.is_some_and(|ended| scope.may_access(ended.account.as_deref()))
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/requests.rs
+++ b/puffinknot-core/src/jobs/scheduler/requests.rs
@@ -10,7 +10,7 @@
 use crate::jobs::message::{Outcome, Request, RequestId};
 use crate::jobs::model::{Job, JobId, JobState, StepKey};
 use crate::jobs::policy::Queue;
-use crate::jobs::scheduler::authorization::Admitted;
+use crate::jobs::scheduler::authorization::JobScope;
 use crate::jobs::scheduler::live_job::LiveJob;
 use crate::jobs::scheduler::Scheduler;
 
@@ -34,14 +34,14 @@
         request: Request,
         now: Millis,
     ) {
-        let who = match self.admit(caller, request.queue()) {
-            Ok(who) => who,
+        let scope = match self.authorize(caller, request.queue()) {
+            Ok(scope) => scope,
             Err(outcome) => return self.reply(id, outcome),
         };
         match request {
-            Request::Submit(job) => self.submit(id, who, job, now),
+            Request::Submit(job) => self.submit(id, scope, job, now),
             Request::State { queue, job } => {
-                let known = self.may_know(&who, job);
+                let known = self.may_access(&scope, job);
                 let outcome = match known {
                     true => self.state(&queue, job),
                     false => Outcome::NoSuchJob,
@@ -49,7 +49,7 @@
                 self.reply(id, outcome);
             }
             Request::Cancel { queue, job } => {
-                if self.may_know(&who, job) {
+                if self.may_access(&scope, job) {
                     self.cancel(id, &queue, job);
                 } else {
                     self.reply(id, Outcome::NoSuchJob);
@@ -65,13 +65,13 @@
     fn submit(
         &mut self,
         id: RequestId,
-        who: Admitted,
+        scope: JobScope,
         mut job: Job,
         now: Millis,
     ) {
         let known = self.jobs.contains_key(&job.id)
             || self.ended.jobs.contains_key(&job.id);
-        if known && !self.may_know(&who, job.id) {
+        if known && !self.may_access(&scope, job.id) {
             // Ids are drawn from so many that this is no accident. The answer
             // is one that is also given for other reasons.
             self.count("refused_id_taken");
@@ -95,19 +95,19 @@
             self.record_refusal(job.id, now, now);
             return self.reply(id, Outcome::Refused(RETRY_AFTER));
         }
-        job.account = who.owner();
+        job.account = scope.owner();
         if self.over_limit(&job) {
             self.count("refused_over_limit");
             return self.reply(id, Outcome::OverLimit);
         }
         let name = job.id;
-        let beyond_due = self.is_beyond_due(&job, now);
+        let over_rate = self.exceeds_rate(&job, now);
         let since = self.counts_since(&job, &queue, now);
         let mut live = self.new_live_job(job, queue, since);
         if self.over_share(live.account) {
             self.count("jobs_over_share");
         }
-        live.over_rate = beyond_due;
+        live.over_rate = over_rate;
         self.jobs.insert(name, live);
         if let Some(after) = self.refuses(name, now) {
             self.jobs.remove(&name);
--- a/puffinknot-core/src/jobs/scheduler/silence_alarm.rs
+++ b/puffinknot-core/src/jobs/scheduler/silence_alarm.rs
@@ -1,54 +1,56 @@
 /*!
-What is done when orders to several executors are unanswered at one time.
+Detection of connections that stop responding without a reset.
 
-Connections may fall silent for good, without a reset. A hold that waits for
-an end on such a connection is missed only when its time is over, and until
-then the ends of an executor are not heard of. But orders that should be
-answered at once are missed within a few round trips. So if several of these
-are, all executors on which something runs are asked at once for an account,
-beside the holds that wait.
+A lease renewal waits at the executor for the end of a run. If its connection
+stops responding, that shows only when the renewal times out, and until then
+the ends of runs there go unreported. Other orders are answered at once, so a
+missing answer shows within a few round trips. When several such orders go
+unanswered in quick succession, the leader requests a report from every
+executor that has runs, in addition to the pending renewals.
 */
 
 use crate::ids::Millis;
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::scheduler::Scheduler;
 
-/// So many unanswered orders raise the alarm, each within [`AT_ONE_TIME`] of
-/// the next. One may be lost, or its executor have crashed.
-const SEVERAL: u32 = 3;
-/// See [`SEVERAL`], in milliseconds.
-const AT_ONE_TIME: Millis = 150;
-/// The time until the next alarm, in milliseconds: while a data centre is cut
-/// off, orders go unanswered again and again.
-const AGAIN: Millis = 2_000;
+/// The number of unanswered orders that raises the alarm, each at most
+/// [`MAX_GAP`] after the one before. A single order may be lost, or its
+/// executor may have crashed.
+const MIN_UNANSWERED: u32 = 3;
+/// The longest time between two unanswered orders of one series.
+const MAX_GAP: Millis = 150;
+/// The least time between two alarms. While a data centre is cut off, orders
+/// go unanswered repeatedly.
+const MIN_ALARM_INTERVAL: Millis = 2_000;
 
-/// What raises the alarm.
+/// Counts unanswered orders and raises the alarm.
 #[derive(Debug, Default)]
 pub(super) struct SilenceAlarm {
-    /// When an order was found unanswered last, and how many were shortly
-    /// after each other.
+    /// When an order was last found unanswered.
     last: Millis,
+    /// The number of unanswered orders in the current series.
     count: u32,
-    /// No alarm is raised before.
+    /// Until when no alarm is raised.
     quiet_until: Millis,
 }
 
 impl SilenceAlarm {
-    /// An order is unanswered. Returns whether that raises the alarm.
+    /// Records an unanswered order. Returns whether it raises the alarm.
     fn unanswered(&mut self, now: Millis) -> bool {
-        let again = now <= self.last + AT_ONE_TIME;
-        self.count = if again { self.count + 1 } else { 1 };
+        let same_series = now <= self.last + MAX_GAP;
+        self.count = if same_series { self.count + 1 } else { 1 };
         self.last = now;
-        let raised = self.count >= SEVERAL && now >= self.quiet_until;
+        let raised = self.count >= MIN_UNANSWERED && now >= self.quiet_until;
         if raised {
-            self.quiet_until = now + AGAIN;
+            self.quiet_until = now + MIN_ALARM_INTERVAL;
         }
         raised
     }
 }
 
 impl Scheduler {
-    /// An order to an executor is unanswered.
+    /// Records an unanswered order to an executor. On an alarm, probes all
+    /// executors that have runs.
     pub(super) fn order_unanswered(&mut self, now: Millis) {
         if !self.is_enabled(Mechanism::SilenceAlarm)
             || !self.silence_alarm.unanswered(now)
--- a/puffinknot-core/src/jobs/scheduler/throttle.rs
+++ b/puffinknot-core/src/jobs/scheduler/throttle.rs
@@ -1,10 +1,12 @@
 /*!
-Tasks that fill what others leave, beside tasks that serve users.
+Throttling of best-effort tasks that run beside serving tasks.
 
-A serving task has a bound on the tail of its answer times, and its executor
-reports the present tail. While it is near or over the bound, the tasks that
-fill beside it are slowed: quickly at first, since harm counts after seconds,
-and they are let on slowly, by steps, once there is room again.
+A best-effort task uses only processor time that other tasks leave. A serving
+task has a target for its tail latency, and its executor reports the current
+tail latency. While that is near or over the target, the best-effort tasks on
+the executor are throttled. Throttling is multiplicative, since the serving
+task suffers within seconds; unthrottling proceeds in small steps once the
+latency is low again.
 */
 
 use crate::ids::Millis;
@@ -13,24 +15,26 @@
 use crate::jobs::model::TaskKey;
 use crate::jobs::scheduler::Scheduler;
 
-/// Fillers are slowed when a tail is over this part of its bound.
-const HIGH: f64 = 0.9;
-/// Fillers are let on when all tails are under this part of their bounds.
-const LOW: f64 = 0.7;
-/// Slowing multiplies the share by this.
-const SLOWER: f64 = 0.4;
-/// Shares below this are zero, in percent.
-const LEAST: u32 = 10;
-/// Letting on adds this to the share, in percent.
-const FASTER: u32 = 15;
-/// The least time between two changes on an executor, in milliseconds.
-const EVERY: Millis = 700;
-/// The share of a task that is not slowed, in percent.
-pub(super) const FULL: u32 = 100;
+/// Best-effort tasks are throttled while the tail latency of a serving task
+/// is over this fraction of its target.
+const THROTTLE_ABOVE: f64 = 0.9;
+/// Best-effort tasks are unthrottled while the tail latencies of all serving
+/// tasks are under this fraction of their targets.
+const UNTHROTTLE_BELOW: f64 = 0.7;
+/// One throttling step multiplies the share of processor time by this.
+const THROTTLE_FACTOR: f64 = 0.4;
+/// Shares below this are set to zero.
+const MIN_PERCENT: u32 = 10;
+/// One unthrottling step adds this to the share of processor time.
+const UNTHROTTLE_STEP_PERCENT: u32 = 15;
+/// The least time between two changes on an executor.
+const MIN_CHANGE_INTERVAL: Millis = 700;
+/// The share of a task that is not throttled.
+pub(super) const FULL_PERCENT: u32 = 100;
 
 impl Scheduler {
-    /// Looks at what an executor reports, and slows or lets on the tasks
-    /// that fill there.
+    /// Throttles or unthrottles the best-effort tasks on an executor by the
+    /// tail latencies that it reports.
     pub(super) fn throttle(
         &mut self,
         index: ExecutorIndex,
@@ -38,11 +42,11 @@
         now: Millis,
     ) {
         let Some(executor) = self.executors.get(&index) else { return };
-        if now < executor.throttled_at + EVERY {
+        if now < executor.throttled_at + MIN_CHANGE_INTERVAL {
             return;
         }
-        let mut worst: Option<f64> = None;
-        let mut fillers = Vec::new();
+        let mut highest: Option<f64> = None;
+        let mut best_effort = Vec::new();
         for row in running {
             let Some(live) = self.jobs.get(&row.task.step.job) else {
                 continue;
@@ -50,35 +54,37 @@
             let number = row.task.step.step as usize;
             let Some(step) = live.job.steps.get(number) else { continue };
             if step.fills {
-                fillers.push((row.task, row.run, row.percent));
+                best_effort.push((row.task, row.run, row.percent));
             } else if step.target > 0 {
-                let part = row.usage as f64 / step.target as f64;
-                worst = Some(worst.unwrap_or(0.0).max(part));
+                let ratio = row.usage as f64 / step.target as f64;
+                highest = Some(highest.unwrap_or(0.0).max(ratio));
             }
         }
-        if fillers.is_empty() {
+        if best_effort.is_empty() {
             return;
         }
-        let part = worst.unwrap_or(0.0);
-        let next = |percent: u32| {
-            if part > HIGH {
-                let slower = (f64::from(percent) * SLOWER) as u32;
-                if slower < LEAST {
+        let ratio = highest.unwrap_or(0.0);
+        let adjusted = |percent: u32| {
+            if ratio > THROTTLE_ABOVE {
+                let reduced = (f64::from(percent) * THROTTLE_FACTOR) as u32;
+                if reduced < MIN_PERCENT {
                     0
                 } else {
-                    slower
+                    reduced
                 }
-            } else if part < LOW {
-                (percent + FASTER).min(FULL)
+            } else if ratio < UNTHROTTLE_BELOW {
+                (percent + UNTHROTTLE_STEP_PERCENT).min(FULL_PERCENT)
             } else {
                 percent
             }
         };
-        let changes: Vec<(TaskKey, u64, u32)> = fillers
+        let changes: Vec<(TaskKey, u64, u32)> = best_effort
             .into_iter()
-            .map(|(task, run, percent)| (task, run, percent, next(percent)))
-            .filter(|(_, _, percent, next)| percent != next)
-            .map(|(task, run, _, next)| (task, run, next))
+            .map(|(task, run, percent)| {
+                (task, run, percent, adjusted(percent))
+            })
+            .filter(|(_, _, percent, adjusted)| percent != adjusted)
+            .map(|(task, run, _, adjusted)| (task, run, adjusted))
             .collect();
         if changes.is_empty() {
             return;
@@ -87,11 +93,12 @@
             executor.throttled_at = now;
         }
         for (task, run, percent) in changes {
-            let on =
+            let placed =
                 self.executors.get(&index).and_then(|e| e.runs.get(&task));
-            let ours = on
-                .is_some_and(|on| on.run == run && on.phase == Phase::Running);
-            if ours {
+            let is_current = placed.is_some_and(|placed| {
+                placed.run == run && placed.phase == Phase::Running
+            });
+            if is_current {
                 self.count("paced");
                 self.actions.push(Action::Throttle {
                     executor: index,
@@ -103,8 +110,8 @@
         }
     }
 
-    /// An executor answered an order on pace. What became of it shows in
-    /// its next account.
+    /// Handles the answer to a throttle order. Its effect shows in the
+    /// executor's next report.
     pub(super) fn throttle_answered(
         &mut self,
         index: ExecutorIndex,
@@ -114,8 +121,8 @@
         self.ends(index, answer, now);
     }
 
-    /// Whether an executor has fillers beside serving tasks, so that its
-    /// account is wanted often.
+    /// Whether an executor has best-effort tasks beside serving tasks and
+    /// therefore has to report often.
     pub(super) fn needs_frequent_reports(&self, index: ExecutorIndex) -> bool {
         let Some(executor) = self.executors.get(&index) else { return false };
         let mut serves = false;
--- a/puffinknot-core/src/jobs/scheduler/token_buckets.rs
+++ b/puffinknot-core/src/jobs/scheduler/token_buckets.rs
@@ -1,12 +1,13 @@
 /*!
-What client accounts hand in beyond their due, in a cell that doesn't go by
-their shares of its room, see [`super::account_shares`].
+Job rates of client accounts, in a cell that doesn't schedule by capacity
+shares (see [`super::account_shares`]).
 
-An account has so many jobs a second as its due. One that sends many times its
-usual would push others over their objectives, since all are placed by the end
-of these. So each account has a token bucket: a job that finds it empty goes
-behind everything that was handed in within its account's due. It is neither
-refused nor lost, and starts at once while there is room.
+Each account has a job rate: its weight, in jobs per second. Steps are ordered
+by the deadlines of their jobs, so an account that submits far more than usual
+would make the jobs of other accounts miss theirs. Each account therefore has a
+token bucket. A job that finds its bucket empty is over the rate and ranks
+behind every job submitted within its account's rate. It is neither refused
+nor dropped, and starts at once while there is free capacity.
 */
 
 use std::collections::BTreeMap;
@@ -16,45 +17,47 @@
 use crate::jobs::model::Job;
 use crate::jobs::scheduler::Scheduler;
 
-/// The bucket of an account holds what is its due in so many seconds: clients
-/// come in waves, and a short one is no flood.
-const HOLDS_S: f64 = 5.0;
-const MILLIS: f64 = 1_000.0;
+/// The size of a bucket, in seconds at the account's rate. Clients submit in
+/// bursts, and a short burst is within the rate.
+const BURST_SECONDS: f64 = 5.0;
+const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// The bucket of one account.
+/// The token bucket of one account.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     tokens: f64,
-    filled: Millis,
+    refilled_at: Millis,
 }
 
-/// The buckets of all accounts that have handed in jobs.
+/// The buckets of all accounts that have submitted jobs.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TokenBuckets {
     buckets: BTreeMap<String, Bucket>,
 }
 
 impl TokenBuckets {
-    /// An account with this due hands in a job. Returns whether that is
-    /// beyond it.
-    fn spend(&mut self, account: &str, weight: f64, now: Millis) -> bool {
-        let most = (weight * HOLDS_S).max(1.0);
-        let full = Bucket { tokens: most, filled: now };
+    /// Takes a token for a job that an account submits; `rate` is in jobs per
+    /// second. Returns whether the job is over the rate.
+    fn take_token(&mut self, account: &str, rate: f64, now: Millis) -> bool {
+        let size = (rate * BURST_SECONDS).max(1.0);
+        let full = Bucket { tokens: size, refilled_at: now };
         let bucket = self.buckets.entry(account.to_string()).or_insert(full);
-        let passed = now.saturating_sub(bucket.filled) as f64 / MILLIS;
-        bucket.tokens = (bucket.tokens + passed * weight).min(most);
-        bucket.filled = now;
-        let beyond = bucket.tokens < 1.0;
-        if !beyond {
+        let seconds =
+            now.saturating_sub(bucket.refilled_at) as f64 / MILLIS_PER_SECOND;
+        bucket.tokens = (bucket.tokens + seconds * rate).min(size);
+        bucket.refilled_at = now;
+        let over_rate = bucket.tokens < 1.0;
+        if !over_rate {
             bucket.tokens -= 1.0;
         }
-        beyond
+        over_rate
     }
 }
 
 impl Scheduler {
-    /// Whether a job that is handed in is beyond its account's due.
-    pub(super) fn is_beyond_due(&mut self, job: &Job, now: Millis) -> bool {
+    /// Whether a submitted job is over its account's rate. Takes a token if
+    /// it is not.
+    pub(super) fn exceeds_rate(&mut self, job: &Job, now: Millis) -> bool {
         if !self.is_enabled(Mechanism::AccountShares)
             || self.is_enabled(Mechanism::CapacityShares)
         {
@@ -68,10 +71,10 @@
         if weight <= 0.0 {
             return false;
         }
-        let beyond = self.token_buckets.spend(name, weight, now);
-        if beyond {
+        let over_rate = self.token_buckets.take_token(name, weight, now);
+        if over_rate {
             self.count("jobs_beyond_due");
         }
-        beyond
+        over_rate
     }
 }
