--- a/puffinknot-core/src/jobs/scheduler/account_shares.rs
+++ b/puffinknot-core/src/jobs/scheduler/account_shares.rs
@@ -34,7 +34,7 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{AccountIndex, Action};
 use crate::jobs::model::StepKey;
-use crate::jobs::scheduler::ledger::Holding;
+use crate::jobs::scheduler::ledger::AccountUsage;
 use crate::jobs::scheduler::Scheduler;
 
 /// Shares are worked out at most so often, in milliseconds: runs that take
@@ -69,9 +69,9 @@
     }
 
     /// What of an account's holding counts.
-    fn of(self, holding: &Holding) -> Resources {
+    fn of(self, holding: &AccountUsage) -> Resources {
         match self {
-            Kind::All => holding.held,
+            Kind::All => holding.used,
             Kind::Urgent | Kind::UrgentOfAll => holding.urgent,
         }
     }
@@ -196,7 +196,9 @@
 
     fn is_over(&self, account: Option<AccountIndex>, kind: Kind) -> bool {
         let Some(at) = account else { return false };
-        let Some(holding) = self.ledger.holding(at) else { return false };
+        let Some(holding) = self.ledger.account_usage(at) else {
+            return false;
+        };
         let shares = &self.account_shares;
         let held = dominant_share(&kind.of(&holding), &shares.whole);
         shares.is_over(at, kind, held)
@@ -232,7 +234,7 @@
             return;
         }
         let periods = self.bearable();
-        let accounts = self.ledger.accounts();
+        let accounts = self.ledger.account_count();
         self.account_shares.pass(accounts, periods, now);
         let [all, urgent] = self.claims();
         self.account_shares.weigh(&all, Kind::All);
@@ -247,7 +249,7 @@
         if shares.weighed != now {
             return;
         }
-        let holdings = self.ledger.holdings();
+        let holdings = self.ledger.account_usages();
         for (holding, share) in holdings.zip(&mut shares.accounts) {
             for kind in KINDS {
                 let held = kind.of(&holding);
@@ -287,7 +289,7 @@
     /// order of the ledger.
     fn claims(&self) -> [Vec<Claim>; 2] {
         let nothing = [Resources::default(); 2];
-        let mut waiting = vec![nothing; self.ledger.accounts()];
+        let mut waiting = vec![nothing; self.ledger.account_count()];
         for key in &self.ready {
             let Some(live) = self.jobs.get(&key.job) else { continue };
             let Some(account) = live.account else { continue };
@@ -304,11 +306,11 @@
         }
         let whole = &self.account_shares.whole;
         [Kind::All, Kind::Urgent].map(|kind| {
-            let holdings = self.ledger.holdings().zip(&waiting);
+            let holdings = self.ledger.account_usages().zip(&waiting);
             let claims = holdings.map(|(holding, waiting)| {
                 let waiting = &waiting[usize::from(kind.is_among_urgent())];
                 let held = kind.of(&holding);
-                let wants = held.plus(waiting).least(&holding.most);
+                let wants = held.plus(waiting).least(&holding.limit);
                 let held = dominant_share(&held, whole);
                 Claim {
                     weight: holding.weight,
--- a/puffinknot-core/src/jobs/scheduler/admission.rs
+++ b/puffinknot-core/src/jobs/scheduler/admission.rs
@@ -197,7 +197,7 @@
         }
         let waiting = backlogs.values().flat_map(Backlog::accounts);
         let held: BTreeMap<AccountIndex, Resources> =
-            self.ledger.held().collect();
+            self.ledger.used().collect();
         let competing = waiting.chain(held.keys().copied());
         let weights = competing
             .filter_map(|account| Some((account, self.weight_of(account)?)));
--- a/puffinknot-core/src/jobs/scheduler/ledger.rs
+++ b/puffinknot-core/src/jobs/scheduler/ledger.rs
@@ -1,12 +1,14 @@
 /*!
-What each client account has running.
-
-A run counts from the moment its order may have left until its end, its
-refusal or its lapse is known; one that is being stopped counts too. After a
-takeover, what a predecessor has started is found only when its executor
-answers. Until then an account may have more than is known: at most what those
-executors hold, and at most what of its jobs may have been started. So the sum
-errs upwards only.
+Resource usage of client accounts, and its limits.
+
+A run counts from the moment its start order may have been sent until its end,
+its refusal or its expiry is known; a run that is being stopped still counts.
+After a takeover, the leader learns what a predecessor started on an executor
+only when that executor answers. Until then an account may use more than is
+known. The unknown part is at most the capacity of the executors that have not
+answered, and at most what the inherited jobs of the account may have started.
+The smaller of the two is added to the known usage, so that the sum may be too
+high but never too low.
 */
 
 use std::collections::BTreeMap;
@@ -23,60 +25,64 @@
 use crate::jobs::scheduler::run_time_estimate::OVERRUN_GRACE;
 use crate::jobs::scheduler::Scheduler;
 
-/// What a client account has running, and may have.
+/// The resource usage of a client account and its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage<'a> {
-    /// Its name.
+    /// The name of the account.
     pub account: &'a str,
-    /// The sum of its runs.
-    pub held: Resources,
-    /// The most that this may be; zero is no limit.
+    /// The sum over its known runs.
+    pub used: Resources,
+    /// The upper bound on `used`; a resource that is zero is not limited.
     pub limit: Resources,
 }
 
-/// What an account holds, and what it may.
-pub(super) struct Holding {
-    /// Its weight against others; zero is none.
+/// The usage of an account, as capacity shares need it.
+pub(super) struct AccountUsage {
+    /// Its weight relative to other accounts; zero if it has none.
     pub weight: f64,
-    pub held: Resources,
-    /// What urgent runs hold of that.
+    /// The sum over its known runs.
+    pub used: Resources,
+    /// The part of `used` that urgent runs have.
     pub urgent: Resources,
-    pub most: Resources,
+    /// Its limit; `u32::MAX` for a resource without one.
+    pub limit: Resources,
 }
 
-/// What is known of one account.
+/// The state of one account.
 #[derive(Clone, Debug, Default)]
 struct Entry {
     name: String,
-    /// The newest weight that the policy gave it; zero is none.
+    /// The newest weight that a policy gave it; zero if it has none.
     weight: f64,
-    /// The newest limit that the policy gave it. An account that the policy
-    /// names no more keeps its last one, for what it has handed in.
+    /// The newest limit that a policy gave it. An account that is no longer
+    /// in the policy keeps its last limit for the jobs it has submitted.
     limit: Resources,
-    /// What all runs that are known count for.
-    held: Resources,
-    /// What those of urgent queues count for.
+    /// The sum of the charges of its known runs.
+    used: Resources,
+    /// The part of `used` that urgent runs have.
     urgent: Resources,
-    /// When its runs should end, and what each of them counts for.
+    /// The charges of its known runs, by expected end.
     ends: BTreeMap<(Millis, ExecutorIndex, TaskKey), Resources>,
-    /// What may run unseen of jobs that have ended.
+    /// What jobs that have ended may still use in runs that a predecessor
+    /// started and that are not known yet.
     inherited: Resources,
-    /// What may run unseen at the most, until a takeover is settled.
+    /// The upper bound on usage by runs that a predecessor started and that
+    /// are not known yet; zero once a takeover is complete.
     unseen: Resources,
 }
 
 impl Entry {
-    fn holding(&self) -> Holding {
-        Holding {
+    fn usage(&self) -> AccountUsage {
+        AccountUsage {
             weight: self.weight,
-            held: self.held,
+            used: self.used,
             urgent: self.urgent,
-            most: accounts::left(&self.limit, &Resources::default()),
+            limit: accounts::left(&self.limit, &Resources::default()),
         }
     }
 }
 
-/// What all accounts have running.
+/// The resource usage of all client accounts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ledger {
     entries: Vec<Entry>,
@@ -84,7 +90,7 @@
 }
 
 impl Ledger {
-    /// The number of an account.
+    /// The index of an account, which is added if it is new.
     pub fn index(&mut self, name: &str) -> AccountIndex {
         if let Some(index) = self.by_name.get(name) {
             return *index;
@@ -96,7 +102,7 @@
         index
     }
 
-    /// Takes over the limits and weights of a policy.
+    /// Applies the limits and weights of a policy.
     pub fn set_accounts(&mut self, policy: &Policy) {
         for account in policy.accounts.values() {
             let index = self.index(&account.name);
@@ -110,9 +116,9 @@
         self.entries.get_mut(charge.account? as usize)
     }
 
-    fn take(&mut self, at: ExecutorIndex, task: TaskKey, run: &PlacedRun) {
+    fn charge(&mut self, at: ExecutorIndex, task: TaskKey, run: &PlacedRun) {
         if let Some(entry) = self.entry(&run.charge) {
-            entry.held = entry.held.plus(&run.charge.amount);
+            entry.used = entry.used.plus(&run.charge.amount);
             if run.charge.urgent {
                 entry.urgent = entry.urgent.plus(&run.charge.amount);
             }
@@ -120,14 +126,9 @@
         }
     }
 
-    fn give_back(
-        &mut self,
-        at: ExecutorIndex,
-        task: TaskKey,
-        run: &PlacedRun,
-    ) {
+    fn release(&mut self, at: ExecutorIndex, task: TaskKey, run: &PlacedRun) {
         if let Some(entry) = self.entry(&run.charge) {
-            entry.held = entry.held.minus(&run.charge.amount);
+            entry.used = entry.used.minus(&run.charge.amount);
             if run.charge.urgent {
                 entry.urgent = entry.urgent.minus(&run.charge.amount);
             }
@@ -135,49 +136,50 @@
         }
     }
 
-    /// When the limit of an account should leave so much, if its runs end
-    /// when they should.
-    fn leaves_at(
+    /// The expected time at which `needed` fits into what remains of the
+    /// account's limit, if its runs end when expected.
+    fn fits_at(
         &self,
         account: AccountIndex,
         needed: &Resources,
         now: Millis,
     ) -> Option<Millis> {
         let entry = self.entries.get(account as usize)?;
-        let mut holds = entry.held.plus(&entry.unseen);
+        let mut used = entry.used.plus(&entry.unseen);
         for ((end, ..), amount) in &entry.ends {
-            holds = holds.minus(amount);
-            if accounts::left(&entry.limit, &holds).fits(needed) {
-                // What has overstayed its guess may do so for as long again.
-                let overstayed = now.saturating_sub(*end).min(OVERRUN_GRACE);
-                return Some((*end).max(now + overstayed));
+            used = used.minus(amount);
+            if accounts::left(&entry.limit, &used).fits(needed) {
+                // An overdue run is expected to take as long again as it is
+                // overdue, up to the grace.
+                let overrun = now.saturating_sub(*end).min(OVERRUN_GRACE);
+                return Some((*end).max(now + overrun));
             }
         }
         None
     }
 
-    /// What may be started for an account.
+    /// What remains of the limit of an account.
     pub fn remaining(&self, account: Option<AccountIndex>) -> Resources {
         let entry = account.and_then(|at| self.entries.get(at as usize));
         let none = Resources::default();
         match entry {
             Some(entry) => {
-                let holds = entry.held.plus(&entry.unseen);
-                accounts::left(&entry.limit, &holds)
+                let used = entry.used.plus(&entry.unseen);
+                accounts::left(&entry.limit, &used)
             }
             None => accounts::left(&none, &none),
         }
     }
 
-    /// The most that an account may have running, so that a gang that needs
-    /// more is never started.
+    /// The limit of an account. A gang that needs more can never start.
     pub fn limit_of(&self, account: Option<AccountIndex>) -> Resources {
         let entry = account.and_then(|at| self.entries.get(at as usize));
         let limit = entry.map(|entry| entry.limit).unwrap_or_default();
         accounts::left(&limit, &Resources::default())
     }
 
-    /// What may still run of jobs that a predecessor has given up.
+    /// Adds what a predecessor recorded as possibly still in use by jobs that
+    /// have ended.
     pub fn inherit(&mut self, stopping: &Stopping) {
         for (name, amount) in stopping {
             let index = self.index(name) as usize;
@@ -185,34 +187,35 @@
         }
     }
 
-    /// Everything that a predecessor has started is known.
-    fn settled(&mut self) {
+    /// Clears the bounds on unknown usage: all runs that a predecessor started
+    /// are known.
+    fn clear_unseen(&mut self) {
         for entry in &mut self.entries {
             entry.inherited = Resources::default();
             entry.unseen = Resources::default();
         }
     }
 
-    /// What accounts have running, of those that have anything.
-    pub fn held(
+    /// The usage of each account that has any known runs.
+    pub fn used(
         &self,
     ) -> impl Iterator<Item = (AccountIndex, Resources)> + '_ {
         let entries = self.entries.iter().enumerate();
-        let busy = entries.filter(|(_, e)| e.held != Resources::default());
-        busy.map(|(index, entry)| (index as AccountIndex, entry.held))
+        let busy = entries.filter(|(_, e)| e.used != Resources::default());
+        busy.map(|(index, entry)| (index as AccountIndex, entry.used))
     }
 
-    /// What is known of each account.
+    /// The usage and the limit of each account.
     pub fn usage(&self) -> impl Iterator<Item = Usage<'_>> {
         self.entries.iter().map(|entry| Usage {
             account: &entry.name,
-            held: entry.held,
+            used: entry.used,
             limit: entry.limit,
         })
     }
 
-    /// The number of accounts that were ever named.
-    pub fn accounts(&self) -> usize {
+    /// The number of accounts ever seen; indexes are below it.
+    pub fn account_count(&self) -> usize {
         self.entries.len()
     }
 
@@ -221,14 +224,17 @@
         self.entries.iter().any(|entry| entry.weight > 0.0)
     }
 
-    /// What accounts hold, in the order of their numbers.
-    pub fn holdings(&self) -> impl Iterator<Item = Holding> + '_ {
-        self.entries.iter().map(Entry::holding)
+    /// The usage of all accounts, in the order of their indexes.
+    pub fn account_usages(&self) -> impl Iterator<Item = AccountUsage> + '_ {
+        self.entries.iter().map(Entry::usage)
     }
 
-    /// What an account holds.
-    pub fn holding(&self, account: AccountIndex) -> Option<Holding> {
-        self.entries.get(account as usize).map(Entry::holding)
+    /// The usage of an account.
+    pub fn account_usage(
+        &self,
+        account: AccountIndex,
+    ) -> Option<AccountUsage> {
+        self.entries.get(account as usize).map(Entry::usage)
     }
 
     /// The name of an account.
@@ -238,35 +244,37 @@
     }
 }
 
-/// Which gangs wait for a part of their accounts' limits.
+/// Gangs that wait for enough of their account's limit, in one placement
+/// round.
 ///
-/// Small tasks of its own account would take whatever gets free of the limit,
-/// and a gang would find it all free only when nothing else is left to do. So
-/// what comes after such a gang starts only if it should end before the gang
-/// can begin.
+/// Without a reservation, small tasks of the same account would take any part
+/// of the limit that becomes free, and the gang could start only once no other
+/// work is left. A step that ranks below such a gang therefore starts only if
+/// it is expected to end before the gang can start.
 #[derive(Debug, Default)]
 pub(super) struct LimitReservations {
-    /// When the first gang of an account should begin.
-    begins: BTreeMap<AccountIndex, Millis>,
+    /// When the first waiting gang of each account is expected to start.
+    gang_starts: BTreeMap<AccountIndex, Millis>,
 }
 
 impl LimitReservations {
-    /// Whether something that ends then may start before the gang that
-    /// waits, if any does.
-    fn admits(&self, account: AccountIndex, ends: Millis) -> bool {
-        self.begins.get(&account).is_none_or(|begins| ends <= *begins)
+    /// Whether a task that ends then may start before the waiting gang of its
+    /// account, if there is one.
+    fn allows(&self, account: AccountIndex, end: Millis) -> bool {
+        self.gang_starts.get(&account).is_none_or(|start| end <= *start)
     }
 
-    /// A gang should begin then. Only the first one of an account counts.
-    fn wait(&mut self, account: AccountIndex, when: Option<Millis>) {
-        if let Some(when) = when {
-            self.begins.entry(account).or_insert(when);
+    /// Records when a gang is expected to start. Only the first gang of an
+    /// account counts.
+    fn reserve(&mut self, account: AccountIndex, start: Option<Millis>) {
+        if let Some(start) = start {
+            self.gang_starts.entry(account).or_insert(start);
         }
     }
 }
 
 impl Scheduler {
-    /// A run takes up room on an executor, and counts for its account.
+    /// Adds a run to its executor, and charges its account.
     pub(super) fn put_run(
         &mut self,
         index: ExecutorIndex,
@@ -274,34 +282,34 @@
         run: PlacedRun,
     ) {
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        self.ledger.take(index, task, &run);
+        self.ledger.charge(index, task, &run);
         if let Some(before) = executor.place_run(task, run) {
-            self.ledger.give_back(index, task, &before);
+            self.ledger.release(index, task, &before);
         }
     }
 
-    /// A run takes up room no more.
+    /// Removes a run from its executor, and releases its charge.
     pub(super) fn remove_run(&mut self, index: ExecutorIndex, task: &TaskKey) {
         let executor = self.executors.get_mut(&index);
         let removed = executor.and_then(|executor| executor.remove_run(task));
         if let Some(run) = removed {
-            self.ledger.give_back(index, *task, &run);
+            self.ledger.release(index, *task, &run);
         }
     }
 
-    /// Works out anew what may run unseen, while a takeover is not settled:
-    /// at most what executors hold that have not answered, and at most what
-    /// may have been started.
+    /// Recomputes the bounds on unknown usage until a takeover is complete:
+    /// at most the capacity of the executors that have not answered, and at
+    /// most what may have been started.
     pub(super) fn update_unseen(&mut self) {
         if self.takeover_deadline.is_none() {
-            return self.ledger.settled();
+            return self.ledger.clear_unseen();
         }
         if self.ledger.entries.is_empty() {
             return;
         }
         let unseen = self.unheard_executors.iter();
         let unseen = unseen.filter_map(|at| self.executors.get(at));
-        let most = unseen.fold(Resources::default(), |sum, executor| {
+        let bound = unseen.fold(Resources::default(), |sum, executor| {
             sum.plus(&executor.info.capacity)
         });
         let mut started: BTreeMap<AccountIndex, Resources> = BTreeMap::new();
@@ -314,40 +322,42 @@
             let started = started.get(&(at as AccountIndex));
             let started = started.copied().unwrap_or_default();
             let may_run = started.plus(&entry.inherited);
-            entry.unseen = may_run.least(&most);
+            entry.unseen = may_run.least(&bound);
         }
     }
 
-    /// Whether nothing of a step may be started now for the limit of its
-    /// account: no task, or not all of a gang. A gang that waits for it gets
-    /// the next of the limit that is free, see [`LimitReservations`].
+    /// Whether the limit of its account keeps a step from starting now: any
+    /// task, or all of a gang. A gang at the limit reserves what becomes free
+    /// of it next, see [`LimitReservations`].
     pub(super) fn is_at_limit(
         &mut self,
         key: StepKey,
-        turns: &mut LimitReservations,
+        reservations: &mut LimitReservations,
         now: Millis,
     ) -> bool {
         let Some(live) = self.jobs.get(&key.job) else { return true };
         let Some(account) = live.account else { return false };
         let step = &live.job.steps[key.step as usize];
-        let together = if step.gang { step.count } else { 1 };
-        let needed = step.need.times(together);
+        let tasks = if step.gang { step.count } else { 1 };
+        let needed = step.need.times(tasks);
         let fits = self.ledger.remaining(live.account).fits(&needed);
-        if fits && turns.admits(account, now + self.nominal_run_time(key)) {
+        if fits
+            && reservations.allows(account, now + self.nominal_run_time(key))
+        {
             return false;
         }
         if !fits && step.gang && self.is_enabled(Mechanism::LimitForGangs) {
-            let when = self.ledger.leaves_at(account, &needed, now);
-            turns.wait(account, when);
+            let start = self.ledger.fits_at(account, &needed, now);
+            reservations.reserve(account, start);
         }
         self.unreserve(key);
         self.count("steps_at_limit");
         true
     }
 
-    /// A job ends whose tasks may run unseen, since a predecessor may have
-    /// started them: they count on until the takeover is settled.
-    pub(super) fn keep_unseen(&mut self, job: JobId) {
+    /// Keeps counting the waiting tasks of an inherited job that ends, since a
+    /// predecessor may have started them, until the takeover is complete.
+    pub(super) fn retain_unseen(&mut self, job: JobId) {
         let Some(live) = self.jobs.get(&job) else { return };
         if self.takeover_deadline.is_none() || !live.inherited {
             return;
@@ -360,7 +370,7 @@
         }
     }
 
-    /// What may still run of jobs that have ended, by account.
+    /// What jobs that have ended may still use, by account.
     pub(super) fn stopping(&self) -> Stopping {
         let mut stopping = Stopping::new();
         let runs = self.executors.values().flat_map(|e| &e.runs);
@@ -383,7 +393,7 @@
         stopping
     }
 
-    /// What each client account has running, as far as it is known.
+    /// The known usage and the limit of each client account.
     pub fn usage(&self) -> impl Iterator<Item = Usage<'_>> {
         self.ledger.usage()
     }
--- a/puffinknot-core/src/jobs/scheduler/requests.rs
+++ b/puffinknot-core/src/jobs/scheduler/requests.rs
@@ -233,7 +233,7 @@
             return;
         }
         live.ended = Some(state);
-        self.keep_unseen(job);
+        self.retain_unseen(job);
         let Some(live) = self.jobs.get_mut(&job) else { return };
         let mut placed = Vec::new();
         for (&(time, step), run) in &mut live.steps {
--- a/src/cell/stats.rs
+++ b/src/cell/stats.rs
@@ -119,11 +119,11 @@
     /// to a bound.
     pub fn set_accounts<'a>(&self, all: impl Iterator<Item = Usage<'a>>) {
         let mut all: Vec<Usage> = all.collect();
-        all.sort_by_key(|usage| u32::MAX - usage.held.cpu_millis);
+        all.sort_by_key(|usage| u32::MAX - usage.used.cpu_millis);
         all.truncate(MOST_ACCOUNTS);
         let rows = all.into_iter().map(|usage| AccountUsage {
             account: usage.account.to_string(),
-            cpu_millis: usage.held.cpu_millis,
+            cpu_millis: usage.used.cpu_millis,
             limit: usage.limit.cpu_millis,
         });
         *self.accounts.borrow_mut() = rows.collect();
--- a/tests/jobs/accounts.rs
+++ b/tests/jobs/accounts.rs
@@ -279,13 +279,13 @@
         .scheduler
         .usage()
         .filter(|usage| usage.account == LIMITED)
-        .map(|usage| usage.held.cpu_millis)
+        .map(|usage| usage.used.cpu_millis)
         .sum();
     assert_eq!(held, world.limited_runs());
     world.run(4 * WORK);
     world.event(Event::Tick);
     let mut usage = world.scheduler.usage();
-    assert!(usage.all(|usage| usage.held == room(0, 0)));
+    assert!(usage.all(|usage| usage.used == room(0, 0)));
 }
 
 /// An account that sent far more than its due pushed others over their
