--- a/puffinknot-core/src/jobs/scheduler/admission.rs
+++ b/puffinknot-core/src/jobs/scheduler/admission.rs
@@ -1,16 +1,19 @@
 /*!
-Which jobs are taken when more is handed in than can be done.
+Admission control: refuses jobs that could not end while they are useful.
 
-A job is of use until [`OF_USE`] times its objective has passed. One that
-can't be done by then, reckoned as if the whole cell did nothing else than what
-goes before it (see [`crate::jobs::backlog`]), is refused at once: its client
-learns it while it can still do something about it, and those that were
-accepted keep their room. An account is judged by the part of the
-room that it can have: its share, or what others leave of the cell if that is
-more. So one that hands in more than that is refused, and no other is for it.
+A job is useful until [`USEFUL_OBJECTIVES`] times its objective has passed. A
+job that can't end by then is refused at once, so that its client can still
+react and the accepted jobs keep their capacity. The estimate of its end is a
+lower bound: it assumes that the whole cell works on nothing but what ranks
+ahead of the job (see [`crate::jobs::backlog`]).
 
-Nothing is refused while little waits, and never what is due at times of its
-own or lasts.
+An account's jobs are measured against the capacity that the account can have:
+its share, or what the other accounts leave if that is more. An account that
+submits more than that has its own jobs refused, and causes no refusals for
+others.
+
+Nothing is refused while no work waits ahead of a job. Repeating and
+long-running jobs are never refused here.
 */
 
 use std::collections::BTreeMap;
@@ -26,62 +29,65 @@
 use crate::jobs::scheduler::live_job::LiveJob;
 use crate::jobs::scheduler::ranking::{PriorityClass, Rank, Timeliness};
 use crate::jobs::scheduler::requests::RETRY_AFTER;
-use crate::jobs::scheduler::retry_schedule::Returns;
+use crate::jobs::scheduler::retry_schedule::RetrySchedule;
 use crate::jobs::scheduler::run_time_estimate::expected_end;
 use crate::jobs::scheduler::Scheduler;
 
-/// A job that takes longer than so many times its objective is of no use.
-const OF_USE: Millis = 3;
-/// How old the known backlog may be, in milliseconds: a small part of the
-/// shortest objective. What was accepted since is added to it.
-const BACKLOG_AGE: Millis = 50;
-/// With each so many live jobs or executors the backlog may be older by
-/// [`BACKLOG_AGE`], so that reckoning it takes a bounded share of the time.
-const CROWD: usize = 512;
-/// Work whose objectives end within so many milliseconds counts as one.
-const GRAIN: Millis = 100;
+/// A job is useful until this many times its objective has passed.
+const USEFUL_OBJECTIVES: Millis = 3;
+/// The longest time for which a computed backlog is used, in a small cell: a
+/// small part of the shortest objective. Jobs accepted meanwhile are added.
+const MAX_BACKLOG_AGE: Millis = 50;
+/// For each this many live jobs, and for each this many executors, a backlog
+/// is used for another [`MAX_BACKLOG_AGE`], so that computing it takes a
+/// bounded share of the time.
+const BACKLOG_AGE_STEP: usize = 512;
+/// Sort keys are rounded to this, so that the backlog has few entries.
+const RANK_GRAIN: Millis = 100;
 
-/// A place in the order, in grains.
-type Place = (PriorityClass, Timeliness, Millis);
+/// A rank, rounded to [`RANK_GRAIN`].
+type RankKey = (PriorityClass, Timeliness, Millis);
 
-fn place(rank: &Rank) -> Place {
-    (rank.class, rank.timeliness, rank.sort_key / GRAIN)
+fn rank_key(rank: &Rank) -> RankKey {
+    (rank.class, rank.timeliness, rank.sort_key / RANK_GRAIN)
 }
 
-/// What is known of the work that waits, and who was refused.
+/// The backlog of each service, and the refused jobs.
 #[derive(Debug, Default)]
 pub(super) struct Admission {
-    /// By service.
-    backlogs: BTreeMap<String, Backlog<Place>>,
-    /// The weights of the accounts that compete for room.
+    /// The backlogs by service.
+    backlogs: BTreeMap<String, Backlog<RankKey>>,
+    /// The weights of the accounts that compete for capacity.
     weights: BTreeMap<AccountIndex, f64>,
-    /// What runs of each account.
-    held: BTreeMap<AccountIndex, Resources>,
-    reckoned: Option<Millis>,
-    returns: Returns,
+    /// The usage of each account that has runs.
+    used: BTreeMap<AccountIndex, Resources>,
+    /// When all of the above was computed.
+    computed_at: Option<Millis>,
+    retry_schedule: RetrySchedule,
 }
 
-/// Why a job is refused.
+/// The reason and the times behind a refusal.
 struct Refusal {
     wait: Wait,
-    /// When it would end at the earliest.
-    ends: Millis,
-    /// Until when it is of use.
-    of_use: Millis,
-    /// How long it would keep its account's part of the room.
-    takes: Millis,
+    /// The earliest time at which the job could end.
+    earliest_end: Millis,
+    /// Until when the job is useful.
+    useful_until: Millis,
+    /// How long the job would occupy its account's part of the capacity, in
+    /// milliseconds.
+    duration: Millis,
 }
 
-/// Whether a job may be refused for want of room: timed and lasting work is
-/// not done sooner or later than its time.
-fn is_judged(job: &Job) -> bool {
+/// Whether a job may be refused for lack of capacity. Repeating jobs start at
+/// fixed times and long-running ones have no end to be late for.
+fn is_refusable(job: &Job) -> bool {
     job.repeats.is_none() && !job.steps.iter().any(|step| step.lasting)
 }
 
 impl Scheduler {
-    /// Decides whether a job that is not accepted yet is refused for want of
-    /// room, and if so, returns after which time its client is to come back.
-    pub(super) fn refuses(
+    /// Decides whether to refuse a new job for lack of capacity. Returns the
+    /// time after which the client is to retry if the job is refused.
+    pub(super) fn refuse_if_late(
         &mut self,
         id: JobId,
         now: Millis,
@@ -92,9 +98,9 @@
         if self.ready.is_empty() {
             return None;
         }
-        self.reckon_backlog(now);
+        self.refresh_backlog(now);
         let live = self.jobs.get(&id)?;
-        if !is_judged(&live.job) {
+        if !is_refusable(&live.job) {
             return None;
         }
         let Some(refusal) = self.refusal(id, live, now) else {
@@ -106,17 +112,18 @@
             true => "refused_account_over_share",
             false => "refused_no_room_in_time",
         });
-        let excess = refusal.ends.saturating_sub(refusal.of_use);
-        let turn = self.turn(id, now + excess, refusal.takes, now);
+        let excess = refusal.earliest_end.saturating_sub(refusal.useful_until);
+        let retry_at =
+            self.schedule_retry(id, now + excess, refusal.duration, now);
         let live = self.jobs.get(&id)?;
         self.actions.push(Action::NotAdmitted {
             job: id,
             account: live.job.account.clone(),
-            ends_in: refusal.ends.saturating_sub(now),
-            of_use_for: refusal.of_use.saturating_sub(now),
+            ends_in: refusal.earliest_end.saturating_sub(now),
+            of_use_for: refusal.useful_until.saturating_sub(now),
             over_share,
         });
-        Some(turn.saturating_sub(now).max(RETRY_AFTER))
+        Some(retry_at.saturating_sub(now).max(RETRY_AFTER))
     }
 
     fn refusal(
@@ -127,40 +134,48 @@
     ) -> Option<Refusal> {
         let backlog = self.admission.backlogs.get(&live.queue.service)?;
         let rank = self.rank(StepKey { job: id, time: 0, step: 0 }, now)?;
-        let room = backlog.capacity();
+        let capacity = backlog.capacity();
         let own = live.account.and_then(|account| {
-            Some((account, self.part_of_room(account, room)?))
+            Some((account, self.capacity_fraction(account, capacity)?))
         });
         let queue = &live.job.queue;
-        let wait = backlog.wait(own, queue, place(&rank))?;
+        let wait = backlog.wait(own, queue, rank_key(&rank))?;
         if wait.least() == 0 {
             return None;
         }
-        let of_use =
-            live.arrived_at + OF_USE * (live.deadline - live.arrived_at);
-        let ends = now + wait.least() + self.whole_chain(id, live);
+        let useful_until = live.arrived_at
+            + USEFUL_OBJECTIVES * (live.deadline - live.arrived_at);
+        let earliest_end =
+            now + wait.least() + self.total_chain_time(id, live);
         let part = own.map_or(1.0, |(_, part)| part);
-        let takes = room.busy_with(&self.work_of(id, live, |_| true), part);
-        (ends > of_use).then_some(Refusal { wait, ends, of_use, takes })
+        let duration =
+            capacity.busy_with(&self.work_of(id, live, |_| true), part);
+        (earliest_end > useful_until).then_some(Refusal {
+            wait,
+            earliest_end,
+            useful_until,
+            duration,
+        })
     }
 
-    /// The part of the room that an account can have: its share among those
-    /// that compete, or what the others don't hold if that is more.
-    fn part_of_room(
+    /// The fraction of the capacity that an account can have: its share by
+    /// weight, or what the other accounts don't use if that is more.
+    fn capacity_fraction(
         &self,
         account: AccountIndex,
-        room: &ServiceCapacity,
+        capacity: &ServiceCapacity,
     ) -> Option<f64> {
-        let share = self.share_of_room(account)?;
-        let held = self.admission.held.iter();
-        let others = held.filter(|(other, _)| **other != account);
+        let share = self.weight_share(account)?;
+        let used = self.admission.used.iter();
+        let others = used.filter(|(other, _)| **other != account);
         let others =
-            others.fold(Resources::default(), |sum, (_, held)| sum.plus(held));
-        Some(share.max(1.0 - room.part_of(&others)))
+            others.fold(Resources::default(), |sum, (_, used)| sum.plus(used));
+        Some(share.max(1.0 - capacity.part_of(&others)))
     }
 
-    /// An account's share among those that compete for room, by weight.
-    fn share_of_room(&self, account: AccountIndex) -> Option<f64> {
+    /// An account's share by weight among the accounts that compete for
+    /// capacity.
+    fn weight_share(&self, account: AccountIndex) -> Option<f64> {
         let weights = &self.admission.weights;
         let own = weights.get(&account).copied();
         let own = own.or_else(|| self.weight_of(account))?;
@@ -175,68 +190,75 @@
         (weight > 0.0).then_some(weight)
     }
 
-    /// Reckons the backlog anew if it is too old.
-    fn reckon_backlog(&mut self, now: Millis) {
-        let crowds = self.jobs.len() / CROWD + self.executor_count() / CROWD;
-        let age = BACKLOG_AGE * (1 + crowds as Millis);
-        let reckoned = self.admission.reckoned;
-        if reckoned.is_some_and(|at| now < at + age) {
+    /// Computes the backlogs again if they are too old.
+    fn refresh_backlog(&mut self, now: Millis) {
+        let steps = self.jobs.len() / BACKLOG_AGE_STEP
+            + self.executor_count() / BACKLOG_AGE_STEP;
+        let max_age = MAX_BACKLOG_AGE * (1 + steps as Millis);
+        let computed_at = self.admission.computed_at;
+        if computed_at.is_some_and(|at| now < at + max_age) {
             return;
         }
-        let mut backlogs = self.rooms(now);
-        let unsettled = self.takeover_deadline.is_some();
+        let mut backlogs = self.empty_backlogs(now);
+        let takeover_pending = self.takeover_deadline.is_some();
         for (id, live) in &self.jobs {
             let Some(backlog) = backlogs.get_mut(&live.queue.service) else {
                 continue;
             };
-            // What a predecessor has started may run unseen.
-            let unknown = live.inherited && unsettled;
+            // A predecessor may have started tasks that are not known yet.
+            let unknown = live.inherited && takeover_pending;
             if !unknown && live.ended.is_none() {
                 self.add_waiting(backlog, *id, live, now);
             }
         }
         let waiting = backlogs.values().flat_map(Backlog::accounts);
-        let held: BTreeMap<AccountIndex, Resources> =
+        let used: BTreeMap<AccountIndex, Resources> =
             self.ledger.used().collect();
-        let competing = waiting.chain(held.keys().copied());
+        let competing = waiting.chain(used.keys().copied());
         let weights = competing
             .filter_map(|account| Some((account, self.weight_of(account)?)));
         self.admission.weights = weights.collect();
-        self.admission.held = held;
+        self.admission.used = used;
         self.admission.backlogs = backlogs;
-        self.admission.reckoned = Some(now);
+        self.admission.computed_at = Some(now);
     }
 
-    /// The room of each service: that of all executors that take work, or
-    /// will again when they are heard.
-    fn rooms(&self, now: Millis) -> BTreeMap<String, Backlog<Place>> {
-        let mut rooms: BTreeMap<&str, ServiceCapacity> = BTreeMap::new();
-        // What saves its progress may leave its room at any time.
-        let gives_way = self.is_enabled(Mechanism::UrgentPreemption);
-        let stays =
+    /// Empty backlogs with the capacity of each service: that of all executors
+    /// that accept work, or will once they respond again.
+    fn empty_backlogs(
+        &self,
+        now: Millis,
+    ) -> BTreeMap<String, Backlog<RankKey>> {
+        let mut capacities: BTreeMap<&str, ServiceCapacity> = BTreeMap::new();
+        // A run that saves checkpoints may be preempted at any time.
+        let preempts = self.is_enabled(Mechanism::UrgentPreemption);
+        let remains =
             |e: &&Executor| e.incarnation_end.is_none() && !e.info.draining;
-        for executor in self.executors.values().filter(stays) {
-            let room = rooms.entry(&executor.info.service).or_default();
-            room.add(&executor.info.capacity, &executor.free);
+        for executor in self.executors.values().filter(remains) {
+            let capacity =
+                capacities.entry(&executor.info.service).or_default();
+            capacity.add(&executor.info.capacity, &executor.free);
             for (task, run) in &executor.runs {
-                let saves =
+                let checkpoints =
                     self.step(task.step).is_some_and(|s| s.checkpoints);
-                let left = match saves && gives_way {
+                let left = match checkpoints && preempts {
                     true => 0,
                     false => expected_end(run, now).saturating_sub(now),
                 };
-                room.free_after(left, &run.need);
+                capacity.free_after(left, &run.need);
             }
         }
-        let rooms = rooms.into_iter();
-        rooms.map(|(name, room)| (name.into(), Backlog::new(room))).collect()
+        let capacities = capacities.into_iter();
+        capacities
+            .map(|(name, capacity)| (name.into(), Backlog::new(capacity)))
+            .collect()
     }
 
-    /// Adds what waits of a job to a backlog. Steps whose turn has not come
-    /// are left out: they are in nobody's way yet.
+    /// Adds the waiting tasks of a job to a backlog. Steps that are not
+    /// released are left out, since they don't compete for capacity yet.
     fn add_waiting(
         &self,
-        backlog: &mut Backlog<Place>,
+        backlog: &mut Backlog<RankKey>,
         id: JobId,
         live: &LiveJob,
         now: Millis,
@@ -251,13 +273,13 @@
             let tasks = run.waiting.len() as u32;
             let each = self.nominal_run_time(key);
             let work = Work::of(&step.footprint(), tasks, each);
-            let urgent = rank.urgent().then(|| place(&rank));
+            let urgent = rank.urgent().then(|| rank_key(&rank));
             backlog.add(live.account, &live.job.queue, &work, urgent);
         }
     }
 
-    /// Adds a job that is accepted now, all steps of which may yet wait, to
-    /// the backlog that is known.
+    /// Adds the first steps of a job that is being accepted to the computed
+    /// backlog.
     fn add_to_backlog(&mut self, id: JobId, now: Millis) {
         let Some(live) = self.jobs.get(&id) else { return };
         let key = StepKey { job: id, time: 0, step: 0 };
@@ -267,11 +289,11 @@
         let Some(backlog) = backlogs.get_mut(&live.queue.service) else {
             return;
         };
-        let urgent = rank.urgent().then(|| place(&rank));
+        let urgent = rank.urgent().then(|| rank_key(&rank));
         backlog.add(live.account, &live.job.queue, &work, urgent);
     }
 
-    /// The work of those steps of a job that are asked for.
+    /// The work of the steps of a job that `which` selects.
     fn work_of(
         &self,
         job: JobId,
@@ -287,8 +309,8 @@
         })
     }
 
-    /// How long a job should take from its start on, in milliseconds.
-    fn whole_chain(&self, job: JobId, live: &LiveJob) -> Millis {
+    /// How long a job should take from start to end, in milliseconds.
+    fn total_chain_time(&self, job: JobId, live: &LiveJob) -> Millis {
         let steps = (0..).zip(&live.job.steps);
         let first = steps.filter(|(_, step)| step.after.is_empty());
         let chains = first.map(|(number, _)| {
@@ -297,70 +319,75 @@
         chains.max().unwrap_or(0)
     }
 
-    /// When a job is to come back for which there is room from `from` on.
-    fn turn(
+    /// Schedules the retry of a job for which there should be capacity from
+    /// `from` on, and which then occupies it for `duration`. Returns when the
+    /// client is to retry.
+    fn schedule_retry(
         &mut self,
         id: JobId,
         from: Millis,
-        takes: Millis,
+        duration: Millis,
         now: Millis,
     ) -> Millis {
         if !self.is_enabled(Mechanism::ReturnTimes) {
             return now + RETRY_AFTER;
         }
         let Some(live) = self.jobs.get(&id) else { return now + RETRY_AFTER };
-        let line = (live.account, live.job.queue.clone());
-        let returns = &mut self.admission.returns;
-        let turn = returns.turn(id, line, from, takes, now);
-        returns.refused(id, live.arrived_at, true, turn);
-        turn
+        let lane = (live.account, live.job.queue.clone());
+        let schedule = &mut self.admission.retry_schedule;
+        let retry_at = schedule.schedule(id, lane, from, duration, now);
+        schedule.record(id, live.arrived_at, true, retry_at);
+        retry_at
     }
 
-    /// A job is refused for another reason than want of room; its client is
-    /// to come back after [`RETRY_AFTER`].
+    /// Records that a job is refused for another reason than lack of capacity.
+    /// Its client is to retry after [`RETRY_AFTER`].
     pub(super) fn record_refusal(
         &mut self,
         id: JobId,
-        first: Millis,
+        first_attempt: Millis,
         now: Millis,
     ) {
         if self.is_enabled(Mechanism::ReturnTimes) {
-            let returns = &mut self.admission.returns;
-            let first = returns.first(id).map_or(first, |(first, _)| first);
-            returns.refused(id, first, false, now + RETRY_AFTER);
+            let schedule = &mut self.admission.retry_schedule;
+            let first = schedule
+                .first_attempt(id)
+                .map_or(first_attempt, |(first, _)| first);
+            schedule.record(id, first, false, now + RETRY_AFTER);
         }
     }
 
-    /// Since when a job counts that is handed in now: since its first attempt.
-    /// One that was refused for another reason than want of room and can't
-    /// meet its objective any more counts as new: it is late whenever it ends,
-    /// but would be behind all that is new.
-    pub(super) fn counts_since(
+    /// The arrival time of a job that is submitted now: its first attempt. A
+    /// job that was refused for another reason than lack of capacity and can
+    /// no longer meet its objective counts as new. It will be late in any
+    /// case, but by its first attempt it would also rank behind all new jobs.
+    pub(super) fn effective_arrival(
         &self,
         job: &Job,
         queue: &Queue,
         now: Millis,
     ) -> Millis {
-        let Some((first, for_room)) = self.admission.returns.first(job.id)
+        let Some((first, for_capacity)) =
+            self.admission.retry_schedule.first_attempt(job.id)
         else {
             return now;
         };
         let chain = job.critical_path();
         let met = now + chain <= first + queue.objective(chain);
-        if met || for_room {
+        if met || for_capacity {
             first
         } else {
             now
         }
     }
 
-    /// A job is accepted.
-    pub(super) fn admitted(&mut self, id: JobId) {
-        self.admission.returns.accepted(id);
+    /// Records that a job is accepted.
+    pub(super) fn record_acceptance(&mut self, id: JobId) {
+        self.admission.retry_schedule.remove(id);
     }
 
-    /// Forgets refused clients that should have come back.
+    /// Forgets refused jobs that should have been retried by now.
     pub(super) fn forget_refusals(&mut self, now: Millis) {
-        self.admission.returns.forget(now);
+        self.admission.retry_schedule.forget(now);
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/requests.rs
+++ b/puffinknot-core/src/jobs/scheduler/requests.rs
@@ -102,19 +102,19 @@
         }
         let name = job.id;
         let over_rate = self.exceeds_rate(&job, now);
-        let since = self.counts_since(&job, &queue, now);
+        let since = self.effective_arrival(&job, &queue, now);
         let mut live = self.new_live_job(job, queue, since);
         if self.over_share(live.account) {
             self.count("jobs_over_share");
         }
         live.over_rate = over_rate;
         self.jobs.insert(name, live);
-        if let Some(after) = self.refuses(name, now) {
+        if let Some(after) = self.refuse_if_late(name, now) {
             self.jobs.remove(&name);
             return self.reply(id, Outcome::Refused(after));
         }
         self.count("submitted");
-        self.admitted(name);
+        self.record_acceptance(name);
         if let Some(live) = self.jobs.get_mut(&name) {
             live.submitters.push(id);
         }
--- a/puffinknot-core/src/jobs/scheduler/retry_schedule.rs
+++ b/puffinknot-core/src/jobs/scheduler/retry_schedule.rs
@@ -1,13 +1,14 @@
 /*!
-Clients that were refused, and when they are to come back.
+Retry times of refused jobs.
 
-Each is told a time of its own: when the backlog should have room for it, after
-those that were refused before it. One that is refused again keeps its turn.
-What comes back is as old as its first attempt, so that it goes before what is
-new of its like while its objective can be met. Later it counts as new if it
-was not for want of room that it was refused: its client can't help it.
+Each refused client is given its own retry time: when the backlog should have
+capacity for its job, after the jobs refused before it. A job that is refused
+again keeps its slot. A retried job is as old as its first attempt, so that it
+ranks ahead of newer jobs of the same kind while its objective can still be
+met. After that it counts as new, unless it was refused for lack of capacity:
+other refusals are beyond the client's control.
 
-A takeover forgets this. Clients then count as new, once.
+The schedule is lost on a takeover. Retried jobs then count as new once.
 */
 
 use std::collections::{BTreeMap, VecDeque};
@@ -16,103 +17,106 @@
 use crate::jobs::message::AccountIndex;
 use crate::jobs::model::JobId;
 
-/// How long clients go on trying, in milliseconds: four further attempts of up
-/// to 3 s each. None is told to come back later than that, and none is
-/// remembered for longer after its turn.
-const TRIES_FOR: Millis = 12_000;
-/// The most clients that are remembered; the ones refused first are forgotten
-/// first, and count as new.
-const MOST: usize = 20_000;
+/// How long clients keep retrying: four more attempts of up to 3 s each. No
+/// retry time is further ahead, and no job is remembered for longer after its
+/// retry time.
+const RETRY_WINDOW: Millis = 12_000;
+/// The most refused jobs that are remembered. The job refused first is
+/// forgotten first, and then counts as new.
+const MAX_REFUSALS: usize = 20_000;
 
-/// A client that was refused.
+/// A refused job.
 #[derive(Clone, Copy, Debug)]
-struct Refused {
-    /// When it came first.
-    first: Millis,
-    /// There was no room for it.
-    for_room: bool,
-    /// When it may come back.
-    turn: Millis,
+struct Refusal {
+    /// When it was first submitted.
+    first_attempt: Millis,
+    /// It was refused for lack of capacity.
+    for_capacity: bool,
+    /// When its client is to retry.
+    retry_at: Millis,
     /// When it may be forgotten.
-    until: Millis,
+    forget_at: Millis,
 }
 
-/// Jobs that take turns with each other: those of one account and queue.
-type Line = (Option<AccountIndex>, String);
+/// The jobs of one account and queue, which retry one after another.
+type Lane = (Option<AccountIndex>, String);
 
-/// The clients that were refused.
+/// The refused jobs and their retry times.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Returns {
-    jobs: BTreeMap<JobId, Refused>,
+pub(super) struct RetrySchedule {
+    jobs: BTreeMap<JobId, Refusal>,
     /// When each of them may be forgotten, in the order of refusals.
-    until: VecDeque<(Millis, JobId)>,
-    /// Until when the room of each line is taken by clients that were told to
-    /// come back.
-    lines: BTreeMap<Line, Millis>,
+    forget_order: VecDeque<(Millis, JobId)>,
+    /// Until when the capacity of each lane is taken by jobs that are to be
+    /// retried.
+    lanes: BTreeMap<Lane, Millis>,
 }
 
-impl Returns {
-    /// When a job was handed in first, if it was refused since, and whether
-    /// that was for want of room.
-    pub fn first(&self, job: JobId) -> Option<(Millis, bool)> {
+impl RetrySchedule {
+    /// When a refused job was first submitted, and whether it was refused for
+    /// lack of capacity.
+    pub fn first_attempt(&self, job: JobId) -> Option<(Millis, bool)> {
         let refused = self.jobs.get(&job)?;
-        Some((refused.first, refused.for_room))
+        Some((refused.first_attempt, refused.for_capacity))
     }
 
-    /// A job is refused that was handed in first at `first` and may come back
-    /// at `turn`.
-    pub fn refused(
+    /// Records the refusal of a job.
+    pub fn record(
         &mut self,
         job: JobId,
-        first: Millis,
-        for_room: bool,
-        turn: Millis,
+        first_attempt: Millis,
+        for_capacity: bool,
+        retry_at: Millis,
     ) {
-        while self.until.len() >= MOST {
+        while self.forget_order.len() >= MAX_REFUSALS {
             self.forget_oldest();
         }
-        let until = turn + TRIES_FOR;
-        self.jobs.insert(job, Refused { first, for_room, turn, until });
-        self.until.push_back((until, job));
+        let forget_at = retry_at + RETRY_WINDOW;
+        self.jobs.insert(
+            job,
+            Refusal { first_attempt, for_capacity, retry_at, forget_at },
+        );
+        self.forget_order.push_back((forget_at, job));
     }
 
-    /// When a job may come back for which there is room from `from` on at the
-    /// earliest, and which then takes the room of its line for `takes`.
-    pub fn turn(
+    /// Schedules the retry of a job for which there should be capacity from
+    /// `from` on, and which then occupies the capacity of its lane for
+    /// `duration`, in milliseconds.
+    pub fn schedule(
         &mut self,
         job: JobId,
-        line: Line,
+        lane: Lane,
         from: Millis,
-        takes: Millis,
+        duration: Millis,
         now: Millis,
     ) -> Millis {
-        let latest = now + TRIES_FOR;
+        let latest = now + RETRY_WINDOW;
         if let Some(known) = self.jobs.get(&job) {
-            return known.turn.max(from).min(latest);
+            return known.retry_at.max(from).min(latest);
         }
-        let next = self.lines.entry(line).or_default();
-        let turn = from.max(*next).min(latest);
-        *next = turn + takes;
-        turn
+        let next = self.lanes.entry(lane).or_default();
+        let retry_at = from.max(*next).min(latest);
+        *next = retry_at + duration;
+        retry_at
     }
 
-    /// The job is accepted.
-    pub fn accepted(&mut self, job: JobId) {
+    /// Removes a job that is accepted.
+    pub fn remove(&mut self, job: JobId) {
         self.jobs.remove(&job);
     }
 
-    /// Forgets who should have come back.
+    /// Forgets the jobs that should have been retried by now.
     pub fn forget(&mut self, now: Millis) {
-        while self.until.front().is_some_and(|(until, _)| *until <= now) {
+        while self.forget_order.front().is_some_and(|(at, _)| *at <= now) {
             self.forget_oldest();
         }
-        self.lines.retain(|_, next| *next > now);
+        self.lanes.retain(|_, next| *next > now);
     }
 
     fn forget_oldest(&mut self) {
-        let Some((until, job)) = self.until.pop_front() else { return };
-        // One that was refused again since is remembered for longer.
-        if self.jobs.get(&job).is_some_and(|known| known.until <= until) {
+        let Some((at, job)) = self.forget_order.pop_front() else { return };
+        // A job that was refused again since is remembered for longer.
+        if self.jobs.get(&job).is_some_and(|known| known.forget_at <= at) {
             self.jobs.remove(&job);
         }
     }
