--- a/puffinknot-core/src/jobs/scheduler/admission.rs
+++ b/puffinknot-core/src/jobs/scheduler/admission.rs
@@ -263,14 +263,14 @@
         live: &LiveJob,
         now: Millis,
     ) {
-        for (&(time, number), run) in &live.steps {
+        for (&(time, number), state) in &live.steps {
             let step = &live.job.steps[number as usize];
-            if step.lasting || !run.released || run.waiting.is_empty() {
+            if step.lasting || !state.released || state.waiting.is_empty() {
                 continue;
             }
             let key = StepKey { job: id, time, step: number };
             let Some(rank) = self.rank(key, now) else { continue };
-            let tasks = run.waiting.len() as u32;
+            let tasks = state.waiting.len() as u32;
             let each = self.nominal_run_time(key);
             let work = Work::of(&step.footprint(), tasks, each);
             let urgent = rank.urgent().then(|| rank_key(&rank));
--- a/puffinknot-core/src/jobs/scheduler/crash_suspects.rs
+++ b/puffinknot-core/src/jobs/scheduler/crash_suspects.rs
@@ -188,7 +188,7 @@
         if state.done.contains(&task.index) {
             return None;
         }
-        let losses = state.losses.entry(counted).or_default();
+        let losses = state.crash_evidence.entry(counted).or_default();
         let known = losses.runs > 0;
         let suspected = losses.add(loss, now);
         losses.weigh(|at| self.crash_rate.known_without(key, at, now));
@@ -196,7 +196,7 @@
         let waits = GANG_WAITS << losses.runs.min(MOST_DOUBLED);
         state.trial_wait_until = now + waits;
         if recorded.is_none() {
-            state.losses.remove(&counted);
+            state.crash_evidence.remove(&counted);
         }
         if known || recorded.is_some() {
             self.commits.job_progressed(task.step.job);
@@ -228,7 +228,7 @@
         task: TaskKey,
     ) -> Option<&CrashEvidence> {
         let counted = self.step(task.step)?.representative(task.index);
-        self.step_state(task.step)?.suspected_losses(counted)
+        self.step_state(task.step)?.trial_evidence(counted)
     }
 
     /// Starts those tasks of a step that need a trial, each where nothing
@@ -296,7 +296,8 @@
             return false;
         };
         let state = live.step_state(task.step.time, task.step.step);
-        let losses = state.and_then(|s| s.losses.get_mut(&counted.index));
+        let losses =
+            state.and_then(|s| s.crash_evidence.get_mut(&counted.index));
         let awaits = losses.is_some_and(|l| l.puts_off(rate, now));
         if awaits {
             self.count("trials_awaiting_calm");
--- a/puffinknot-core/src/jobs/scheduler/ledger.rs
+++ b/puffinknot-core/src/jobs/scheduler/ledger.rs
@@ -316,7 +316,7 @@
         for live in self.jobs.values().filter(|live| live.inherited) {
             let Some(account) = live.account else { continue };
             let sum = started.entry(account).or_default();
-            *sum = sum.plus(&live.waits_for());
+            *sum = sum.plus(&live.waiting_need());
         }
         for (at, entry) in self.ledger.entries.iter_mut().enumerate() {
             let started = started.get(&(at as AccountIndex));
@@ -362,7 +362,7 @@
         if self.takeover_deadline.is_none() || !live.inherited {
             return;
         }
-        let amount = live.waits_for();
+        let amount = live.waiting_need();
         let account = live.account;
         let charge = Charge { account, amount, urgent: false };
         if let Some(entry) = self.ledger.entry(&charge) {
--- a/puffinknot-core/src/jobs/scheduler/live_job.rs
+++ b/puffinknot-core/src/jobs/scheduler/live_job.rs
@@ -1,5 +1,5 @@
 /*!
-Jobs that have not ended, as the leader knows them.
+The leader's state of jobs that have not ended, and of their steps.
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,86 +14,90 @@
 use crate::jobs::record::{Progress, StepProgress};
 use crate::jobs::speed::StepTimes;
 
-/// An executor that advice allows a step to run on.
+/// The permission, given by advice, to run a step on an executor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Ticket {
+    /// The ticket as the start order carries it.
     pub text: String,
-    /// Until when it surely holds.
+    /// Until when it is certainly valid.
     pub valid_until: Millis,
 }
 
-/// What is known from advice about a step.
+/// The advice on where a step may run.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Advice {
-    /// The calls that are queued or under way.
+    /// The advice calls that are queued or in progress.
     pub open_calls: BTreeSet<CallId>,
-    /// The executors that may run the step.
+    /// The executors that may run the step, with their tickets.
     pub tickets: BTreeMap<ExecutorIndex, Ticket>,
-    /// The executors that were asked about.
+    /// The executors that advice was requested for.
     pub asked: BTreeSet<ExecutorIndex>,
-    /// All executors that may run the step were asked about when
+    /// The value of
     /// [`Executors::described`](crate::jobs::executors::Executors::described)
-    /// was this.
+    /// when advice had been requested for all executors that may run the step.
     pub all_asked: Option<u64>,
     /// Whether the first answer has come.
     pub answered: bool,
-    /// When executors that were not asked about before were asked about last.
+    /// When advice was last requested for further executors.
     pub widened_at: Millis,
 }
 
-/// A step that has begun or may begin.
+/// The state of a step, in one repetition of its job.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StepState {
-    /// Tasks that are to be started.
+    /// The tasks to be started.
     pub waiting: BTreeSet<u32>,
-    /// Where tasks are, and in which run.
+    /// The executor and the run of each placed task.
     pub placements: BTreeMap<u32, (ExecutorIndex, u64)>,
-    /// Runs beside those in `places`, which are being stopped.
-    pub strays: BTreeMap<u32, BTreeSet<(ExecutorIndex, u64)>>,
-    /// Tasks that are done.
+    /// Further runs of tasks in `placements`, which are being stopped.
+    pub extra_runs: BTreeMap<u32, BTreeSet<(ExecutorIndex, u64)>>,
+    /// The tasks that are done.
     pub done: BTreeSet<u32>,
-    /// The runs that have failed, by task; a gang counts as its first.
+    /// The runs that have failed, by task. The first task stands for a whole
+    /// gang.
     pub failed: BTreeMap<u32, BTreeSet<u64>>,
-    /// The executors that may have crashed by a task; a gang counts as its
-    /// first.
-    pub losses: BTreeMap<u32, CrashEvidence>,
-    /// Until when a gang that may have crashed executors waits for such on
-    /// which nothing else is under suspicion.
+    /// The evidence that a task crashes executors, by task. The first task
+    /// stands for a whole gang.
+    pub crash_evidence: BTreeMap<u32, CrashEvidence>,
+    /// Until when a gang that may have crashed executors waits for executors
+    /// without other suspects.
     pub trial_wait_until: Millis,
-    /// The number of executors that the last run of a gang was started on.
+    /// The number of executors on which the last run of a gang was started.
     pub executor_count: u32,
-    /// Executors on which runs of the step have failed.
+    /// The executors on which runs of the step have failed.
     pub failed_on: BTreeSet<ExecutorIndex>,
-    /// The last checkpoint of each task.
+    /// The last checkpoint of each task. The first task stands for a whole
+    /// gang.
     pub checkpoints: BTreeMap<u32, String>,
-    /// The run of a gang is over, and its members are being stopped.
+    /// The run of a gang has ended, and its other members are being stopped.
     pub stopping_gang: bool,
-    /// What is known from advice.
+    /// The advice on where the step may run.
     pub advice: Advice,
-    /// How long its runs have taken.
+    /// The run times of its tasks.
     pub times: StepTimes,
-    /// Tasks that have given way to others.
+    /// The tasks that have been preempted.
     pub preempted: BTreeSet<u32>,
-    /// Until when room is kept while others give way to it.
+    /// Until when capacity is reserved for it while preempted
+    /// runs stop.
     pub preempting_until: Millis,
-    /// When others may be asked to give way to it.
+    /// From when it may preempt other runs.
     pub preempt_from: Millis,
-    /// Whether a start was held back for urgent work.
+    /// Whether a start was held back for the sake of urgent work.
     pub held_back: bool,
-    /// Whether its turn has come: all that it depends on is done. What a
-    /// predecessor has started is reported in any order, so that a step may
-    /// be known before.
+    /// Whether all steps that it depends on are done. Executors report the
+    /// runs that a predecessor started in any order, so a step may have state
+    /// before it is released.
     pub released: bool,
 }
 
 impl StepState {
-    /// A step of which nothing has been done.
+    /// A step of which no task has started.
     pub fn new(step: &Step) -> StepState {
         let waiting = (0..step.count).collect();
         StepState { waiting, ..StepState::default() }
     }
 
-    /// Takes over what a predecessor has written.
+    /// Adds the progress that a predecessor stored.
     pub fn restore(&mut self, step: &Step, progress: &StepProgress) {
         if step.gang && !progress.done.is_empty() {
             self.done = (0..step.count).collect();
@@ -104,27 +108,32 @@
             let runs = runs.iter().copied();
             self.failed.entry(*index).or_default().extend(runs);
         }
-        self.losses.extend(progress.losses.clone());
+        self.crash_evidence.extend(progress.losses.clone());
         let done = &self.done;
         self.waiting.retain(|index| !done.contains(index));
     }
 
-    /// How long a run of a task has to be on an executor until it is known not
-    /// to crash it, in milliseconds. A gang counts as its first.
-    pub fn window(&self, counted: u32) -> Millis {
-        match self.losses.get(&counted) {
-            Some(losses) => losses.window(),
+    /// How long a run has to survive on an executor until it is known not to
+    /// crash it, in milliseconds. The first task stands for a whole gang.
+    pub fn window(&self, representative: u32) -> Millis {
+        match self.crash_evidence.get(&representative) {
+            Some(evidence) => evidence.window(),
             None => CrashEvidence::default().window(),
         }
     }
 
-    /// The losses of a task, if it needs a trial. A gang counts as its
-    /// first.
-    pub fn suspected_losses(&self, counted: u32) -> Option<&CrashEvidence> {
-        self.losses.get(&counted).filter(|losses| losses.suspect())
+    /// The crash evidence of a task, if the task needs a trial. The first task
+    /// stands for a whole gang.
+    pub fn trial_evidence(
+        &self,
+        representative: u32,
+    ) -> Option<&CrashEvidence> {
+        self.crash_evidence
+            .get(&representative)
+            .filter(|evidence| evidence.suspect())
     }
 
-    /// Where a task is, or all members of its gang are, and in which run.
+    /// The executor and the run of a task, or of each member of its gang.
     pub fn placements_of(
         &self,
         index: u32,
@@ -135,8 +144,9 @@
         places.map(|(member, place)| (*member, *place)).collect()
     }
 
-    /// A run of a task is at an executor. Wanted or not, the task is started
-    /// nowhere until it ends. Returns whether the task was to be started.
+    /// Adds a run that is on an executor. Even if it is not wanted, the task is
+    /// started nowhere else until it ends. Returns whether the task was waiting
+    /// to be started.
     pub fn add_run(
         &mut self,
         index: u32,
@@ -148,13 +158,14 @@
         }
         let place = *self.placements.entry(index).or_insert((at, run));
         if place != (at, run) {
-            self.strays.entry(index).or_default().insert((at, run));
+            self.extra_runs.entry(index).or_default().insert((at, run));
         }
         self.waiting.remove(&index)
     }
 
-    /// A run of a task is over. Returns whether it was the one that counts. If
-    /// another goes on, by `goes_on`, that is in its place.
+    /// Removes a run that has ended. Returns whether it was the run in
+    /// `placements`. If so, an extra run that still continues, according to
+    /// `goes_on`, takes its place.
     pub fn end_run(
         &mut self,
         index: u32,
@@ -162,10 +173,10 @@
         run: u64,
         goes_on: impl Fn(ExecutorIndex, u64) -> bool,
     ) -> bool {
-        let here = self.placements.get(&index) == Some(&(at, run));
-        let mut others = self.strays.remove(&index).unwrap_or_default();
+        let was_placed = self.placements.get(&index) == Some(&(at, run));
+        let mut others = self.extra_runs.remove(&index).unwrap_or_default();
         others.remove(&(at, run));
-        if here {
+        if was_placed {
             others.retain(|(at, run)| goes_on(*at, *run));
             match others.pop_last() {
                 Some(other) => self.placements.insert(index, other),
@@ -173,9 +184,9 @@
             };
         }
         if !others.is_empty() {
-            self.strays.insert(index, others);
+            self.extra_runs.insert(index, others);
         }
-        here
+        was_placed
     }
 
     /// Whether all tasks are done.
@@ -193,10 +204,12 @@
         let failed = failed
             .map(|(index, runs)| (*index, runs.iter().copied().collect()))
             .collect();
-        // What is done harms nobody any more.
-        let losses = self.losses.iter();
+        // A task that is done is not started again, so its evidence is not
+        // needed.
+        let losses = self.crash_evidence.iter();
         let losses = losses.filter(|(index, _)| !self.done.contains(index));
-        let losses = losses.map(|(i, losses)| (*i, losses.clone())).collect();
+        let losses =
+            losses.map(|(i, evidence)| (*i, evidence.clone())).collect();
         StepProgress { done, failed, losses }
     }
 }
@@ -206,73 +219,79 @@
 pub(super) struct LiveJob {
     pub job: Job,
     pub queue: Arc<Queue>,
-    /// The client account that it belongs to.
+    /// The client account that it belongs to, if any.
     pub account: Option<AccountIndex>,
+    /// The specification that is sent to its tasks.
     pub spec: Arc<str>,
-    /// It was handed in beyond its account's due.
+    /// Whether it was submitted over its account's job rate.
     pub over_rate: bool,
-    /// The order of arrival.
+    /// Its position in the order of arrival.
     pub arrival_seq: u64,
-    /// When this scheduler heard of it.
+    /// When it arrived: at the first attempt to submit it, or at the takeover
+    /// for an inherited job.
     pub arrived_at: Millis,
-    /// When its objective is over.
+    /// When its objective has passed.
     pub deadline: Millis,
-    /// Whether it stands in the store.
+    /// Whether it is in the store.
     pub written: bool,
-    /// Whether a predecessor may have started tasks of it.
+    /// Whether a predecessor accepted it, and may have started its tasks.
     pub inherited: bool,
-    /// Clients that wait for its acceptance.
+    /// Requests that wait for its acceptance.
     pub submitters: Vec<RequestId>,
-    /// Clients that wait for its cancellation.
+    /// Requests that wait for its cancellation.
     pub cancellers: Vec<RequestId>,
-    /// How it has ended, if that is not written yet.
+    /// How it has ended, while that is not stored yet.
     pub ended: Option<JobState>,
-    /// Whether any task has begun.
+    /// Whether any task has started.
     pub started: bool,
-    /// Its steps, by repetition and number, once they may begin.
+    /// The states of its steps, by repetition and step number.
     pub steps: BTreeMap<(u32, u32), StepState>,
-    /// The number of repetitions that have become due.
+    /// The number of repetitions that have become due so far.
     pub due_repeats: u32,
 }
 
 impl LiveJob {
-    /// Whether its tasks go before all that may wait.
+    /// Whether its tasks rank ahead of all tasks that are not urgent.
     pub fn is_urgent(&self) -> bool {
         self.queue.priority == 0 && !self.over_rate
     }
 
-    /// About how many bytes it takes to write it.
+    /// The approximate size of its stored form, in bytes.
     pub fn encoded_size(&self) -> usize {
-        const EACH: usize = 300;
-        const STEP: usize = 60;
-        let links: usize =
-            self.job.steps.iter().map(|step| STEP + step.after.len()).sum();
-        EACH + self.job.spec.len() + links
+        const JOB_BYTES: usize = 300;
+        const STEP_BYTES: usize = 60;
+        let links: usize = self
+            .job
+            .steps
+            .iter()
+            .map(|step| STEP_BYTES + step.after.len())
+            .sum();
+        JOB_BYTES + self.job.spec.len() + links
     }
 
-    /// What its tasks need that wait to be started. Of a job that a
-    /// predecessor accepted, they may run unseen.
-    pub fn waits_for(&self) -> Resources {
-        let steps = self.steps.iter().map(|(&(_, number), run)| {
+    /// The sum of what its waiting tasks need. Those of an inherited job may
+    /// already run without this leader knowing.
+    pub fn waiting_need(&self) -> Resources {
+        let steps = self.steps.iter().map(|(&(_, number), state)| {
             let need = self.job.steps[number as usize].need;
-            need.times(run.waiting.len() as u32)
+            need.times(state.waiting.len() as u32)
         });
         steps.fold(Resources::default(), |sum, need| sum.plus(&need))
     }
 
-    /// The progress to be written.
+    /// The progress to be stored.
     pub fn progress(&self) -> Progress {
         let mut progress = Progress::default();
-        for (&(time, number), run) in &self.steps {
-            let losses = &run.losses;
-            if run.done.is_empty()
-                && run.failed.is_empty()
-                && losses.is_empty()
+        for (&(time, number), state) in &self.steps {
+            let evidence = &state.crash_evidence;
+            if state.done.is_empty()
+                && state.failed.is_empty()
+                && evidence.is_empty()
             {
                 continue;
             }
             let step = &self.job.steps[number as usize];
-            progress.steps.insert((time, number), run.progress(step));
+            progress.steps.insert((time, number), state.progress(step));
         }
         progress
     }
@@ -280,14 +299,14 @@
     /// Whether every step of every repetition is done.
     pub fn is_complete(&self) -> bool {
         let all = self.job.times() as usize * self.job.steps.len();
-        let done = self.steps.iter().filter(|(&(_, number), run)| {
-            run.is_complete(&self.job.steps[number as usize])
+        let done = self.steps.iter().filter(|(&(_, number), state)| {
+            state.is_complete(&self.job.steps[number as usize])
         });
         done.count() == all
     }
 
-    /// A step, which is made known if it is not. None if there is no such
-    /// step.
+    /// The state of a step, which is created if needed. `None` if the job has
+    /// no such step or repetition.
     pub fn step_state(
         &mut self,
         time: u32,
@@ -297,8 +316,8 @@
         if time >= self.job.times() {
             return None;
         }
-        let run = self.steps.entry((time, number));
-        Some(run.or_insert_with(|| StepState::new(step)))
+        let state = self.steps.entry((time, number));
+        Some(state.or_insert_with(|| StepState::new(step)))
     }
 
     /// Releases the steps of a repetition whose dependencies are done, and
@@ -308,15 +327,15 @@
         for number in 0..self.job.steps.len() as u32 {
             let after = &self.job.steps[number as usize].after;
             let done = after.iter().all(|&before| {
-                let run = self.steps.get(&(time, before));
+                let state = self.steps.get(&(time, before));
                 let step = &self.job.steps[before as usize];
-                run.is_some_and(|run| run.is_complete(step))
+                state.is_some_and(|state| state.is_complete(step))
             });
             if !done {
                 continue;
             }
-            let Some(run) = self.step_state(time, number) else { continue };
-            if !std::mem::replace(&mut run.released, true) {
+            let Some(state) = self.step_state(time, number) else { continue };
+            if !std::mem::replace(&mut state.released, true) {
                 released.push(number);
             }
         }
--- a/puffinknot-core/src/jobs/scheduler/placement.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement.rs
@@ -255,7 +255,7 @@
         let (suspects, waiting): (Vec<u32>, Vec<u32>) = state
             .waiting
             .iter()
-            .partition(|index| state.suspected_losses(**index).is_some());
+            .partition(|index| state.trial_evidence(**index).is_some());
         let open = self.open_to(&opening, kept, urgent, now);
         let may_use = |at: ExecutorIndex| {
             open.binary_search_by_key(&at, |(at, _)| *at).is_ok()
--- a/puffinknot-core/src/jobs/scheduler/requests.rs
+++ b/puffinknot-core/src/jobs/scheduler/requests.rs
@@ -1,5 +1,5 @@
 /*!
-What clients want: to hand in, watch and cancel jobs.
+Requests of clients: submitting, querying and cancelling jobs.
 */
 
 use std::collections::BTreeMap;
@@ -14,19 +14,20 @@
 use crate::jobs::scheduler::live_job::LiveJob;
 use crate::jobs::scheduler::Scheduler;
 
-/// The most jobs that may be live; more are refused.
-const MAX_LIVE: usize = 20_000;
-/// When a refused client is told to come back, in milliseconds.
+/// The most live jobs. Further jobs are refused.
+const MAX_LIVE_JOBS: usize = 20_000;
+/// After which time a refused client is to retry, unless it is given another.
 pub(super) const RETRY_AFTER: Millis = 1_000;
 
-/// How long after it came a job may start at the latest to be in time, in
-/// milliseconds.
+/// How long after its arrival a job may start at the latest and still meet its
+/// objective, in milliseconds.
 pub(super) fn slack(job: &Job, queue: &Queue) -> Millis {
     let stretch = queue.stretch.max(1.0) - 1.0;
     (job.critical_path() as f64 * stretch) as Millis + queue.target
 }
 
 impl Scheduler {
+    /// Authorizes a request, and handles or refuses it.
     pub(super) fn request(
         &mut self,
         id: RequestId,
@@ -72,8 +73,9 @@
         let known = self.jobs.contains_key(&job.id)
             || self.ended.jobs.contains_key(&job.id);
         if known && !self.may_access(&scope, job.id) {
-            // Ids are drawn from so many that this is no accident. The answer
-            // is one that is also given for other reasons.
+            // Ids are random and too long to collide by accident. The reply
+            // is one that is also given for other reasons, so that it does not
+            // reveal that the job exists.
             self.count("refused_id_taken");
             return self.reply(id, Outcome::Refused(RETRY_AFTER));
         }
@@ -90,73 +92,74 @@
         let Some(queue) = self.queues.get(&job.queue).cloned() else {
             return self.reply(id, Outcome::NoSuchQueue);
         };
-        if let Some(why) = self.takes_none(&job, &queue, now) {
-            self.count(why);
+        if let Some(reason) = self.refusal_reason(&job, &queue, now) {
+            self.count(reason);
             self.record_refusal(job.id, now, now);
             return self.reply(id, Outcome::Refused(RETRY_AFTER));
         }
         job.account = scope.owner();
-        if self.over_limit(&job) {
+        if self.exceeds_limit(&job) {
             self.count("refused_over_limit");
             return self.reply(id, Outcome::OverLimit);
         }
-        let name = job.id;
+        let job_id = job.id;
         let over_rate = self.exceeds_rate(&job, now);
-        let since = self.effective_arrival(&job, &queue, now);
-        let mut live = self.new_live_job(job, queue, since);
+        let arrived_at = self.effective_arrival(&job, &queue, now);
+        let mut live = self.new_live_job(job, queue, arrived_at);
         if self.over_share(live.account) {
             self.count("jobs_over_share");
         }
         live.over_rate = over_rate;
-        self.jobs.insert(name, live);
-        if let Some(after) = self.refuse_if_late(name, now) {
-            self.jobs.remove(&name);
+        self.jobs.insert(job_id, live);
+        if let Some(after) = self.refuse_if_late(job_id, now) {
+            self.jobs.remove(&job_id);
             return self.reply(id, Outcome::Refused(after));
         }
         self.count("submitted");
-        self.record_acceptance(name);
-        if let Some(live) = self.jobs.get_mut(&name) {
+        self.record_acceptance(job_id);
+        if let Some(live) = self.jobs.get_mut(&job_id) {
             live.submitters.push(id);
         }
-        self.commits.job_accepted(name, now);
-        self.release_due_of(name, now);
-        self.prefetch_advice(name, now);
+        self.commits.job_accepted(job_id, now);
+        self.release_due_of(job_id, now);
+        self.prefetch_advice(job_id, now);
     }
 
-    /// Why no job can be taken now, if that is so, as a counter.
-    fn takes_none(
+    /// The counter of the reason for which a job is refused now, whatever the
+    /// backlog; `None` if there is no such reason.
+    fn refusal_reason(
         &self,
         job: &Job,
         queue: &Queue,
         now: Millis,
     ) -> Option<&'static str> {
-        if self.jobs.len() >= MAX_LIVE {
+        if self.jobs.len() >= MAX_LIVE_JOBS {
             return Some("refused_full");
         }
-        let hopeless = match self.is_enabled(Mechanism::AfterOutage) {
+        let store_unavailable = match self.is_enabled(Mechanism::AfterOutage) {
             true => !self.may_wait_for_store(job, queue, now),
             false => self.commits.is_stalled(now),
         };
-        if hopeless {
+        if store_unavailable {
             return Some("refused_store_trouble");
         }
         let cordoned = self.is_service_cordoned(&queue.service);
         (job.repeats.is_none() && cordoned).then_some("refused_cordoned")
     }
 
-    /// Whether the job has a gang that needs more than its account may have
-    /// running, so that it would wait for ever.
-    fn over_limit(&mut self, job: &Job) -> bool {
+    /// Whether a job has a gang or a task that needs more than the limit of
+    /// its account, so that it would wait forever.
+    fn exceeds_limit(&mut self, job: &Job) -> bool {
         let Some(account) = &job.account else { return false };
         let index = self.ledger.index(account);
         let most = self.ledger.limit_of(Some(index));
         job.steps.iter().any(|step| {
-            let together = if step.gang { step.count } else { 1 };
-            !most.fits(&step.need.times(together))
+            let tasks = if step.gang { step.count } else { 1 };
+            !most.fits(&step.need.times(tasks))
         })
     }
 
-    /// A job of which nothing is known yet.
+    /// The state of a job that has just arrived.
     pub(super) fn new_live_job(
         &mut self,
         job: Job,
@@ -204,9 +207,12 @@
 
     fn cancel(&mut self, id: RequestId, queue: &str, job: JobId) {
         let Some(live) = self.jobs.get_mut(&job) else {
-            let known = self.ended.jobs.contains_key(&job);
-            let outcome =
-                if known { Outcome::Cancelled } else { Outcome::NoSuchJob };
+            let has_ended = self.ended.jobs.contains_key(&job);
+            let outcome = if has_ended {
+                Outcome::Cancelled
+            } else {
+                Outcome::NoSuchJob
+            };
             return self.reply(id, outcome);
         };
         if live.job.queue != queue {
@@ -226,7 +232,7 @@
         self.jobs.values().filter(waits).count() as u64
     }
 
-    /// Ends a job: stops what runs of it and has the end written.
+    /// Ends a job: stops its runs, and queues its end to be stored.
     pub(super) fn finish(&mut self, job: JobId, state: JobState) {
         let Some(live) = self.jobs.get_mut(&job) else { return };
         if live.ended.is_some() {
@@ -236,11 +242,11 @@
         self.retain_unseen(job);
         let Some(live) = self.jobs.get_mut(&job) else { return };
         let mut placed = Vec::new();
-        for (&(time, step), run) in &mut live.steps {
+        for (&(time, step), state) in &mut live.steps {
             let step = StepKey { job, time, step };
             self.ready.remove(&step);
-            run.waiting.clear();
-            let places = std::mem::take(&mut run.placements);
+            state.waiting.clear();
+            let places = std::mem::take(&mut state.placements);
             let tasks = places
                 .into_iter()
                 .map(|(index, (at, run))| (at, step.task(index), run));
@@ -254,7 +260,7 @@
         self.commits.job_ended(job);
     }
 
-    /// Lets those steps begin whose turn has come.
+    /// Releases the repetitions of all repeating jobs that are due.
     pub(super) fn release_due(&mut self, now: Millis) {
         let waiting = self.jobs.iter().filter(|(_, live)| {
             live.job.repeats.is_some() && live.due_repeats < live.job.times()
@@ -265,7 +271,7 @@
         }
     }
 
-    /// Lets those repetitions of a job begin that are due.
+    /// Releases the repetitions of a job that are due.
     pub(super) fn release_due_of(&mut self, job: JobId, now: Millis) {
         let wall = (now as i64 + self.wall_offset).max(0) as Millis;
         let Some(live) = self.jobs.get_mut(&job) else { return };
@@ -284,7 +290,7 @@
         }
     }
 
-    /// Lets the steps of a repetition begin whose dependencies are done.
+    /// Releases the steps of a repetition whose dependencies are done.
     pub(super) fn release(&mut self, job: JobId, time: u32) {
         let Some(live) = self.jobs.get_mut(&job) else { return };
         if live.ended.is_some() || time >= live.due_repeats {
