--- a/puffinknot-core/src/jobs/scheduler/account_shares.rs
+++ b/puffinknot-core/src/jobs/scheduler/account_shares.rs
@@ -1,29 +1,34 @@
 /*!
-Which client accounts hold more than their share of a full cell.
-
-While something waits for room, each account has a part of what is held by
-weight, see [`fair`]; what one doesn't want is lent. An account that
-holds more than its fair share goes behind those that don't, so that what gets
-free returns to them. Nothing is stopped here.
-
-Urgent work counts by itself as well: against the urgent work of others, so
-that a flood of urgent steps gives way to theirs before it has taken the whole
-cell; and against the account's share of all work, so that such a flood also
-gives way to what may wait, where nobody else has urgent work. An account's
-long patient runs never put its urgent steps behind.
-
-An account is over its share only if it holds more than that now, and has held
-more in the mean for as long as callers can bear to wait: a short burst is no
-flood, and who has had much and holds nothing owes nothing. An account that
-holds nothing is never over its share, so that none is starved.
-
-What is held changes while steps are placed, and counts at once: when many runs
-of an account end together, it gets back its share of the room, not all of it.
-Shares are therefore of the room that was held when something last found none,
-and means go by what was held from one placing to the next.
-
-All this is kept by the leader alone. What accounts hold is the ledger's; a
-successor knows it when executors have answered, and begins the means at zero.
+Fair shares of client accounts in a full cell.
+
+While any step waits for capacity, the capacity in use is divided among the
+accounts by weight, and what an account doesn't need is lent to the others (see
+[`fair_share`](crate::jobs::fair_share)). An account that uses more than its
+fair share ranks behind the accounts that don't, so that capacity that becomes
+free goes to them. Nothing is stopped for a share.
+
+Urgent work is also measured by itself, in two ways. Measured against the
+urgent work of other accounts, a surge of urgent steps ranks behind theirs
+before it has taken the whole cell. Measured against the account's share of all
+work, such a surge ranks behind non-urgent work where no other account has
+urgent work. The long non-urgent runs of an account never make its urgent steps
+rank lower.
+
+An account is over its share only if its current usage exceeds the share, and
+its mean usage over the time that callers can wait does too. A short burst
+therefore has no effect, and past usage doesn't count against an account that
+uses little now. An account that uses nothing is never over its share, so none
+is starved.
+
+Usage changes while steps are placed, and counts at once: when many runs of an
+account end together, the account gets back its share of that capacity, not all
+of it. A share is therefore a share of the capacity that was in use when a step
+last found none free, and the mean is taken over the usage after each placement
+round.
+
+Only the leader keeps this state. Usage comes from the ledger, which is
+complete after a takeover once the executors have answered; the means of a
+successor start at zero.
 */
 
 use crate::config::Resources;
@@ -37,255 +42,273 @@
 use crate::jobs::scheduler::ledger::AccountUsage;
 use crate::jobs::scheduler::Scheduler;
 
-/// Shares are worked out at most so often, in milliseconds: runs that take
-/// less don't matter to anyone's share.
-const WEIGH_GAP: Millis = 20;
-/// The room of all executors is added up so often, in milliseconds.
-const MEASURE_GAP: Millis = 1_000;
-/// That an account is over its share is told at most so often, in
-/// milliseconds.
-const TELL_GAP: Millis = 1_000;
+/// The least time between two updates of the shares. Runs that take less don't
+/// matter to any account's share.
+const MIN_UPDATE_INTERVAL: Millis = 20;
+/// The time between two sums of the capacity of all usable executors, while
+/// the number of executors stays the same.
+const CAPACITY_REFRESH_INTERVAL: Millis = 1_000;
+/// The least time between two reports that an account is over its share.
+const MIN_REPORT_INTERVAL: Millis = 1_000;
 
-/// Shares that differ by less are the same.
-const ROUNDING: f64 = 1e-9;
+/// Shares that differ by less are considered equal.
+const SHARE_EPSILON: f64 = 1e-9;
 
-/// What counts for a share, and of what it is one.
+/// Which usage of an account is compared with which share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
-    /// All work, of all.
+enum ShareKind {
+    /// All work, with the share of all work.
     All,
-    /// Urgent work, of what is urgent.
+    /// Urgent work, with the share of urgent work.
     Urgent,
-    /// Urgent work, of all.
+    /// Urgent work, with the share of all work.
     UrgentOfAll,
 }
 
-const KINDS: [Kind; 3] = [Kind::All, Kind::Urgent, Kind::UrgentOfAll];
+const SHARE_KINDS: [ShareKind; 3] =
+    [ShareKind::All, ShareKind::Urgent, ShareKind::UrgentOfAll];
 
-impl Kind {
-    /// Whether it is a share of what urgent work holds.
-    fn is_among_urgent(self) -> bool {
-        self == Kind::Urgent
+impl ShareKind {
+    /// Whether the share is one of urgent work.
+    fn is_share_of_urgent(self) -> bool {
+        self == ShareKind::Urgent
     }
 
-    /// What of an account's holding counts.
-    fn of(self, holding: &AccountUsage) -> Resources {
+    /// The usage that counts.
+    fn usage_of(self, usage: &AccountUsage) -> Resources {
         match self {
-            Kind::All => holding.used,
-            Kind::Urgent | Kind::UrgentOfAll => holding.urgent,
+            ShareKind::All => usage.used,
+            ShareKind::Urgent | ShareKind::UrgentOfAll => usage.urgent,
         }
     }
 }
 
-/// How much of the cell's room an account holds and should hold.
+/// The usage of an account and its fair share, as dominant shares of the
+/// cell's capacity.
 #[derive(Clone, Copy, Debug, Default)]
 struct Standing {
-    /// What it held after the last placing.
-    held: f64,
+    /// The usage after the last placement round.
+    used: f64,
+    /// The recent mean of the usage.
     mean: RecentMean,
-    /// Its fair share, if there is not room for all.
+    /// The fair share; `None` while there is capacity for all.
     fair: Option<f64>,
 }
 
 impl Standing {
-    /// Whether it is over its share if it holds so much now.
-    fn is_over(&self, held: f64) -> bool {
-        let least = held.min(self.mean.get());
-        self.fair.is_some_and(|fair| least > fair + ROUNDING)
+    /// Whether the account is over its share if its current usage is `used`.
+    fn is_over(&self, used: f64) -> bool {
+        let least = used.min(self.mean.get());
+        self.fair.is_some_and(|fair| least > fair + SHARE_EPSILON)
     }
 }
 
-/// What is known of the shares of one account.
+/// The shares of one account.
 #[derive(Clone, Copy, Debug, Default)]
 struct AccountShare {
-    /// By [`Kind`].
+    /// One for each [`ShareKind`].
     standings: [Standing; 3],
-    told: Option<Millis>,
+    /// When it was last reported that the account is over its share.
+    reported_at: Option<Millis>,
 }
 
 /// The shares of all accounts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FairShares {
     accounts: Vec<AccountShare>,
-    /// The room of all executors together.
-    whole: Resources,
-    /// How many executors were known then, and when that was.
-    known: usize,
-    measured: Millis,
-    /// When shares were worked out last.
-    weighed: Millis,
-    /// Whether something waited for room at the last look.
+    /// The sum of the capacities of all usable executors.
+    total_capacity: Resources,
+    /// The number of executors when that was computed.
+    executor_count: usize,
+    /// When that was computed.
+    capacity_computed_at: Millis,
+    /// When the shares were last updated.
+    updated_at: Millis,
+    /// Whether a step found no capacity in the last placement pass.
     full: bool,
-    /// Whether something urgent did.
-    full_of_urgent: bool,
+    /// Whether an urgent step did.
+    full_for_urgent: bool,
 }
 
 impl FairShares {
-    /// The room of all executors together, as it was added up last.
+    /// The sum of the capacities of all usable executors, as of the last
+    /// refresh.
     pub fn total_capacity(&self) -> &Resources {
-        &self.whole
+        &self.total_capacity
     }
 
-    fn is_over(&self, at: AccountIndex, kind: Kind, held: f64) -> bool {
+    fn is_over(&self, at: AccountIndex, kind: ShareKind, used: f64) -> bool {
         let share = self.accounts.get(at as usize);
-        share.is_some_and(|s| s.standings[kind as usize].is_over(held))
+        share.is_some_and(|s| s.standings[kind as usize].is_over(used))
     }
 
-    /// Takes in what accounts hold and want of the same room, in the order of
-    /// the ledger. Those without a weight have no share to be over.
-    fn weigh(&mut self, claims: &[Claim], kind: Kind) {
-        let weighed = |claim: &Claim| claim.weight > 0.0;
-        let full = match kind.is_among_urgent() {
-            true => self.full_of_urgent,
+    /// Updates the fair shares by what accounts use and need of the same
+    /// capacity. `claims` are in the order of the ledger. Accounts without a
+    /// weight have no share that they could be over.
+    fn update(&mut self, claims: &[Claim], kind: ShareKind) {
+        let has_weight = |claim: &Claim| claim.weight > 0.0;
+        let full = match kind.is_share_of_urgent() {
+            true => self.full_for_urgent,
             false => self.full,
         };
-        let competing = claims.iter().copied().filter(weighed);
+        let competing = claims.iter().copied().filter(has_weight);
         let competing: Vec<Claim> = competing.collect();
         let now: f64 = competing.iter().map(|claim| claim.held).sum();
-        let both = claims.iter().zip(&self.accounts);
-        let both = both.filter(|(claim, _)| weighed(claim));
-        let before = both.map(|(_, s)| s.standings[kind as usize].held);
-        let room = now.max(before.sum());
-        let mut fair = fair_shares_of(room, &competing).into_iter();
+        let pairs = claims.iter().zip(&self.accounts);
+        let pairs = pairs.filter(|(claim, _)| has_weight(claim));
+        let before = pairs.map(|(_, s)| s.standings[kind as usize].used);
+        let capacity = now.max(before.sum());
+        let mut fair = fair_shares_of(capacity, &competing).into_iter();
         for (claim, share) in claims.iter().zip(&mut self.accounts) {
-            let fair = if weighed(claim) { fair.next() } else { None };
+            let fair = if has_weight(claim) { fair.next() } else { None };
             let fair = fair.filter(|_| full);
             share.standings[kind as usize].fair = fair;
-            if kind == Kind::All {
-                share.standings[Kind::UrgentOfAll as usize].fair = fair;
+            if kind == ShareKind::All {
+                share.standings[ShareKind::UrgentOfAll as usize].fair = fair;
             }
         }
     }
 
-    /// Takes in what has been held since the last time.
-    fn pass(&mut self, accounts: usize, periods: [Millis; 2], now: Millis) {
+    /// Updates the means by the usage since the last update. `periods` are
+    /// those of non-urgent and of urgent work, in milliseconds.
+    fn update_means(
+        &mut self,
+        accounts: usize,
+        periods: [Millis; 2],
+        now: Millis,
+    ) {
         self.accounts.resize(accounts, AccountShare::default());
         for share in &mut self.accounts {
-            for kind in KINDS {
-                let period = periods[usize::from(kind.is_among_urgent())];
+            for kind in SHARE_KINDS {
+                let period = periods[usize::from(kind.is_share_of_urgent())];
                 let standing = &mut share.standings[kind as usize];
-                standing.mean.update(standing.held, period, now);
+                standing.mean.update(standing.used, period, now);
             }
         }
     }
 }
 
 impl Scheduler {
-    /// Whether an account holds more than its share of a full cell.
+    /// Whether an account is over its share of a full cell.
     pub(super) fn over_share(&self, account: Option<AccountIndex>) -> bool {
-        self.is_over(account, Kind::All)
+        self.is_over(account, ShareKind::All)
     }
 
-    /// Whether an account's urgent work holds more than its share of what
-    /// urgent work holds.
+    /// Whether an account's urgent work is over the account's share of urgent
+    /// work in a full cell.
     pub(super) fn over_urgent_share(
         &self,
         account: Option<AccountIndex>,
     ) -> bool {
-        self.is_over(account, Kind::Urgent)
+        self.is_over(account, ShareKind::Urgent)
     }
 
-    /// Whether an account's urgent work alone holds more than the account's
-    /// share of a full cell.
+    /// Whether an account's urgent work alone is over the account's share of a
+    /// full cell.
     pub(super) fn urgent_over_total_share(
         &self,
         account: Option<AccountIndex>,
     ) -> bool {
-        self.is_over(account, Kind::UrgentOfAll)
+        self.is_over(account, ShareKind::UrgentOfAll)
     }
 
-    fn is_over(&self, account: Option<AccountIndex>, kind: Kind) -> bool {
+    fn is_over(&self, account: Option<AccountIndex>, kind: ShareKind) -> bool {
         let Some(at) = account else { return false };
-        let Some(holding) = self.ledger.account_usage(at) else {
+        let Some(usage) = self.ledger.account_usage(at) else {
             return false;
         };
         let shares = &self.account_shares;
-        let held = dominant_share(&kind.of(&holding), &shares.whole);
-        shares.is_over(at, kind, held)
+        let used =
+            dominant_share(&kind.usage_of(&usage), &shares.total_capacity);
+        shares.is_over(at, kind, used)
     }
 
-    /// Steps are about to be looked at: all of them, or the urgent ones.
+    /// Begins a placement pass over all steps, or over the urgent ones only.
     pub(super) fn begin_placement_pass(&mut self, all: bool) {
         let shares = &mut self.account_shares;
         shares.full &= !all;
-        shares.full_of_urgent = false;
+        shares.full_for_urgent = false;
     }
 
-    /// A step has tasks that find no room.
+    /// Records that tasks of a step find no capacity.
     pub(super) fn note_no_capacity(&mut self, key: StepKey) {
         let live = self.jobs.get(&key.job);
         let urgent = live.is_some_and(|live| live.queue.priority == 0);
         let shares = &mut self.account_shares;
         shares.full = true;
-        shares.full_of_urgent |= urgent;
+        shares.full_for_urgent |= urgent;
     }
 
-    /// Works out which accounts are over their shares, before steps are
+    /// Updates the capacity and the shares of all accounts, before steps are
     /// placed.
     pub(super) fn update_fair_shares(&mut self, now: Millis) {
-        if now < self.account_shares.weighed + WEIGH_GAP {
+        if now < self.account_shares.updated_at + MIN_UPDATE_INTERVAL {
             return;
         }
-        self.account_shares.weighed = now;
-        self.measure_room(now);
+        self.account_shares.updated_at = now;
+        self.refresh_capacity(now);
         if !self.is_enabled(Mechanism::CapacityShares)
             || !self.ledger.has_weights()
         {
             return;
         }
-        let periods = self.bearable();
+        let periods = self.averaging_periods();
         let accounts = self.ledger.account_count();
-        self.account_shares.pass(accounts, periods, now);
+        self.account_shares.update_means(accounts, periods, now);
         let [all, urgent] = self.claims();
-        self.account_shares.weigh(&all, Kind::All);
-        self.account_shares.weigh(&urgent, Kind::Urgent);
-        self.tell_over_shares(&all, now);
+        self.account_shares.update(&all, ShareKind::All);
+        self.account_shares.update(&urgent, ShareKind::Urgent);
+        self.report_over_share(&all, now);
     }
 
-    /// Takes down what accounts hold after shares were worked out and steps
-    /// were placed.
-    pub(super) fn record_holdings(&mut self, now: Millis) {
+    /// Records the usage of all accounts after steps were placed, if the
+    /// shares were updated in the same round.
+    pub(super) fn record_usage(&mut self, now: Millis) {
         let shares = &mut self.account_shares;
-        if shares.weighed != now {
+        if shares.updated_at != now {
             return;
         }
-        let holdings = self.ledger.account_usages();
-        for (holding, share) in holdings.zip(&mut shares.accounts) {
-            for kind in KINDS {
-                let held = kind.of(&holding);
-                let held = dominant_share(&held, &shares.whole);
-                share.standings[kind as usize].held = held;
+        let usages = self.ledger.account_usages();
+        for (usage, share) in usages.zip(&mut shares.accounts) {
+            for kind in SHARE_KINDS {
+                let used = kind.usage_of(&usage);
+                let used = dominant_share(&used, &shares.total_capacity);
+                share.standings[kind as usize].used = used;
             }
         }
     }
 
-    /// Adds up the room of all executors, if others are known than before, and
-    /// now and then.
-    fn measure_room(&mut self, now: Millis) {
-        let known = self.by_id.len();
+    /// Sums up the capacity of all usable executors, if the number of
+    /// executors has changed or the last sum is too old.
+    fn refresh_capacity(&mut self, now: Millis) {
+        let count = self.by_id.len();
         let shares = &mut self.account_shares;
-        if known == shares.known && now < shares.measured + MEASURE_GAP {
+        if count == shares.executor_count
+            && now < shares.capacity_computed_at + CAPACITY_REFRESH_INTERVAL
+        {
             return;
         }
-        (shares.known, shares.measured) = (known, now);
+        (shares.executor_count, shares.capacity_computed_at) = (count, now);
         let usable = self.executors.values().filter(|e| e.usable());
-        shares.whole = usable.fold(Resources::default(), |sum, executor| {
-            sum.plus(&executor.info.capacity)
-        });
+        shares.total_capacity = usable
+            .fold(Resources::default(), |sum, executor| {
+                sum.plus(&executor.info.capacity)
+            });
     }
 
-    /// How long callers can bear to wait, of patient and of urgent queues:
-    /// what the strictest adds to the work itself.
-    fn bearable(&self) -> [Millis; 2] {
-        let strictest = |urgent: bool| {
+    /// How long callers can wait, in milliseconds, for non-urgent and for
+    /// urgent queues: the smallest target of such a queue, which is the time
+    /// that the objective allows in addition to the work.
+    fn averaging_periods(&self) -> [Millis; 2] {
+        let least_target = |urgent: bool| {
             let queues = self.queues.values();
             let queues = queues.filter(|q| (q.priority == 0) == urgent);
             queues.map(|queue| queue.target).min().unwrap_or(0)
         };
-        [strictest(false), strictest(true)]
+        [least_target(false), least_target(true)]
     }
 
-    /// What accounts hold and want, of all and of what is urgent, in the
+    /// What accounts use and need, of all work and of urgent work, each in the
     /// order of the ledger.
     fn claims(&self) -> [Vec<Claim>; 2] {
         let nothing = [Resources::default(); 2];
@@ -293,27 +316,27 @@
         for key in &self.ready {
             let Some(live) = self.jobs.get(&key.job) else { continue };
             let Some(account) = live.account else { continue };
-            let Some(run) = live.steps.get(&(key.time, key.step)) else {
+            let Some(state) = live.steps.get(&(key.time, key.step)) else {
                 continue;
             };
             let need = live.job.steps[key.step as usize].need;
-            let need = need.times(run.waiting.len() as u32);
+            let need = need.times(state.waiting.len() as u32);
             let [all, urgent] = &mut waiting[account as usize];
             *all = all.plus(&need);
             if live.queue.priority == 0 {
                 *urgent = urgent.plus(&need);
             }
         }
-        let whole = &self.account_shares.whole;
-        [Kind::All, Kind::Urgent].map(|kind| {
-            let holdings = self.ledger.account_usages().zip(&waiting);
-            let claims = holdings.map(|(holding, waiting)| {
-                let waiting = &waiting[usize::from(kind.is_among_urgent())];
-                let held = kind.of(&holding);
-                let wants = held.plus(waiting).least(&holding.limit);
-                let held = dominant_share(&held, whole);
+        let whole = &self.account_shares.total_capacity;
+        [ShareKind::All, ShareKind::Urgent].map(|kind| {
+            let usages = self.ledger.account_usages().zip(&waiting);
+            let claims = usages.map(|(usage, waiting)| {
+                let waiting = &waiting[usize::from(kind.is_share_of_urgent())];
+                let used = kind.usage_of(&usage);
+                let wants = used.plus(waiting).least(&usage.limit);
+                let held = dominant_share(&used, whole);
                 Claim {
-                    weight: holding.weight,
+                    weight: usage.weight,
                     held,
                     wants: dominant_share(&wants, whole).max(held),
                 }
@@ -322,18 +345,23 @@
         })
     }
 
-    fn tell_over_shares(&mut self, claims: &[Claim], now: Millis) {
-        let mut told = Vec::new();
+    /// Reports the accounts that are over their shares.
+    fn report_over_share(&mut self, claims: &[Claim], now: Millis) {
+        let mut reported = Vec::new();
         let shares = &mut self.account_shares.accounts;
         for (at, share) in shares.iter_mut().enumerate() {
-            let standing = share.standings[Kind::All as usize];
+            let standing = share.standings[ShareKind::All as usize];
             let over = standing.is_over(claims[at].held);
-            if over && share.told.is_none_or(|at| now >= at + TELL_GAP) {
-                share.told = Some(now);
-                told.push(at as AccountIndex);
+            if over
+                && share
+                    .reported_at
+                    .is_none_or(|at| now >= at + MIN_REPORT_INTERVAL)
+            {
+                share.reported_at = Some(now);
+                reported.push(at as AccountIndex);
             }
         }
-        for account in told {
+        for account in reported {
             self.count("accounts_over_share");
             let name = self.ledger.name(account).unwrap_or_default();
             self.actions.push(Action::OverShare {
--- a/puffinknot-core/src/jobs/scheduler/live_job.rs
+++ b/puffinknot-core/src/jobs/scheduler/live_job.rs
@@ -77,8 +77,8 @@
     pub times: StepTimes,
     /// The tasks that have been preempted.
     pub preempted: BTreeSet<u32>,
-    /// Until when capacity is reserved for it while preempted
-    /// runs stop.
+    /// Until when capacity is reserved for it while preempted runs
+    /// stop.
     pub preempting_until: Millis,
     /// From when it may preempt other runs.
     pub preempt_from: Millis,
@@ -144,9 +144,9 @@
         places.map(|(member, place)| (*member, *place)).collect()
     }
 
-    /// Adds a run that is on an executor. Even if it is not wanted, the task is
-    /// started nowhere else until it ends. Returns whether the task was waiting
-    /// to be started.
+    /// Adds a run that is on an executor. Even if it is not wanted, the task
+    /// is started nowhere else until it ends. Returns whether the task was
+    /// waiting to be started.
     pub fn add_run(
         &mut self,
         index: u32,
--- a/puffinknot-core/src/jobs/scheduler/placement.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement.rs
@@ -125,7 +125,7 @@
                 plans += 1;
             }
         }
-        self.record_holdings(now);
+        self.record_usage(now);
     }
 
     pub(super) fn step(&self, key: StepKey) -> Option<&Step> {
