--- a/puffinknot-core/src/jobs/scheduler/crash_suspects.rs
+++ b/puffinknot-core/src/jobs/scheduler/crash_suspects.rs
@@ -1,14 +1,15 @@
 /*!
-Tasks that may crash the executors that start them, see
-[`crate::jobs::crash_evidence`].
+Isolation of tasks that may crash the executors that start them. For how
+crashes are weighed, see [`crate::jobs::crash_evidence`].
 
-A crash makes suspects of all runs that the executor was not heard to have
-survived. A suspect gets a *trial*: it starts on an executor where nothing
-else is under suspicion, beside as little work as can be, and nothing else
-starts there until the executor has been heard after the time in which the
-suspect may do harm. Then either it is cleared, or the executor crashes and
-there is one explanation. Few that have done so once are tried at a time, so
-that a client who hands many in does not take the cell from the others.
+When an executor crashes, every run there that it is not known to have survived
+becomes a suspect. A suspect is next started in a *trial*: on an executor
+without other suspects and with as little other work as possible. Nothing else
+starts there until the executor responds after the time within which the
+suspect could crash it. Then the suspect is cleared. If the executor crashes
+instead, the suspect is the only explanation. The number of concurrent trials
+of tasks that were the only suspect of a crash is limited, so that a client who
+submits many such tasks can't take the cell from others.
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,115 +23,121 @@
 use crate::jobs::scheduler::placement::PlacementContext;
 use crate::jobs::scheduler::Scheduler;
 
-/// One executor of a service in so many may be at risk by tasks that are
-/// known to have been alone with a crash: what an executor loses takes about
-/// as long to be found and to be done again as it is away.
-const RISKED: usize = 16;
-/// An executor that fell silent this long ago is no longer at risk, in
-/// milliseconds.
-const FORGOTTEN: Millis = 2_000;
-/// An executor is kept free of other starts for this long beyond the time
-/// after which a trial may begin there, in milliseconds.
-const KEPT_FOR: Millis = 500;
-/// An executor is first asked whether it has survived a trial after this
-/// time, in milliseconds, and again after twice the time until the trial is
-/// over: what crashes it in silence is missed sooner.
-const FIRST_LOOK: Millis = 100;
-/// After a crash, a gang that may have done it waits so long for executors on
-/// which nothing else is under suspicion, in milliseconds, and after each more
-/// twice as long: it is on several, and might not find them on a full cell.
-const GANG_WAITS: Millis = 1_500;
-/// The most often that this time is doubled.
-const MOST_DOUBLED: u32 = 4;
+/// One in this many executors of a service, but at least one, may be at risk
+/// from trials of tasks that were the only suspect of a crash. The work lost
+/// with an executor takes about as long to be detected and redone as the
+/// executor is away.
+const EXECUTORS_PER_RISKY_TRIAL: usize = 16;
+/// An executor no longer counts as at risk this long after it stopped
+/// responding.
+const RISK_EXPIRES_AFTER: Millis = 2_000;
+/// For how long an executor stays reserved for a trial after the trial could
+/// start there.
+const RESERVATION_GRACE: Millis = 500;
+/// The time from the start of a trial until its executor is first probed. Each
+/// further probe comes at twice the age of the one before, until the trial
+/// ends. A crash that breaks no connection is detected sooner that way.
+const FIRST_PROBE_AFTER: Millis = 100;
+/// The base of the time for which a gang that may have crashed an executor
+/// waits for executors without other suspects. The time doubles with each lost
+/// run. It is bounded, since a gang needs several executors and might not find
+/// such in a full cell.
+const GANG_TRIAL_WAIT: Millis = 1_500;
+/// The most doublings of [`GANG_TRIAL_WAIT`].
+const MAX_WAIT_DOUBLINGS: u32 = 4;
 
-/// Where a task may be tried. The least is best.
+/// An executor for the trial of a task. The least is best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TrialPlace {
-    /// The executor was not kept free for it.
-    not_kept: bool,
-    /// The task was there when the executor's machine, or another at its
-    /// address, crashed: that one may be to blame.
-    again: bool,
-    /// Something else there is under suspicion.
-    not_ready: bool,
-    /// What is left over there; for a task that was alone with a crash, the
-    /// work at risk.
+    /// The executor is not reserved for the task.
+    not_reserved: bool,
+    /// The task was lost before with an executor at this address, so that the
+    /// machine may be the cause.
+    same_address: bool,
+    /// The executor has other suspects.
+    has_suspects: bool,
+    /// The fit cost; for a task that was the only suspect of a crash, the work
+    /// at risk.
     cost: u64,
     at: ExecutorIndex,
 }
 
-/// An executor has crashed.
+/// A crash of an executor.
 pub(super) struct Crash {
-    /// The tasks that may have done it, each as it is counted.
+    /// The tasks that may have caused it. The first task stands for a whole
+    /// gang.
     suspects: BTreeSet<TaskKey>,
-    /// The runs that were there.
-    suspicions: Vec<Suspicion>,
+    /// The runs that were lost.
+    lost_runs: Vec<LostRun>,
 }
 
-/// A run that was on an executor that has crashed.
-struct Suspicion {
+/// A run that was lost with an executor.
+struct LostRun {
     task: TaskKey,
     executor: String,
     loss: RunLoss,
 }
 
 impl Scheduler {
-    /// How runs were lost with an executor whose life is over, if it has
-    /// crashed.
+    /// Determines whether an executor whose incarnation has ended has crashed.
+    /// If so, returns the runs lost with it and the suspects.
     pub(super) fn assess_crash(
         &self,
         index: ExecutorIndex,
         why: IncarnationEnd,
     ) -> Option<Crash> {
         let executor = self.executors.get(&index)?;
-        let down = self.machines.was_in_maintenance(executor);
+        let in_maintenance = self.machines.was_in_maintenance(executor);
         if !self.is_enabled(Mechanism::Trials)
-            || down
+            || in_maintenance
             || !has_crashed(executor, why)
         {
             return None;
         }
-        // One that has answered since has not crashed.
-        let missed = executor.unanswered_since?;
-        // What was ordered later never arrived.
-        let there = executor.runs.iter().chain(&executor.carried_over);
-        let there = there.filter(|(_, on)| on.placed_at < missed);
+        // An executor that has answered since has not crashed.
+        let unanswered_since = executor.unanswered_since?;
+        // Later orders never arrived.
+        let placed = executor.runs.iter().chain(&executor.carried_over);
+        let placed = placed.filter(|(_, on)| on.placed_at < unanswered_since);
         let mut lost: BTreeMap<u64, (TaskKey, &PlacedRun)> = BTreeMap::new();
-        lost.extend(there.map(|(task, on)| (on.run, (*task, on))));
-        let may_have = |on: &&PlacedRun| !executor.is_harmless(on);
+        lost.extend(placed.map(|(task, on)| (on.run, (*task, on))));
+        let is_suspect = |on: &&PlacedRun| !executor.is_harmless(on);
         let runs = lost.values().map(|(_, on)| *on);
-        let possible = runs.filter(may_have).count();
-        let suspicions = lost.values().map(|&(task, on)| Suspicion {
+        let suspect_count = runs.filter(is_suspect).count();
+        let lost_runs = lost.values().map(|&(task, on)| LostRun {
             task,
             executor: executor.info.id.clone(),
             loss: RunLoss {
                 run: on.run,
-                alone: possible == 1 && may_have(&on),
+                alone: suspect_count == 1 && is_suspect(&on),
                 confirmed: on.start_confirmed,
                 seen: executor.broke_off,
-                executors: self.spread(task.step),
+                executors: self.executors_of(task.step),
                 ran: executor.max_runtime(on),
                 survived: executor.survived(on),
                 address: executor.info.address.clone(),
             },
         });
-        let suspicions: Vec<Suspicion> = suspicions.collect();
-        // How old a run is that a predecessor has started is not known.
-        let suspects = suspicions.iter().filter(|s| !s.loss.clears());
-        let suspects = suspects.map(|s| self.counted(s.task)).collect();
-        Some(Crash { suspects, suspicions })
+        let lost_runs: Vec<LostRun> = lost_runs.collect();
+        // The age of a run that a predecessor started is not known, so it is
+        // a suspect unless this leader has seen it survive for long enough.
+        let suspects = lost_runs.iter().filter(|s| !s.loss.clears());
+        let suspects =
+            suspects.map(|s| self.representative_of(s.task)).collect();
+        Some(Crash { suspects, lost_runs })
     }
 
-    /// The task that stands for another in what is counted of crashes.
-    fn counted(&self, task: TaskKey) -> TaskKey {
+    /// The task that stands for another in crash evidence: the first task for
+    /// a whole gang.
+    fn representative_of(&self, task: TaskKey) -> TaskKey {
         let step = self.step(task.step);
         let index =
             step.map_or(task.index, |step| step.representative(task.index));
         task.step.task(index)
     }
 
-    /// The number of executors that a run of a step is on.
-    fn spread(&self, key: StepKey) -> u32 {
+    /// The number of executors that a run of a step uses.
+    fn executors_of(&self, key: StepKey) -> u32 {
         let gang = self.step(key).is_some_and(|step| step.gang);
         match self.step_state(key) {
             Some(state) if gang => state.executor_count,
@@ -138,13 +145,14 @@
         }
     }
 
-    /// Takes down what a crash tells, and gives up those tasks of which it
-    /// leaves no doubt.
+    /// Adds a crash to the evidence against its suspects, and gives up the
+    /// tasks for which chance is ruled out.
     pub(super) fn record_crash(&mut self, crash: Crash, now: Millis) {
         self.crash_rate.crashed(crash.suspects, now);
-        for Suspicion { task, executor, loss } in crash.suspicions {
-            let rate = self.crash_rate.without(self.counted(task), now);
-            let Some(losses) = self.record_loss(task, &loss, now) else {
+        for LostRun { task, executor, loss } in crash.lost_runs {
+            let rate =
+                self.crash_rate.without(self.representative_of(task), now);
+            let Some(evidence) = self.record_loss(task, &loss, now) else {
                 continue;
             };
             self.count("tasks_suspected");
@@ -152,51 +160,51 @@
                 task,
                 executor,
                 loss,
-                runs: losses.runs,
-                weight: losses.weight,
+                runs: evidence.runs,
+                weight: evidence.weight,
                 rate,
             });
-            if losses.rules_out_chance() {
-                self.give_up_task(task, losses);
+            if evidence.rules_out_chance() {
+                self.give_up_task(task, evidence);
             }
         }
     }
 
-    /// Counts the executors that may crash, now and then.
+    /// Passes the number of live executors to the crash rate at intervals.
     pub(super) fn count_live_executors(&mut self, now: Millis) {
         if self.crash_rate.is_due(now) {
             let executors = self.executors.values();
-            let living = executors.filter(|e| {
+            let live = executors.filter(|e| {
                 e.liveness == Liveness::Ready && e.unanswered_since.is_none()
             });
-            self.crash_rate.count(living.count(), now);
+            self.crash_rate.count(live.count(), now);
         }
     }
 
-    /// Takes down how a run was lost. Returns what is known of its task by
-    /// now, if it may have crashed the executor.
+    /// Adds the loss of a run to the evidence against its task. Returns the
+    /// evidence if the task may have crashed the executor.
     fn record_loss(
         &mut self,
         task: TaskKey,
         loss: &RunLoss,
         now: Millis,
     ) -> Option<CrashEvidence> {
-        let key = self.counted(task);
-        let counted = key.index;
+        let key = self.representative_of(task);
+        let representative = key.index;
         let live = self.jobs.get_mut(&task.step.job)?;
         let state = live.step_state(task.step.time, task.step.step)?;
         if state.done.contains(&task.index) {
             return None;
         }
-        let losses = state.crash_evidence.entry(counted).or_default();
-        let known = losses.runs > 0;
-        let suspected = losses.add(loss, now);
-        losses.weigh(|at| self.crash_rate.known_without(key, at, now));
-        let recorded = suspected.then(|| losses.clone());
-        let waits = GANG_WAITS << losses.runs.min(MOST_DOUBLED);
-        state.trial_wait_until = now + waits;
+        let evidence = state.crash_evidence.entry(representative).or_default();
+        let known = evidence.runs > 0;
+        let suspected = evidence.add(loss, now);
+        evidence.weigh(|at| self.crash_rate.known_without(key, at, now));
+        let recorded = suspected.then(|| evidence.clone());
+        let wait = GANG_TRIAL_WAIT << evidence.runs.min(MAX_WAIT_DOUBLINGS);
+        state.trial_wait_until = now + wait;
         if recorded.is_none() {
-            state.crash_evidence.remove(&counted);
+            state.crash_evidence.remove(&representative);
         }
         if known || recorded.is_some() {
             self.commits.job_progressed(task.step.job);
@@ -204,8 +212,9 @@
         recorded
     }
 
-    /// A task crashes the executors that start it: its job has failed.
-    fn give_up_task(&mut self, task: TaskKey, losses: CrashEvidence) {
+    /// Gives up a task that crashes the executors that start it, and fails its
+    /// job.
+    fn give_up_task(&mut self, task: TaskKey, evidence: CrashEvidence) {
         let Some(live) = self.jobs.get(&task.step.job) else { return };
         if live.ended.is_some() {
             return;
@@ -214,99 +223,101 @@
             task,
             account: live.job.account.clone(),
             queue: live.job.queue.clone(),
-            runs: losses.runs,
-            addresses: losses.addresses.into_iter().collect(),
+            runs: evidence.runs,
+            addresses: evidence.addresses.into_iter().collect(),
         });
         self.count("tasks_given_up");
-        self.crash_rate.explain(self.counted(task));
+        self.crash_rate.explain(self.representative_of(task));
         self.finish(task.step.job, JobState::Failed);
     }
 
-    /// The losses of a task, if it needs a trial.
-    pub(super) fn suspected_losses(
+    /// The crash evidence of a task, if the task needs a trial.
+    pub(super) fn trial_evidence(
         &self,
         task: TaskKey,
     ) -> Option<&CrashEvidence> {
-        let counted = self.step(task.step)?.representative(task.index);
-        self.step_state(task.step)?.trial_evidence(counted)
+        let representative = self.step(task.step)?.representative(task.index);
+        self.step_state(task.step)?.trial_evidence(representative)
     }
 
-    /// Starts those tasks of a step that need a trial, each where nothing
-    /// else is under suspicion. Returns whether only tickets are lacking.
+    /// Starts the tasks of a step that need a trial, each on an executor
+    /// without other suspects. Returns whether a task found executors, but
+    /// none with a valid ticket.
     pub(super) fn place_suspects(
         &mut self,
         key: StepKey,
-        opening: &PlacementContext,
+        context: &PlacementContext,
         suspects: Vec<u32>,
         may_use: impl Fn(ExecutorIndex) -> bool,
         now: Millis,
     ) -> bool {
-        let mut stale = false;
+        let mut lacks_tickets = false;
         for index in suspects {
             let task = key.task(index);
-            let Some(losses) = self.suspected_losses(task).cloned() else {
+            let Some(evidence) = self.trial_evidence(task).cloned() else {
                 continue;
             };
-            if !self.ledger.remaining(opening.account).fits(&opening.step.need)
+            if !self.ledger.remaining(context.account).fits(&context.step.need)
             {
                 break;
             }
-            if losses.weight > 0 && self.risks_enough(key, now) {
+            if evidence.weight > 0 && self.is_at_trial_limit(key, now) {
                 self.count("trials_put_off");
                 continue;
             }
             if self.postpone_trial(task, now) {
                 continue;
             }
-            let fits = opening.candidates.iter().copied().filter(|(at, _)| {
-                may_use(*at) && self.may_try(task, &opening.step, *at, now)
+            let fits = context.candidates.iter().copied().filter(|(at, _)| {
+                may_use(*at)
+                    && self.is_open_for_trial(task, &context.step, *at, now)
             });
-            let (holds, lacks): (Vec<_>, Vec<_>) =
-                fits.partition(|(_, holds)| *holds);
-            stale |= holds.is_empty() && !lacks.is_empty();
-            let places = holds.into_iter().filter_map(|(at, _)| {
-                self.trial_place(at, task, &losses, &opening.step, now)
+            let (valid, expired): (Vec<_>, Vec<_>) =
+                fits.partition(|(_, valid)| *valid);
+            lacks_tickets |= valid.is_empty() && !expired.is_empty();
+            let places = valid.into_iter().filter_map(|(at, _)| {
+                self.trial_place(at, task, &evidence, &context.step, now)
             });
             let Some(place) = places.min() else { continue };
-            if place.not_ready {
-                self.keep_for_trial(place.at, task, now);
+            if place.has_suspects {
+                self.reserve_for_trial(place.at, task, now);
                 continue;
             }
             let run = self.new_run_number();
             let ticket = self.ticket(key, place.at);
             self.start(place.at, task, run, ticket, now);
         }
-        stale
+        lacks_tickets
     }
 
-    /// Whether the next trial of a task is put off, since executors crash too
-    /// often for it to tell anything.
+    /// Whether the next trial of a task is postponed, since executors crash so
+    /// often that its result would mean little.
     pub(super) fn postpone_trial(
         &mut self,
         task: TaskKey,
         now: Millis,
     ) -> bool {
-        if !self.suspected_losses(task).is_some_and(CrashEvidence::may_settle)
-        {
+        if !self.trial_evidence(task).is_some_and(CrashEvidence::may_settle) {
             return false;
         }
-        let counted = self.counted(task);
-        let rate = self.crash_rate.without(counted, now);
+        let representative = self.representative_of(task);
+        let rate = self.crash_rate.without(representative, now);
         let Some(live) = self.jobs.get_mut(&task.step.job) else {
             return false;
         };
         let state = live.step_state(task.step.time, task.step.step);
-        let losses =
-            state.and_then(|s| s.crash_evidence.get_mut(&counted.index));
-        let awaits = losses.is_some_and(|l| l.puts_off(rate, now));
-        if awaits {
+        let evidence = state
+            .and_then(|s| s.crash_evidence.get_mut(&representative.index));
+        let postponed = evidence.is_some_and(|e| e.puts_off(rate, now));
+        if postponed {
             self.count("trials_awaiting_calm");
         }
-        awaits
+        postponed
     }
 
-    /// Whether a task has room on an executor that no other trial keeps.
-    fn may_try(
+    /// Whether an executor has capacity for the trial of a task, and is not
+    /// closed by another trial.
+    fn is_open_for_trial(
         &self,
         task: TaskKey,
         step: &Step,
@@ -317,33 +328,33 @@
         executor.free.fits(&step.footprint())
             && executor.breaker.admits(now)
             && !executor.is_closed_to(task, now)
-            && self.has_place(task.step, step, at)
+            && self.is_below_step_limit(task.step, step, at)
     }
 
-    /// How well an executor suits the trial of a task.
+    /// An executor as a place for the trial of a task.
     fn trial_place(
         &self,
         at: ExecutorIndex,
         task: TaskKey,
-        losses: &CrashEvidence,
+        evidence: &CrashEvidence,
         step: &Step,
         now: Millis,
     ) -> Option<TrialPlace> {
         let executor = self.executors.get(&at)?;
-        let cost = match losses.weight {
+        let cost = match evidence.weight {
             0 => self.fit_cost(at, step),
             _ => executor.at_risk(now),
         };
         Some(TrialPlace {
-            not_kept: !executor.is_kept_for(task, now),
-            again: losses.addresses.contains(&executor.info.address),
-            not_ready: !executor.all_harmless(),
+            not_reserved: !executor.is_kept_for(task, now),
+            same_address: evidence.addresses.contains(&executor.info.address),
+            has_suspects: !executor.all_harmless(),
             cost,
             at,
         })
     }
 
-    /// Whether a trial keeps others from being started on an executor.
+    /// Whether a trial keeps other tasks from starting on an executor.
     pub(super) fn is_closed_by_trial(
         &self,
         at: ExecutorIndex,
@@ -352,23 +363,27 @@
         self.executors.get(&at).is_some_and(|e| e.is_closed(now))
     }
 
-    /// Whether a crash of an executor would tell nothing of a gang that may
-    /// have crashed others: something else there is under suspicion, or it
-    /// was there before. A gang can't wait until it finds others.
+    /// Whether a crash of an executor would be no evidence against a gang that
+    /// is a suspect: the executor has other suspects, or the gang was lost
+    /// before with one at its address. Unlike a single task, a gang may start
+    /// there all the same, since it might never find other executors.
     pub(super) fn is_inconclusive_trial(
         &self,
         at: ExecutorIndex,
         gang: Option<&CrashEvidence>,
     ) -> bool {
-        let Some(losses) = gang else { return false };
+        let Some(evidence) = gang else { return false };
         self.executors.get(&at).is_none_or(|executor| {
-            let again = losses.addresses.contains(&executor.info.address);
-            again || !executor.all_harmless()
+            let same_address =
+                evidence.addresses.contains(&executor.info.address);
+            same_address || !executor.all_harmless()
         })
     }
 
-    /// Of the executors that a gang may use, those on which it is tried alone
-    /// if it may have crashed others. The rest is asked, so that it will do.
+    /// The executors that a gang may use for now. For a gang that needs a
+    /// trial and still waits for one, these are the executors in `open`
+    /// without suspects. The others are probed, so that their suspects get
+    /// cleared.
     pub(super) fn trial_candidates(
         &mut self,
         key: StepKey,
@@ -377,7 +392,7 @@
     ) -> Vec<ExecutorIndex> {
         let waits =
             self.step_state(key).is_some_and(|s| now < s.trial_wait_until);
-        if !waits || self.suspected_losses(key.task(0)).is_none() {
+        if !waits || self.trial_evidence(key.task(0)).is_none() {
             return open;
         }
         let (ready, others): (Vec<_>, Vec<_>) =
@@ -393,17 +408,22 @@
         ready
     }
 
-    /// Whether the step's bound on tasks on one executor leaves a place.
-    fn has_place(&self, key: StepKey, step: &Step, at: ExecutorIndex) -> bool {
+    /// Whether an executor has fewer tasks of a step than the step allows.
+    fn is_below_step_limit(
+        &self,
+        key: StepKey,
+        step: &Step,
+        at: ExecutorIndex,
+    ) -> bool {
         let most = step.max_per_executor;
         let Some(state) = self.step_state(key) else { return false };
         let there = state.placements.values().filter(|(on, _)| *on == at);
         most == 0 || there.count() < most as usize
     }
 
-    /// Whether as many executors are at risk as may be, by tasks that have
-    /// been alone with a crash.
-    fn risks_enough(&self, key: StepKey, now: Millis) -> bool {
+    /// Whether as many executors are at risk as allowed from trials of tasks
+    /// that were the only suspect of a crash.
+    fn is_at_trial_limit(&self, key: StepKey, now: Millis) -> bool {
         let Some(live) = self.jobs.get(&key.job) else { return true };
         let service = &live.queue.service;
         let all =
@@ -411,17 +431,18 @@
         let (mut known, mut risked) = (0, 0);
         for executor in all {
             known += 1;
-            let lately =
-                executor.unanswered_since.is_none_or(|m| now < m + FORGOTTEN);
-            let weighty =
+            let recent = executor
+                .unanswered_since
+                .is_none_or(|m| now < m + RISK_EXPIRES_AFTER);
+            let crashed_alone =
                 executor.trial.as_ref().is_some_and(|t| t.crashed_alone);
-            risked += usize::from(lately && weighty);
+            risked += usize::from(recent && crashed_alone);
         }
-        risked >= (known / RISKED).max(1)
+        risked >= (known / EXECUTORS_PER_RISKY_TRIAL).max(1)
     }
 
-    /// Keeps an executor free of other starts until a trial may begin there.
-    fn keep_for_trial(
+    /// Reserves an executor for a trial until the trial can start there.
+    fn reserve_for_trial(
         &mut self,
         at: ExecutorIndex,
         task: TaskKey,
@@ -432,14 +453,14 @@
             return;
         }
         let harmless = executor.harmless_from().max(now);
-        let until = harmless + KEPT_FOR;
+        let until = harmless + RESERVATION_GRACE;
         executor.trial =
             Some(Trial { task, run: None, until, crashed_alone: false });
         self.probe_at(at, harmless);
     }
 
-    /// A suspect was started: its executor takes nothing more until it is
-    /// known to have survived that.
+    /// Begins the trial of a suspect that was started: nothing else is started
+    /// on its executor until that is known to survive the suspect.
     pub(super) fn start_trial(
         &mut self,
         at: ExecutorIndex,
@@ -447,26 +468,27 @@
         run: u64,
         now: Millis,
     ) {
-        let Some(losses) = self.suspected_losses(task) else { return };
-        let (until, weighty) = (now + losses.window(), losses.weight > 0);
-        let first = until.min(now + FIRST_LOOK);
+        let Some(evidence) = self.trial_evidence(task) else { return };
+        let (until, risky) = (now + evidence.window(), evidence.weight > 0);
+        let first = until.min(now + FIRST_PROBE_AFTER);
         let Some(executor) = self.executors.get_mut(&at) else { return };
         let run = Some(run);
         executor.trial =
-            Some(Trial { task, run, until, crashed_alone: weighty });
+            Some(Trial { task, run, until, crashed_alone: risky });
         self.probe_at(at, first);
         self.count("trials");
     }
 
-    /// An executor has given account: has it survived its trial?
+    /// Handles a report of an executor with a trial: clears the suspect if the
+    /// executor has survived it, and else schedules the next probe.
     pub(super) fn check_trial(&mut self, at: ExecutorIndex, now: Millis) {
         let Some(executor) = self.executors.get_mut(&at) else { return };
         let Some(trial) = executor.trial.clone() else { return };
         let Some(run) = trial.run else { return };
         let mut tried = executor.runs.values().filter(|on| on.run == run);
         if let Some(on) = tried.find(|on| !executor.is_harmless(on)) {
-            let twice = now + now.saturating_sub(on.placed_at);
-            let next = trial.until.min(twice).max(now);
+            let at_twice_the_age = now + now.saturating_sub(on.placed_at);
+            let next = trial.until.min(at_twice_the_age).max(now);
             return self.probe_at(at, next);
         }
         executor.trial = None;
@@ -478,15 +500,15 @@
     }
 }
 
-/// Whether an executor whose life is over has crashed, as far as is known:
-/// it was not about to leave, nor was its machine called for.
+/// Whether an executor whose incarnation has ended has probably crashed: it
+/// was neither departing nor on a machine due for maintenance.
 fn has_crashed(executor: &Executor, why: IncarnationEnd) -> bool {
     let by_itself = matches!(
         why,
         IncarnationEnd::AnotherAnswers | IncarnationEnd::LeftMachine
     );
-    let wanted = executor.is_departing()
+    let planned = executor.is_departing()
         || executor.maintenance_due
         || executor.maintenance_ordered;
-    by_itself && !wanted
+    by_itself && !planned
 }
--- a/puffinknot-core/src/jobs/scheduler/gangs.rs
+++ b/puffinknot-core/src/jobs/scheduler/gangs.rs
@@ -89,7 +89,7 @@
             .collect();
         let open = self.trial_candidates(key, open, now);
         self.placement_stats.add_executors(open.len());
-        let suspect = self.suspected_losses(key.task(0)).cloned();
+        let suspect = self.trial_evidence(key.task(0)).cloned();
         let again = |at: ExecutorIndex| {
             failed_on.contains(&at)
                 || self.is_inconclusive_trial(at, suspect.as_ref())
