--- a/puffinknot-core/src/jobs/scheduler/admission.rs
+++ b/puffinknot-core/src/jobs/scheduler/admission.rs
@@ -251,7 +251,7 @@
             let tasks = run.waiting.len() as u32;
             let each = self.nominal_run_time(key);
             let work = Work::of(&step.footprint(), tasks, each);
-            let urgent = rank.urgent().then(|| place(&rank));
+            let urgent = rank.is_urgent().then(|| place(&rank));
             backlog.add(live.account, &live.job.queue, &work, urgent);
         }
     }
@@ -267,7 +267,7 @@
         let Some(backlog) = backlogs.get_mut(&live.queue.service) else {
             return;
         };
-        let urgent = rank.urgent().then(|| place(&rank));
+        let urgent = rank.is_urgent().then(|| place(&rank));
         backlog.add(live.account, &live.job.queue, &work, urgent);
     }
 
--- a/puffinknot-core/src/jobs/scheduler/advice.rs
+++ b/puffinknot-core/src/jobs/scheduler/advice.rs
@@ -232,7 +232,7 @@
         let Some(live) = self.jobs.get(&key.job) else { return };
         let Some(cost) = live.queue.advice else { return };
         let part = self.part(&cost, executors.len());
-        let urgent = self.rank(key, now).is_some_and(|rank| rank.urgent());
+        let urgent = self.rank(key, now).is_some_and(|rank| rank.is_urgent());
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
         let deadline = live.deadline;
         let place = (key.time, key.step);
--- a/puffinknot-core/src/jobs/scheduler/fit.rs
+++ b/puffinknot-core/src/jobs/scheduler/fit.rs
@@ -7,7 +7,9 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::ExecutorIndex;
 use crate::jobs::model::Step;
-use crate::jobs::scheduler::placement::{Kept, PlacementContext};
+use crate::jobs::scheduler::placement::{
+    AdvanceReservations, PlacementContext,
+};
 use crate::jobs::scheduler::Scheduler;
 
 /// Accelerators left over weigh more than processors and memory together:
@@ -19,10 +21,10 @@
     /// The candidates on which a step may start something now, whatever is
     /// free there: nothing is kept there for others that it would hold up.
     /// They are in order, as the candidates are.
-    pub(super) fn open_to(
+    pub(super) fn eligible_candidates(
         &self,
         opening: &PlacementContext,
-        kept: &Kept,
+        kept: &AdvanceReservations,
         urgent: bool,
         now: Millis,
     ) -> Vec<(ExecutorIndex, bool)> {
--- a/puffinknot-core/src/jobs/scheduler/gangs.rs
+++ b/puffinknot-core/src/jobs/scheduler/gangs.rs
@@ -15,7 +15,9 @@
 use crate::jobs::message::ExecutorIndex;
 use crate::jobs::model::{JobId, Step, StepKey};
 use crate::jobs::scheduler::fit::{fit_count, rest};
-use crate::jobs::scheduler::placement::{Kept, PlacementContext};
+use crate::jobs::scheduler::placement::{
+    AdvanceReservations, PlacementContext,
+};
 use crate::jobs::scheduler::run_time_estimate::expected_end;
 use crate::jobs::scheduler::Scheduler;
 
@@ -30,7 +32,7 @@
 
 /// Where some members of a gang have room.
 #[derive(Clone, Copy)]
-pub(super) struct Room {
+pub(super) struct MemberCapacity {
     pub at: ExecutorIndex,
     /// What is free there for the gang.
     free: Resources,
@@ -39,7 +41,7 @@
 }
 
 /// Whether all members of a gang have room there.
-fn hold(rooms: &[Room], step: &Step) -> bool {
+fn hold(rooms: &[MemberCapacity], step: &Step) -> bool {
     let total: u64 = rooms.iter().map(|room| u64::from(room.count)).sum();
     total >= u64::from(step.count)
 }
@@ -57,7 +59,7 @@
     pub(super) fn place_gang(
         &mut self,
         key: StepKey,
-        kept: &mut Kept,
+        kept: &mut AdvanceReservations,
         keep: bool,
         urgent: bool,
         now: Millis,
@@ -65,8 +67,8 @@
         if self.lacks_advice(key, now) {
             return true;
         }
-        if !keep && !urgent && self.surely_lacks_room(key, now) {
-            self.wait_without_room(key, now);
+        if !keep && !urgent && self.clearly_lacks_capacity(key, now) {
+            self.wait_unreserved(key, now);
             return false;
         }
         if self.postpone_trial(key.task(0), now) {
@@ -76,7 +78,7 @@
         let Some(opening) = self.placement_context(key, now) else {
             return true;
         };
-        let open = self.open_to(&opening, kept, urgent, now);
+        let open = self.eligible_candidates(&opening, kept, urgent, now);
         let PlacementContext { step, failed_on, candidates, .. } = opening;
         let state = self.step_state(key);
         if state.is_none_or(|s| s.waiting.len() as u32 != step.count) {
@@ -98,8 +100,8 @@
             let found = candidates.binary_search_by_key(&at, |(at, _)| *at);
             found.is_ok_and(|found| candidates[found].1)
         };
-        let rooms = self.rooms_for(key, &step, &open);
-        let plan = self.plan_alike(key, &step, &rooms, again, holds, now);
+        let rooms = self.member_capacities(key, &step, &open);
+        let plan = self.plan_by_speed(key, &step, &rooms, again, holds, now);
         if let Some((plan, fresh)) = plan {
             if fresh {
                 self.unreserve(key);
@@ -112,15 +114,15 @@
             self.request_advice(key, asked, now);
             return false;
         }
-        if self.is_displacing(key, now) {
+        if self.is_preempting(key, now) {
             return false;
         }
         self.note_no_capacity(key);
         self.unreserve(key);
         let waiting = Waiting { key, step: &step, count: step.count };
         let displaces = keep && self.is_enabled(Mechanism::GangPreemption);
-        if displaces && self.displace(&waiting, &open, now)
-            || urgent && self.make_way(&waiting, &open, now)
+        if displaces && self.preempt_for_gang(&waiting, &open, now)
+            || urgent && self.preempt_for_urgent(&waiting, &open, now)
         {
             return false;
         }
@@ -129,9 +131,9 @@
         self.widen_advice(key, now);
         let scarce = self.advice_scarce();
         if keep {
-            self.keep_for(&waiting, &all, !scarce, kept, now);
+            self.reserve_in_advance(&waiting, &all, !scarce, kept, now);
         }
-        if !scarce || !self.could_hold(&step, &all) {
+        if !scarce || !self.could_fit(&step, &all) {
             self.request_more_advice(key, now);
         }
         false
@@ -140,7 +142,7 @@
     /// Whether all that is free on the executors that may run a gang is too
     /// little, whether they take work now or not. Most gangs that wait in a
     /// full cell are done with by this.
-    fn surely_lacks_room(&self, key: StepKey, now: Millis) -> bool {
+    fn clearly_lacks_capacity(&self, key: StepKey, now: Millis) -> bool {
         let Some(live) = self.jobs.get(&key.job) else { return false };
         let Some(state) = live.steps.get(&(key.time, key.step)) else {
             return false;
@@ -169,42 +171,42 @@
     }
 
     /// A gang has no room, and none is kept for it.
-    fn wait_without_room(&mut self, key: StepKey, now: Millis) {
-        if self.is_displacing(key, now) {
+    fn wait_unreserved(&mut self, key: StepKey, now: Millis) {
+        if self.is_preempting(key, now) {
             return;
         }
         self.note_no_capacity(key);
         self.widen_advice(key, now);
         let scarce = self.advice_scarce();
-        if !scarce || !self.could_hold_all(key, now) {
+        if !scarce || !self.could_fit_all(key, now) {
             self.request_more_advice(key, now);
         }
     }
 
-    fn could_hold_all(&self, key: StepKey, now: Millis) -> bool {
+    fn could_fit_all(&self, key: StepKey, now: Millis) -> bool {
         let candidates = self.candidates(key, now);
         let all: Vec<ExecutorIndex> =
             candidates.iter().map(|(at, _)| *at).collect();
-        self.step(key).is_some_and(|step| self.could_hold(step, &all))
+        self.step(key).is_some_and(|step| self.could_fit(step, &all))
     }
 
     /// How many members of a gang have room on each of these executors, if
     /// all together have.
-    fn rooms_for(
+    fn member_capacities(
         &self,
         key: StepKey,
         step: &Step,
         executors: &[ExecutorIndex],
-    ) -> Vec<Room> {
+    ) -> Vec<MemberCapacity> {
         let rooms = executors.iter().filter_map(|&at| {
             let free = self.executors.get(&at)?.free_for(&key);
             let mut count = fit_count(&free, &step.footprint());
             if step.max_per_executor > 0 {
                 count = count.min(step.max_per_executor);
             }
-            (count > 0).then_some(Room { at, free, count })
+            (count > 0).then_some(MemberCapacity { at, free, count })
         });
-        let rooms: Vec<Room> = rooms.collect();
+        let rooms: Vec<MemberCapacity> = rooms.collect();
         if hold(&rooms, step) {
             rooms
         } else {
@@ -214,11 +216,11 @@
 
     /// How to spread a gang over executors that are alike, where its tickets
     /// hold, or else over all, if it fits; and whether its tickets hold there.
-    fn plan_alike(
+    fn plan_by_speed(
         &self,
         key: StepKey,
         step: &Step,
-        rooms: &[Room],
+        rooms: &[MemberCapacity],
         again: impl Fn(ExecutorIndex) -> bool,
         holds: impl Fn(ExecutorIndex) -> bool,
         now: Millis,
@@ -226,12 +228,13 @@
         if rooms.is_empty() {
             return None;
         }
-        let plan_on = |rooms: &[Room]| {
+        let plan_on = |rooms: &[MemberCapacity]| {
             let plan = self.plan(step, rooms, &again, &holds)?;
             let fresh = plan.iter().all(|(at, _)| holds(*at));
             Some((plan, fresh))
         };
-        let groups = self.alike(rooms, self.is_tight(key, now));
+        let groups =
+            self.speed_groups(rooms, self.needs_fast_executor(key, now));
         let mut on_alike = groups.iter().filter_map(|group| plan_on(group));
         on_alike.find(|(_, fresh)| *fresh).or_else(|| plan_on(rooms))
     }
@@ -243,19 +246,20 @@
     fn plan(
         &self,
         step: &Step,
-        rooms: &[Room],
+        rooms: &[MemberCapacity],
         again: impl Fn(ExecutorIndex) -> bool,
         holds: impl Fn(ExecutorIndex) -> bool,
     ) -> Option<Plan> {
         if !hold(rooms, step) {
             return None;
         }
-        let fits = rooms.iter().filter_map(|&Room { at, free, count }| {
-            let used = step.footprint().times(count.min(step.count));
-            let executor = self.executors.get(&at)?;
-            let left = rest(&free.minus(&used), &executor.info.capacity);
-            Some(((again(at), !holds(at), left), at, count))
-        });
+        let fits =
+            rooms.iter().filter_map(|&MemberCapacity { at, free, count }| {
+                let used = step.footprint().times(count.min(step.count));
+                let executor = self.executors.get(&at)?;
+                let left = rest(&free.minus(&used), &executor.info.capacity);
+                Some(((again(at), !holds(at), left), at, count))
+            });
         let mut fits: Vec<((bool, bool, u64), ExecutorIndex, u32)> =
             fits.collect();
         fits.sort_unstable();
@@ -344,7 +348,7 @@
 
     /// Whether these executors could hold a whole step if nothing else ran
     /// there.
-    pub(super) fn could_hold(
+    pub(super) fn could_fit(
         &self,
         step: &Step,
         executors: &[ExecutorIndex],
@@ -362,12 +366,12 @@
 
     /// Finds when `count` tasks of a step should fit on which executors, and
     /// keeps others off them. Asks for tickets in time, if it may.
-    pub(super) fn keep_for(
+    pub(super) fn reserve_in_advance(
         &mut self,
         waiting: &Waiting<'_>,
         executors: &[ExecutorIndex],
         may_ask: bool,
-        kept: &mut Kept,
+        kept: &mut AdvanceReservations,
         now: Millis,
     ) {
         let Waiting { key, step, count } = *waiting;
@@ -426,12 +430,12 @@
             chosen.push(at);
         }
         if may_ask && self.is_enabled(Mechanism::TicketsAhead) {
-            self.refresh_ahead(key, chosen, when, now);
+            self.prefetch_tickets(key, chosen, when, now);
         }
     }
 
     /// Asks for tickets if those at hand won't hold when they are needed.
-    fn refresh_ahead(
+    fn prefetch_tickets(
         &mut self,
         key: StepKey,
         executors: Vec<ExecutorIndex>,
--- a/puffinknot-core/src/jobs/scheduler/placement.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement.rs
@@ -1,8 +1,10 @@
 /*!
-Which task starts where.
+Placement: which task starts on which executor.
 
-Steps are taken in the order of [`super::ranking`]. Tasks go where they fit best,
-see [`super::fit`], so that gangs, see [`super::gangs`], find room.
+A placement round goes over the waiting steps in the order of
+[`super::ranking`]. Each task goes to the executor with the least fit cost, see
+[`super::fit`], which leaves large blocks of capacity free for gangs, see
+[`super::gangs`].
 */
 
 use std::cmp::Reverse;
@@ -20,53 +22,58 @@
 use crate::jobs::scheduler::ranking::Rank;
 use crate::jobs::scheduler::Scheduler;
 
-/// Gangs that wait get room kept for them, up to this many at a time.
-const MAX_PLANS: usize = 8;
-/// An executor on which a run of the step has failed is as bad as so many
+/// Once this many gangs and wide steps of a round are left waiting, no more
+/// capacity is reserved in advance.
+const MAX_ADVANCE_RESERVATIONS: usize = 8;
+/// What a failed run of the step on an executor adds to the fit cost there, in
 /// thousandths of an executor left over.
-const FAILED_THERE: u64 = 6_000;
-/// Tasks of which no executor holds more than this are wide.
-const WIDE: u32 = 2;
-/// If more steps than this wait that are not urgent, they are looked at only
-/// so often.
-const FEW_WAIT: usize = 8;
-/// With each so many steps that wait, all of them, urgent or not, are looked
-/// at less often by [`PLACE_GAP`]: else what gets free goes to urgent steps
-/// one by one, before others within their share are looked at.
-const CROWD: usize = 256;
-/// The time between two looks at them, in milliseconds.
-const PLACE_GAP: Millis = 20;
-/// The most tickets that are asked for anew in one call.
-const MOST_RENEWED: usize = 40;
+const PRIOR_FAILURE_COST: u64 = 6_000;
+/// A task is wide if no executor can hold more than this many of its step.
+const MAX_WIDE_PER_EXECUTOR: u32 = 2;
+/// If more steps than this wait that are not urgent, rounds that include them
+/// are at least [`FULL_ROUND_INTERVAL`] apart.
+const FEW_NORMAL_STEPS: usize = 8;
+/// Every this many waiting steps delay the round after a full one, also for
+/// urgent steps, by [`FULL_ROUND_INTERVAL`]. Otherwise capacity that becomes
+/// free goes to urgent steps one at a time, before other steps within their
+/// share are considered.
+const BACKLOG_UNIT: usize = 256;
+/// The time between two full rounds, which consider all steps.
+const FULL_ROUND_INTERVAL: Millis = 20;
+/// The maximum number of expired tickets that one call for advice renews.
+const MAX_TICKETS_PER_REFRESH: usize = 40;
 
-/// The executors that are kept for a gang, and from when it needs them.
-pub(super) type Kept = BTreeMap<ExecutorIndex, Millis>;
+/// The executors that are reserved for waiting steps, and when those steps
+/// need them. Other steps may use them until then.
+pub(super) type AdvanceReservations = BTreeMap<ExecutorIndex, Millis>;
 
-/// What the placing of a step begins with.
+/// The inputs for the placement of one step.
 pub(super) struct PlacementContext {
     pub key: StepKey,
     pub step: Step,
-    /// Executors on which runs of it have failed.
+    /// Executors on which runs of the step have failed.
     pub failed_on: BTreeSet<ExecutorIndex>,
-    /// Executors that may run it, and whether a ticket holds there.
+    /// Executors that may run the step, in ascending order, and whether it
+    /// has a valid ticket there.
     pub candidates: Vec<(ExecutorIndex, bool)>,
-    /// The client account that it counts for.
+    /// The client account that the step is charged to.
     pub account: Option<AccountIndex>,
 }
 
 impl Scheduler {
-    /// Starts what can be started. Urgent steps are looked at each time,
-    /// unless placing rests, see [`super::placement_rounds`]; while some others wait,
-    /// those are looked at less often.
+    /// Starts all tasks that can be started. Every round considers urgent
+    /// steps; while more than a few others wait, only some rounds consider
+    /// those. A round that comes too soon is deferred, see
+    /// [`super::placement_rounds`].
     pub(super) fn place(&mut self, now: Millis) {
         self.placement_stats.rounds += 1;
         self.place_round(now);
-        self.count_looked();
+        self.export_placement_stats();
     }
 
     fn place_round(&mut self, now: Millis) {
-        let crowds = (self.ready.len() / CROWD) as Millis;
-        let gap = PLACE_GAP * crowds;
+        let units = (self.ready.len() / BACKLOG_UNIT) as Millis;
+        let gap = FULL_ROUND_INTERVAL * units;
         if !self.placement_rounds.may_begin(now)
             || now < self.last_full_round + gap
         {
@@ -79,50 +86,65 @@
         let ready =
             ready.filter_map(|key| Some((self.rank(*key, now)?, *key)));
         let mut order: Vec<(Rank, StepKey)> = ready.collect();
-        self.give_turns(&mut order, now);
-        let patient = order.iter().filter(|(rank, _)| !rank.urgent()).count();
-        let due =
-            patient <= FEW_WAIT || now >= self.last_full_round + PLACE_GAP;
+        self.boost_late_steps(&mut order, now);
+        let normal =
+            order.iter().filter(|(rank, _)| !rank.is_urgent()).count();
+        let due = normal <= FEW_NORMAL_STEPS
+            || now >= self.last_full_round + FULL_ROUND_INTERVAL;
         let all = due && self.placement_rounds.may_take_all(now);
         self.placement_rounds.begin(all);
         if all {
             self.last_full_round = now;
         } else {
-            order.retain(|(rank, _)| rank.urgent());
+            order.retain(|(rank, _)| rank.is_urgent());
         }
         self.begin_placement_pass(all);
-        self.begin_looks();
+        self.reset_victim_searches();
         if all {
-            self.count_slots(&order, now);
+            self.update_urgent_slots(&order, now);
         }
         self.update_unseen();
-        let mut turns = LimitReservations::default();
-        let mut kept = Kept::new();
-        let mut plans = 0;
+        let mut limit_reservations = LimitReservations::default();
+        let mut reserved_from = AdvanceReservations::new();
+        let mut waiting_count = 0;
         self.placement_stats.steps += order.len() as u64;
         let mut order: BinaryHeap<Reverse<(Rank, StepKey)>> =
             order.into_iter().map(Reverse).collect();
         while let Some(Reverse((rank, key))) = order.pop() {
-            if let Some(behind) = self.behind(key, &rank) {
-                if all || behind.urgent() {
-                    order.push(Reverse((behind, key)));
+            if let Some(demoted) = self.demoted_rank(key, &rank) {
+                if all || demoted.is_urgent() {
+                    order.push(Reverse((demoted, key)));
                 }
                 continue;
             }
-            let urgent = rank.urgent();
-            if !self.may_place(key) || self.is_at_limit(key, &mut turns, now) {
+            let urgent = rank.is_urgent();
+            if !self.may_place(key)
+                || self.is_at_limit(key, &mut limit_reservations, now)
+            {
                 continue;
             }
             let gang = self.step(key).is_some_and(|s| s.gang && s.count > 1);
-            let keep = !urgent
-                && plans < MAX_PLANS
+            let may_reserve = !urgent
+                && waiting_count < MAX_ADVANCE_RESERVATIONS
                 && self.is_enabled(Mechanism::GangReservations);
             if gang {
-                if !self.place_gang(key, &mut kept, keep, urgent, now) {
-                    plans += 1;
+                if !self.place_gang(
+                    key,
+                    &mut reserved_from,
+                    may_reserve,
+                    urgent,
+                    now,
+                ) {
+                    waiting_count += 1;
                 }
-            } else if !self.place_tasks(key, &mut kept, keep, urgent, now) {
-                plans += 1;
+            } else if !self.place_tasks(
+                key,
+                &mut reserved_from,
+                may_reserve,
+                urgent,
+                now,
+            ) {
+                waiting_count += 1;
             }
         }
         self.record_holdings(now);
@@ -132,13 +154,13 @@
         self.jobs.get(&key.job)?.job.steps.get(key.step as usize)
     }
 
-    /// What is known of a step, once it may begin.
+    /// The state of a step, once there is any.
     pub(super) fn step_state(&self, key: StepKey) -> Option<&StepState> {
         self.jobs.get(&key.job)?.steps.get(&(key.time, key.step))
     }
 
-    /// Whether tasks of the step may be started at all. Steps with nothing
-    /// left to start are taken off the list.
+    /// Whether tasks of the step may be started now. A step with nothing to
+    /// start is removed from the ready set, and its reservations are released.
     fn may_place(&mut self, key: StepKey) -> bool {
         let Some(live) = self.jobs.get(&key.job) else {
             self.ready.remove(&key);
@@ -153,11 +175,12 @@
             self.unreserve(key);
             return false;
         }
-        let unsettled = live.inherited && self.takeover_deadline.is_some();
-        live.written && !unsettled
+        let taking_over = live.inherited && self.takeover_deadline.is_some();
+        live.written && !taking_over
     }
 
-    /// The executors that may run the step, and whether a ticket holds there.
+    /// The executors that may run the step, in ascending order, and whether it
+    /// has a valid ticket there. Steps of queues without advice need none.
     pub(super) fn candidates(
         &self,
         key: StepKey,
@@ -169,7 +192,7 @@
         };
         let step = &live.job.steps[key.step as usize];
         let label = step.label.as_deref();
-        let may = |executor: &Executor| {
+        let eligible = |executor: &Executor| {
             executor.usable()
                 && (executor.description == DescriptionSource::ByEntry
                     || self.entries_read)
@@ -180,24 +203,28 @@
         if live.queue.advice.is_none() {
             let all = self.executors.iter();
             return all
-                .filter(|(_, executor)| may(executor))
+                .filter(|(_, executor)| eligible(executor))
                 .map(|(index, _)| (*index, true))
                 .collect();
         }
-        let good = state.advice.tickets.iter();
-        good.filter(|(index, _)| self.executors.get(index).is_some_and(may))
+        let tickets = state.advice.tickets.iter();
+        tickets
+            .filter(|(index, _)| {
+                self.executors.get(index).is_some_and(eligible)
+            })
             .map(|(index, ticket)| (*index, ticket.valid_until > now))
             .collect()
     }
 
-    /// The ticket of a step for an executor; empty if it needs none.
+    /// The text of a step's ticket for an executor; empty if it has none.
     pub(super) fn ticket(&self, key: StepKey, at: ExecutorIndex) -> String {
         let state = self.step_state(key);
         let ticket = state.and_then(|state| state.advice.tickets.get(&at));
         ticket.map(|ticket| ticket.text.clone()).unwrap_or_default()
     }
 
-    /// Whether the step has to wait for its first advice.
+    /// Whether the step has to wait for its first advice, which is requested
+    /// if it has.
     pub(super) fn lacks_advice(&mut self, key: StepKey, now: Millis) -> bool {
         let Some(live) = self.jobs.get(&key.job) else { return true };
         if live.queue.advice.is_none() {
@@ -213,8 +240,8 @@
         true
     }
 
-    /// What the placing of a step begins with, unless it has to wait for its
-    /// first advice.
+    /// The inputs for the placement of a step, unless the step has to wait for
+    /// its first advice.
     pub(super) fn placement_context(
         &mut self,
         key: StepKey,
@@ -237,18 +264,18 @@
         Some(PlacementContext { key, step, failed_on, candidates, account })
     }
 
-    /// Places the tasks of a step one by one. If tasks are left that take up
-    /// much of an executor, room is kept for them, if `keep` says so. Returns
-    /// whether none was kept.
+    /// Places the tasks of a step one by one. If wide tasks are left and
+    /// `may_reserve` is set, reserves capacity for them in advance. Returns
+    /// whether no such reservation was attempted.
     fn place_tasks(
         &mut self,
         key: StepKey,
-        kept: &mut Kept,
-        keep: bool,
+        reserved_from: &mut AdvanceReservations,
+        may_reserve: bool,
         urgent: bool,
         now: Millis,
     ) -> bool {
-        let Some(opening) = self.placement_context(key, now) else {
+        let Some(context) = self.placement_context(key, now) else {
             return true;
         };
         let Some(state) = self.step_state(key) else { return true };
@@ -256,21 +283,22 @@
             .waiting
             .iter()
             .partition(|index| state.suspected_losses(**index).is_some());
-        let open = self.open_to(&opening, kept, urgent, now);
+        let open =
+            self.eligible_candidates(&context, reserved_from, urgent, now);
         let may_use = |at: ExecutorIndex| {
             open.binary_search_by_key(&at, |(at, _)| *at).is_ok()
         };
-        let mut stale =
-            self.place_suspects(key, &opening, suspects, may_use, now);
+        let mut expired_tickets =
+            self.place_suspects(key, &context, suspects, may_use, now);
         let PlacementContext { step, failed_on, candidates, account, .. } =
-            opening;
+            context;
         let Some(state) = self.step_state(key) else { return true };
-        let tight = self.is_tight(key, now);
-        let heeds = !urgent && self.heeds_slots(key, now);
+        let prefer_fast = self.needs_fast_executor(key, now);
+        let leave_slots = !urgent && self.must_leave_urgent_slots(key, now);
         let mut held_back = false;
-        let mut on: BTreeMap<ExecutorIndex, u32> = BTreeMap::new();
+        let mut per_executor: BTreeMap<ExecutorIndex, u32> = BTreeMap::new();
         for (index, _) in state.placements.values() {
-            *on.entry(*index).or_default() += 1;
+            *per_executor.entry(*index).or_default() += 1;
         }
         for index in waiting {
             if !self.ledger.remaining(account).fits(&step.need) {
@@ -285,31 +313,37 @@
                 !executor.is_closed(now)
                     && executor.free_for(&key).fits(&step.footprint())
                     && executor.breaker.admits(now)
-                    && (most == 0 || on.get(at).copied().unwrap_or(0) < most)
+                    && (most == 0
+                        || per_executor.get(at).copied().unwrap_or(0) < most)
             });
             let mut best: Option<(i64, ExecutorIndex)> = None;
-            for (at, holds) in fits {
-                if heeds && !self.leaves_slots(*at, &step.footprint()) {
+            for (at, has_ticket) in fits {
+                if leave_slots
+                    && !self.leaves_urgent_slots(*at, &step.footprint())
+                {
                     held_back = true;
                     continue;
                 }
-                if !holds {
-                    stale = true;
+                if !has_ticket {
+                    expired_tickets = true;
                     continue;
                 }
-                // Where it has failed it may fail again.
-                let again =
-                    if failed_on.contains(at) { FAILED_THERE } else { 0 };
-                let score = (self.fit_cost(*at, &step) + again) as i64
-                    + self.speed_cost(*at, tight);
-                if best.is_none_or(|(other, _)| score < other) {
-                    best = Some((score, *at));
+                // A step that failed on an executor may fail there again.
+                let penalty = if failed_on.contains(at) {
+                    PRIOR_FAILURE_COST
+                } else {
+                    0
+                };
+                let cost = (self.fit_cost(*at, &step) + penalty) as i64
+                    + self.speed_cost(*at, prefer_fast);
+                if best.is_none_or(|(other, _)| cost < other) {
+                    best = Some((cost, *at));
                 }
             }
             let Some((_, at)) = best else { break };
             let run = self.new_run_number();
             let ticket = self.ticket(key, at);
-            *on.entry(at).or_default() += 1;
+            *per_executor.entry(at).or_default() += 1;
             self.unreserve_one(key, at, &step);
             self.start(at, key.task(index), run, ticket, now);
         }
@@ -325,58 +359,78 @@
             return true;
         }
         self.widen_advice(key, now);
-        if stale {
-            // The room may be gone when the answer comes, and be elsewhere.
-            let aged = candidates.iter().filter(|(_, holds)| !holds);
-            let aged = aged.map(|(at, _)| *at).take(MOST_RENEWED).collect();
-            self.request_advice(key, aged, now);
+        if expired_tickets {
+            // By the time the advice arrives, the free capacity may have
+            // moved to other executors, so nothing is reserved here.
+            let expired =
+                candidates.iter().filter(|(_, has_ticket)| !has_ticket);
+            let expired = expired
+                .map(|(at, _)| *at)
+                .take(MAX_TICKETS_PER_REFRESH)
+                .collect();
+            self.request_advice(key, expired, now);
             return true;
         }
         self.note_no_capacity(key);
         let waiting = Waiting { key, step: &step, count };
         if urgent {
-            let fresh = open.iter().filter(|(at, holds)| {
-                *holds && !self.is_closed_by_trial(*at, now)
+            let with_ticket = open.iter().filter(|(at, has_ticket)| {
+                *has_ticket && !self.is_closed_by_trial(*at, now)
             });
-            let fresh: Vec<ExecutorIndex> = fresh.map(|(at, _)| *at).collect();
-            if self.make_way(&waiting, &fresh, now) {
+            let with_ticket: Vec<ExecutorIndex> =
+                with_ticket.map(|(at, _)| *at).collect();
+            if self.preempt_for_urgent(&waiting, &with_ticket, now) {
                 return true;
             }
         }
         let known: Vec<ExecutorIndex> =
             candidates.iter().map(|(at, _)| *at).collect();
-        !self.wait_for_room(&waiting, &known, keep, kept, now)
+        !self.wait_for_capacity(
+            &waiting,
+            &known,
+            may_reserve,
+            reserved_from,
+            now,
+        )
     }
 
-    /// Has room kept for tasks that have none, if they are wide and `keep`
-    /// says so, and asks about further executors. Returns whether room is
-    /// kept.
-    fn wait_for_room(
+    /// Reserves capacity in advance for tasks that found none, if they are
+    /// wide and `may_reserve` is set. Requests advice on more executors, unless
+    /// advice is scarce and the known ones could hold the step. Returns
+    /// whether a reservation was attempted.
+    fn wait_for_capacity(
         &mut self,
         waiting: &Waiting<'_>,
         known: &[ExecutorIndex],
-        keep: bool,
-        kept: &mut Kept,
+        may_reserve: bool,
+        reserved_from: &mut AdvanceReservations,
         now: Millis,
     ) -> bool {
-        let keeps = keep && self.is_wide(waiting.step, known);
-        if keeps {
-            let may_ask = !self.advice_scarce();
-            self.keep_for(waiting, known, may_ask, kept, now);
+        let reserves = may_reserve && self.is_wide(waiting.step, known);
+        if reserves {
+            let may_request = !self.advice_scarce();
+            self.reserve_in_advance(
+                waiting,
+                known,
+                may_request,
+                reserved_from,
+                now,
+            );
         }
-        if !self.advice_scarce() || !self.could_hold(waiting.step, known) {
+        if !self.advice_scarce() || !self.could_fit(waiting.step, known) {
             self.request_more_advice(waiting.key, now);
         }
-        keeps
+        reserves
     }
 
-    /// Whether hardly more than one task of a step has room on an executor:
-    /// it finds none while smaller ones take what gets free.
+    /// Whether executors can hold hardly more than one task of a step. Without
+    /// a reservation, smaller tasks take the capacity that becomes free, and
+    /// such a task is never placed.
     fn is_wide(&self, step: &Step, executors: &[ExecutorIndex]) -> bool {
         let known = executors.iter().filter_map(|at| self.executors.get(at));
         let most = known
             .map(|e| fit_count(&e.info.capacity, &step.footprint()))
             .max();
-        most.is_some_and(|most| most <= WIDE)
+        most.is_some_and(|most| most <= MAX_WIDE_PER_EXECUTOR)
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/placement_stats.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement_stats.rs
@@ -51,7 +51,7 @@
     }
 
     /// Takes over the totals into the counters.
-    pub(super) fn count_looked(&mut self) {
+    pub(super) fn export_placement_stats(&mut self) {
         let PlacementStats { rounds, deferred, steps, executors, runs } =
             self.placement_stats;
         let totals = [
--- a/puffinknot-core/src/jobs/scheduler/preemption.rs
+++ b/puffinknot-core/src/jobs/scheduler/preemption.rs
@@ -39,7 +39,7 @@
 const ENDS_SOON: Millis = 500;
 
 /// An executor that may be cleared for tasks of a step.
-struct Offer {
+struct PreemptionOption {
     at: ExecutorIndex,
     /// What is free there, once those chosen so far are gone.
     room: Resources,
@@ -62,7 +62,7 @@
 }
 
 /// What it takes that further members fit on an executor.
-struct Price {
+struct PreemptionCost {
     /// How many have to give way.
     victims: usize,
     /// How many members fit then besides.
@@ -71,9 +71,9 @@
     each: u32,
 }
 
-impl Offer {
+impl PreemptionOption {
     /// The price of the next members, if any others may give way for them.
-    fn next(&self, step: &Step) -> Option<Price> {
+    fn next(&self, step: &Step) -> Option<PreemptionCost> {
         let mut room = self.room;
         let mut freed = 0;
         for (at, victim) in self.others.iter().rev().enumerate() {
@@ -81,14 +81,14 @@
             freed += victim.need.cpu_millis;
             let gained = fits(&room, step).saturating_sub(self.fits);
             if let Some(each) = freed.checked_div(gained) {
-                return Some(Price { victims: at + 1, gained, each });
+                return Some(PreemptionCost { victims: at + 1, gained, each });
             }
         }
         None
     }
 
     /// Takes the next members at this price.
-    fn take(&mut self, price: &Price, step: &Step) {
+    fn take(&mut self, price: &PreemptionCost, step: &Step) {
         for _ in 0..price.victims {
             let Some(victim) = self.others.pop() else { return };
             self.room = self.room.plus(&victim.need);
@@ -109,7 +109,7 @@
 
 /// Chooses who gives way so that `count` tasks fit: always the cheapest next
 /// ones. Returns how many do.
-fn choose(offers: &mut [Offer], step: &Step, count: u32) -> u32 {
+fn choose(offers: &mut [PreemptionOption], step: &Step, count: u32) -> u32 {
     let mut free: u32 = offers.iter().map(|offer| offer.fits).sum();
     while free < count {
         let priced = offers.iter_mut().filter_map(|offer| {
@@ -125,8 +125,8 @@
 }
 
 /// Where `count` tasks go: first where others give way.
-fn plan(offers: &[Offer], count: u32) -> Plan {
-    let mut order: Vec<&Offer> = offers.iter().collect();
+fn plan(offers: &[PreemptionOption], count: u32) -> Plan {
+    let mut order: Vec<&PreemptionOption> = offers.iter().collect();
     order.sort_by_key(|offer| (offer.chosen.is_empty(), offer.at));
     // What was bought is used whole; the rest goes into free room.
     let mut left = count;
@@ -143,26 +143,26 @@
 
 impl Scheduler {
     /// Whether room that was bought for a step is kept while others stop.
-    pub(super) fn is_displacing(&self, key: StepKey, now: Millis) -> bool {
+    pub(super) fn is_preempting(&self, key: StepKey, now: Millis) -> bool {
         self.step_state(key).is_some_and(|state| now < state.preempting_until)
     }
 
     /// Has others give way to a gang that has no room on these executors, if
     /// it would be late otherwise. Returns whether room is kept for it.
-    pub(super) fn displace(
+    pub(super) fn preempt_for_gang(
         &mut self,
         waiting: &Waiting<'_>,
         executors: &[ExecutorIndex],
         now: Millis,
     ) -> bool {
-        self.may_displace(waiting.key, now)
-            && self.buy_room(waiting, executors, now)
+        self.may_preempt(waiting.key, now)
+            && self.preempt_runs(waiting, executors, now)
     }
 
     /// Has others give way to tasks of an urgent step that have no room on
     /// these executors, if they would be late otherwise. Returns whether room
     /// is kept for any.
-    pub(super) fn make_way(
+    pub(super) fn preempt_for_urgent(
         &mut self,
         waiting: &Waiting<'_>,
         executors: &[ExecutorIndex],
@@ -176,18 +176,18 @@
         {
             return false;
         }
-        if self.is_displacing(key, now) && self.keeps_usable(key) {
+        if self.is_preempting(key, now) && self.reservations_usable(key) {
             return true;
         }
         self.unreserve(key);
-        self.may_displace(key, now)
-            && self.may_look()
-            && self.buy_room(waiting, executors, now)
+        self.may_preempt(key, now)
+            && self.may_search_victims()
+            && self.preempt_runs(waiting, executors, now)
     }
 
     /// Whether all executors with room that is kept for a step may still be
     /// used.
-    fn keeps_usable(&self, key: StepKey) -> bool {
+    fn reservations_usable(&self, key: StepKey) -> bool {
         let kept = self.reservations.get(&key).into_iter().flatten();
         let mut kept = kept.map(|at| self.executors.get(at));
         kept.all(|executor| executor.is_some_and(Executor::usable))
@@ -195,7 +195,7 @@
 
     /// Has others give way to a step, to all of it if it is a gang. Returns
     /// whether room is kept for it.
-    fn buy_room(
+    fn preempt_runs(
         &mut self,
         waiting: &Waiting<'_>,
         executors: &[ExecutorIndex],
@@ -204,7 +204,7 @@
         let Waiting { key, step, count } = *waiting;
         let Some(live) = self.jobs.get(&key.job) else { return false };
         let priority = live.queue.priority;
-        let mut offers: Vec<Offer> = executors
+        let mut offers: Vec<PreemptionOption> = executors
             .iter()
             .filter_map(|&at| self.offer(at, key, step, priority, now))
             .collect();
@@ -213,7 +213,7 @@
         self.placement_stats.add_runs(known.map(|e| e.runs.len()).sum());
         let found = choose(&mut offers, step, count);
         if found == 0 || step.gang && found < count {
-            self.try_displacing(key, 0, now + TRY_AGAIN);
+            self.set_preemption_times(key, 0, now + TRY_AGAIN);
             return false;
         }
         let plan = plan(&offers, found);
@@ -221,7 +221,7 @@
             |at: ExecutorIndex| plan.iter().any(|(used, _)| *used == at);
         offers.retain(|offer| used(offer.at));
         self.reserve(key, step, &plan);
-        self.try_displacing(key, now + KEPT_FOR, now + KEPT_FOR);
+        self.set_preemption_times(key, now + KEPT_FOR, now + KEPT_FOR);
         let victims = offers.into_iter().flat_map(|offer| {
             let at = offer.at;
             offer.chosen.into_iter().map(move |victim| (at, victim))
@@ -237,7 +237,7 @@
             tasks: victims.len() as u32,
         });
         for (at, victim) in victims {
-            self.give_way(at, &victim);
+            self.preempt_run(at, &victim);
         }
         let asked = plan.into_iter().map(|(at, _)| at).collect();
         self.request_advice(key, asked, now);
@@ -246,10 +246,10 @@
 
     /// Whether a step may have others give way: it can still be in time, and
     /// has waited for long enough.
-    fn may_displace(&self, key: StepKey, now: Millis) -> bool {
+    fn may_preempt(&self, key: StepKey, now: Millis) -> bool {
         let Some(live) = self.jobs.get(&key.job) else { return false };
         let tried = self.step_state(key).map(|state| state.preempt_from);
-        if self.rank(key, now).is_none_or(|rank| rank.beyond()) {
+        if self.rank(key, now).is_none_or(|rank| rank.is_over_share()) {
             return false;
         }
         if live.job.repeats.is_some() || tried.is_none_or(|from| now < from) {
@@ -263,7 +263,12 @@
         now <= latest && now + unused as Millis >= latest
     }
 
-    fn try_displacing(&mut self, key: StepKey, until: Millis, from: Millis) {
+    fn set_preemption_times(
+        &mut self,
+        key: StepKey,
+        until: Millis,
+        from: Millis,
+    ) {
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
         if let Some(state) = live.step_state(key.time, key.step) {
             state.preempting_until = until;
@@ -279,7 +284,7 @@
         step: &Step,
         priority: u32,
         now: Millis,
-    ) -> Option<Offer> {
+    ) -> Option<PreemptionOption> {
         let executor: &Executor = self.executors.get(&at)?;
         let runs = executor.runs.iter();
         let mut others: Vec<Victim> = runs
@@ -296,7 +301,7 @@
         }
         let fits = fits(&room, step);
         let chosen = Vec::new();
-        Some(Offer { at, room, fits, others, chosen })
+        Some(PreemptionOption { at, room, fits, others, chosen })
     }
 
     /// What is free on an executor once those that stop have gone.
@@ -340,7 +345,7 @@
         (may && slack >= SLACK_LEFT).then_some(victim)
     }
 
-    fn give_way(&mut self, at: ExecutorIndex, victim: &Victim) {
+    fn preempt_run(&mut self, at: ExecutorIndex, victim: &Victim) {
         let key = victim.task.step;
         if let Some(live) = self.jobs.get_mut(&key.job) {
             if let Some(state) = live.step_state(key.time, key.step) {
--- a/puffinknot-core/src/jobs/scheduler/ranking.rs
+++ b/puffinknot-core/src/jobs/scheduler/ranking.rs
@@ -1,17 +1,18 @@
 /*!
-The one order in which steps are looked at, wherever they compete.
+The order in which steps are considered, wherever they compete.
 
-Urgent queues come first. What would take an account beyond its share of a full
-cell comes behind all else, see [`super::account_shares`].
+Steps are ranked by priority class first. Steps of urgent queues come first,
+and steps of accounts that hold more than their share of a full cell come last,
+see [`super::account_shares`].
 
-Within a class, what can still meet its objective comes first, by the latest
-start that does: the end of the objective less what is left of the job. Then
-comes what can be done while it is of some use, then the rest. Ordered by
-objectives alone, a cell that has too much to do would go on with what is
-already lost, and lose what it could have kept.
+Within a class, steps that can still meet their objective come first, ordered
+by latest start: the deadline less the remaining run time of the job. Steps
+that can still complete while they are useful come next, then the rest. In an
+overloaded cell, an order by deadline alone would start steps that are already
+late, and make the others late as well.
 
-So that what is late is not starved, the one that came first gets a turn every
-so often: it goes first in its class until all of it has started.
+To prevent starvation, the late step that arrived first is boosted from time
+to time: it goes first in its class until all of its tasks have started.
 */
 
 use std::collections::BTreeMap;
@@ -23,114 +24,124 @@
 use crate::jobs::scheduler::live_job::LiveJob;
 use crate::jobs::scheduler::Scheduler;
 
-/// A job that takes longer than so many times its objective is of little use.
-const OF_USE: Millis = 3;
-/// A late step gets a turn at most so often in each class, in milliseconds, so
-/// that nearly all room goes to what can be in time.
-const TURN_GAP: Millis = 1_000;
+/// A job that takes longer than this many times its objective is of little
+/// use.
+const USEFUL_OBJECTIVE_MULTIPLE: Millis = 3;
+/// The time between two boosts in a class, so that nearly all capacity goes to
+/// steps that can be in time.
+const BOOST_INTERVAL: Millis = 1_000;
 
-/// What a step competes with.
+/// The priority classes, in descending order of priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum PriorityClass {
-    /// Its queue is urgent.
+    /// The queue is urgent.
     Urgent,
-    /// The same, but its account has more than its share of what is urgent.
+    /// The queue is urgent, but the account's urgent runs hold more than
+    /// their share of the capacity that urgent runs hold.
     UrgentOverShare,
-    /// It may wait.
+    /// The queue is not urgent.
     Normal,
-    /// It is beyond what is its account's.
+    /// The account holds more than its share, or the job was submitted over
+    /// the account's rate. An urgent step within that rate is in this class
+    /// only if the account's urgent runs hold more than a share as well.
     OverShare,
 }
 
-/// What use it can be if it starts now.
+/// Whether a step that starts now meets its objective or is still useful.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timeliness {
-    /// Its objective can be met.
+    /// It can meet its objective.
     InTime,
-    /// It would be late, but of some use.
+    /// It would be late, but still useful.
     Late,
     /// It would be of little use.
     TooLate,
 }
 
-/// The place of a step in the order; the least comes first.
+/// The rank of a step. Lower ranks come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     pub class: PriorityClass,
     pub timeliness: Timeliness,
-    /// What it is ordered by among its like, in milliseconds.
+    /// The latest start or the deadline, by which steps of the same class and
+    /// timeliness are ordered.
     pub sort_key: Millis,
-    /// The order in which jobs came.
-    pub arrival: u64,
+    /// The sequence number of the job's arrival.
+    pub arrival_seq: u64,
 }
 
 impl Rank {
-    /// Whether it goes before all that may wait.
-    pub fn urgent(&self) -> bool {
+    /// Whether it comes before all steps that are not urgent.
+    pub fn is_urgent(&self) -> bool {
         self.class <= PriorityClass::UrgentOverShare
     }
 
-    /// Whether it goes behind all that is within an account's share.
-    pub fn beyond(&self) -> bool {
+    /// Whether it comes after all steps that are within their account's share.
+    pub fn is_over_share(&self) -> bool {
         self.class == PriorityClass::OverShare
     }
 }
 
-/// A late step that goes first in its class.
+/// The boost of one priority class: its step goes first.
 #[derive(Clone, Copy, Debug, Default)]
-struct Turn {
-    holder: Option<StepKey>,
-    /// When the next one may get a turn.
-    next: Millis,
+struct Boost {
+    step: Option<StepKey>,
+    /// When the next step may be boosted.
+    next_at: Millis,
 }
 
-/// The turns of all classes.
+/// The boosts by priority class.
 #[derive(Clone, Debug, Default)]
-pub(super) struct LateBoosts(BTreeMap<PriorityClass, Turn>);
+pub(super) struct LateBoosts(BTreeMap<PriorityClass, Boost>);
 
 impl Scheduler {
-    /// The place of a step in the order, if its job is live.
+    /// The rank of a step, if its job has not ended.
     pub(super) fn rank(&self, key: StepKey, now: Millis) -> Option<Rank> {
         let live = self.jobs.get(&key.job)?;
-        let class = self.class(live);
-        let arrival = live.arrival_seq;
-        let (reach, by) = if !self.is_enabled(Mechanism::OrderByObjective) {
-            (Timeliness::InTime, 0)
-        } else if self.is_enabled(Mechanism::LatestStart) {
-            self.timeliness(key, live, now)
-        } else {
-            (reach_by_deadline(live, now), live.deadline)
-        };
-        Some(Rank { class, timeliness: reach, sort_key: by, arrival })
+        let class = self.priority_class(live);
+        let arrival_seq = live.arrival_seq;
+        let (timeliness, sort_key) =
+            if !self.is_enabled(Mechanism::OrderByObjective) {
+                (Timeliness::InTime, 0)
+            } else if self.is_enabled(Mechanism::LatestStart) {
+                self.timeliness(key, live, now)
+            } else {
+                (timeliness_by_deadline(live, now), live.deadline)
+            };
+        Some(Rank { class, timeliness, sort_key, arrival_seq })
     }
 
-    fn class(&self, live: &LiveJob) -> PriorityClass {
-        let beyond = live.over_rate || self.over_share(live.account);
+    fn priority_class(&self, live: &LiveJob) -> PriorityClass {
+        let over_share = live.over_rate || self.over_share(live.account);
         if live.queue.priority > 0 {
-            return if beyond {
+            return if over_share {
                 PriorityClass::OverShare
             } else {
                 PriorityClass::Normal
             };
         }
-        let urgent = self.over_urgent_share(live.account);
-        let beyond =
-            beyond && urgent || self.urgent_over_total_share(live.account);
-        match (live.over_rate || beyond, urgent) {
+        let over_urgent_share = self.over_urgent_share(live.account);
+        let over_share = over_share && over_urgent_share
+            || self.urgent_over_total_share(live.account);
+        match (live.over_rate || over_share, over_urgent_share) {
             (true, _) => PriorityClass::OverShare,
             (false, true) => PriorityClass::UrgentOverShare,
             (false, false) => PriorityClass::Urgent,
         }
     }
 
-    /// The place of a step that has fallen behind since it was ranked: its
-    /// account has got more of the room meanwhile.
-    pub(super) fn behind(&self, key: StepKey, rank: &Rank) -> Option<Rank> {
-        let class = self.class(self.jobs.get(&key.job)?);
+    /// The new rank of a step whose priority class has become lower since it
+    /// was ranked, because its account holds more capacity by now.
+    pub(super) fn demoted_rank(
+        &self,
+        key: StepKey,
+        rank: &Rank,
+    ) -> Option<Rank> {
+        let class = self.priority_class(self.jobs.get(&key.job)?);
         (class > rank.class).then_some(Rank { class, ..*rank })
     }
 
-    /// What use a step can be if it starts now, and its latest start.
+    /// The timeliness of a step and its latest start.
     fn timeliness(
         &self,
         key: StepKey,
@@ -138,28 +149,30 @@
         now: Millis,
     ) -> (Timeliness, Millis) {
         let step = &live.job.steps[key.step as usize];
-        let left = self.remaining_chain_time(key)
-            + self.rounds_before(key, step, live);
-        let latest = live.deadline.saturating_sub(left);
-        // What goes on for long, or comes again, has no one end.
+        let remaining = self.remaining_chain_time(key)
+            + self.earlier_batches_time(key, step, live);
+        let latest_start = live.deadline.saturating_sub(remaining);
+        // Lasting steps and jobs that repeat have no single completion time.
         if step.lasting || live.job.repeats.is_some() {
-            return (reach_by_deadline(live, now), latest);
+            return (timeliness_by_deadline(live, now), latest_start);
         }
-        let whole = live.deadline.saturating_sub(live.arrived_at);
-        let of_use = live.arrived_at + OF_USE * whole;
-        let reach = if now <= latest {
+        let objective = live.deadline.saturating_sub(live.arrived_at);
+        let useful_until =
+            live.arrived_at + USEFUL_OBJECTIVE_MULTIPLE * objective;
+        let timeliness = if now <= latest_start {
             Timeliness::InTime
-        } else if now + left <= of_use {
+        } else if now + remaining <= useful_until {
             Timeliness::Late
         } else {
             Timeliness::TooLate
         };
-        (reach, latest)
+        (timeliness, latest_start)
     }
 
-    /// How long all but the last tasks of a step take that is wider than the
-    /// room, or than its account may run: it goes in several rounds.
-    fn rounds_before(
+    /// If a step has more waiting tasks than the whole cell or the account's
+    /// limit can hold at once, they run in batches. Returns how long all
+    /// batches but the last should take.
+    fn earlier_batches_time(
         &self,
         key: StepKey,
         step: &Step,
@@ -168,19 +181,21 @@
         if step.gang || step.count == 1 {
             return 0;
         }
-        let whole = self.account_shares.total_capacity();
-        let room = whole.least(&self.ledger.limit_of(live.account));
+        let cell = self.account_shares.total_capacity();
+        let capacity = cell.least(&self.ledger.limit_of(live.account));
         let waiting = live.steps.get(&(key.time, key.step));
         let waiting = waiting.map_or(0, |run| run.waiting.len()) as u32;
-        let rounds = waiting.div_ceil(fit_count(&room, &step.need).max(1));
-        if rounds < 2 || *whole == Default::default() {
+        let batches =
+            waiting.div_ceil(fit_count(&capacity, &step.need).max(1));
+        if batches < 2 || *cell == Default::default() {
             return 0;
         }
-        self.nominal_run_time(key) * Millis::from(rounds - 1)
+        self.nominal_run_time(key) * Millis::from(batches - 1)
     }
 
-    /// Puts those late steps first in their classes whose turn it is.
-    pub(super) fn give_turns(
+    /// Boosts late steps: puts the one that holds the boost of its class
+    /// first. A boost ends once its step is no longer waiting in that class.
+    pub(super) fn boost_late_steps(
         &mut self,
         order: &mut [(Rank, StepKey)],
         now: Millis,
@@ -192,45 +207,45 @@
             BTreeMap::new();
         for (rank, key) in order.iter() {
             if rank.timeliness > Timeliness::InTime {
-                let came = (rank.arrival, *key);
-                let first = first.entry(rank.class).or_insert(came);
-                *first = came.min(*first);
+                let arrival = (rank.arrival_seq, *key);
+                let first = first.entry(rank.class).or_insert(arrival);
+                *first = arrival.min(*first);
             }
         }
-        let turns = &mut self.late_turns.0;
-        for (class, turn) in turns.iter_mut() {
+        let boosts = &mut self.late_turns.0;
+        for (class, boost) in boosts.iter_mut() {
             let mut steps = order.iter();
-            let holds = |(rank, key): &(Rank, StepKey)| {
-                Some(*key) == turn.holder && rank.class == *class
+            let is_waiting = |(rank, key): &(Rank, StepKey)| {
+                Some(*key) == boost.step && rank.class == *class
             };
-            if turn.holder.is_some() && !steps.any(holds) {
-                turn.holder = None;
-                turn.next = now + TURN_GAP;
+            if boost.step.is_some() && !steps.any(is_waiting) {
+                boost.step = None;
+                boost.next_at = now + BOOST_INTERVAL;
             }
         }
-        let mut given = 0;
+        let mut boosted = 0;
         for (class, (_, key)) in first {
-            let turn = turns.entry(class).or_default();
-            if turn.holder.is_none() && now >= turn.next {
-                turn.holder = Some(key);
-                given += 1;
+            let boost = boosts.entry(class).or_default();
+            if boost.step.is_none() && now >= boost.next_at {
+                boost.step = Some(key);
+                boosted += 1;
             }
         }
-        let holders: Vec<StepKey> =
-            turns.values().filter_map(|turn| turn.holder).collect();
+        let boosted_steps: Vec<StepKey> =
+            boosts.values().filter_map(|boost| boost.step).collect();
         for (rank, key) in order.iter_mut() {
-            if holders.contains(key) {
+            if boosted_steps.contains(key) {
                 rank.timeliness = Timeliness::InTime;
                 rank.sort_key = 0;
             }
         }
-        for _ in 0..given {
+        for _ in 0..boosted {
             self.count("late_turns");
         }
     }
 }
 
-fn reach_by_deadline(live: &LiveJob, now: Millis) -> Timeliness {
+fn timeliness_by_deadline(live: &LiveJob, now: Millis) -> Timeliness {
     if live.deadline < now {
         Timeliness::Late
     } else {
--- a/puffinknot-core/src/jobs/scheduler/speeds.rs
+++ b/puffinknot-core/src/jobs/scheduler/speeds.rs
@@ -17,7 +17,7 @@
 use crate::jobs::model::{Step, StepKey, TaskKey};
 use crate::jobs::record::SHARD_COUNT;
 use crate::jobs::scheduler::event_lag::ReportTiming;
-use crate::jobs::scheduler::gangs::Room;
+use crate::jobs::scheduler::gangs::MemberCapacity;
 use crate::jobs::scheduler::live_job::StepState;
 use crate::jobs::scheduler::ranking::PriorityClass;
 use crate::jobs::scheduler::Scheduler;
@@ -171,7 +171,7 @@
         }
         error.note(step.estimate, &state.times);
         for finding in findings {
-            self.change_speed(finding.at, |speed| {
+            self.update_speed(finding.at, |speed| {
                 speed.note(finding.longer, finding.variance, now);
             });
         }
@@ -179,7 +179,7 @@
 
     /// Changes what is known of an executor, and says so if it differs from
     /// now on, or does no more.
-    fn change_speed(
+    fn update_speed(
         &mut self,
         at: ExecutorIndex,
         change: impl FnOnce(&mut Speed),
@@ -227,13 +227,13 @@
         for (task, ran) in overdue {
             self.count("runs_overdue");
             let again = noted == Some(task.step);
-            self.run_overdue(index, task, ran, again, now);
+            self.handle_overdue_run(index, task, ran, again, now);
             noted = Some(task.step);
         }
     }
 
     /// A run is overdue; `again`, if another of its step there is as well.
-    fn run_overdue(
+    fn handle_overdue_run(
         &mut self,
         index: ExecutorIndex,
         task: TaskKey,
@@ -272,7 +272,7 @@
         };
         let variance = by + error.uneven();
         let longer = (ran as f64 / usual as f64).ln();
-        self.change_speed(index, |speed| speed.overdue(longer, variance, now));
+        self.update_speed(index, |speed| speed.overdue(longer, variance, now));
     }
 
     /// Lets what is known of executors fade, and has the store keep what has
@@ -303,7 +303,7 @@
             }
         }
         for at in fades {
-            self.change_speed(at, |speed| speed.refresh(now));
+            self.update_speed(at, |speed| speed.refresh(now));
         }
         if let Some(id) = changed {
             self.commits.executor_changed(&id);
@@ -312,7 +312,11 @@
     }
 
     /// Whether a step may miss its objective unless it runs quickly.
-    pub(super) fn is_tight(&self, key: StepKey, now: Millis) -> bool {
+    pub(super) fn needs_fast_executor(
+        &self,
+        key: StepKey,
+        now: Millis,
+    ) -> bool {
         let Some(live) = self.jobs.get(&key.job) else { return false };
         let rank = self.rank(key, now);
         let urgent =
@@ -339,7 +343,11 @@
     /// The groups of executors of about the same speed that a gang should be
     /// tried on, in this order, before it is on all: its slowest member ends
     /// it, so that quick ones would be wasted beside others.
-    pub(super) fn alike(&self, rooms: &[Room], tight: bool) -> Vec<Vec<Room>> {
+    pub(super) fn speed_groups(
+        &self,
+        rooms: &[MemberCapacity],
+        tight: bool,
+    ) -> Vec<Vec<MemberCapacity>> {
         if rooms.iter().all(|room| self.slowness(room.at) == 0.0) {
             return Vec::new();
         }
--- a/puffinknot-core/src/jobs/scheduler/urgent_headroom.rs
+++ b/puffinknot-core/src/jobs/scheduler/urgent_headroom.rs
@@ -35,7 +35,7 @@
 const LEFT_ALONE: Millis = 10_000;
 /// Others are looked at that may give way to so many steps in one placing.
 /// What is left over has its turn in the next.
-const MOST_LOOKS: u32 = 8;
+const MAX_VICTIM_SEARCHES: u32 = 8;
 
 /// What is kept free for urgent tasks.
 #[derive(Clone, Debug, Default)]
@@ -55,7 +55,7 @@
 impl Scheduler {
     /// Counts anew how many slots for urgent tasks may be taken. `order` has
     /// all steps that wait.
-    pub(super) fn count_slots(
+    pub(super) fn update_urgent_slots(
         &mut self,
         order: &[(Rank, StepKey)],
         now: Millis,
@@ -66,7 +66,7 @@
         self.urgent_headroom.counted_at = now;
         self.urgent_headroom.spare = None;
         if !self.is_enabled(Mechanism::UrgentHeadroom)
-            || !self.has_both_kinds()
+            || !self.has_mixed_urgency()
         {
             return;
         }
@@ -81,19 +81,20 @@
             whole += u64::from(fit_count(&executor.info.capacity, &slot));
         }
         let wanted = self.urgent_headroom.headroom.wanted(&demand, whole);
-        let wanted = wanted.min(self.wanted_within(&demands, whole, now));
+        let wanted =
+            wanted.min(self.wanted_within_shares(&demands, whole, now));
         self.urgent_headroom.slot = slot;
         self.urgent_headroom.spare = Some(free.saturating_sub(wanted));
     }
 
     /// Whether some queues are urgent and others are not.
-    fn has_both_kinds(&self) -> bool {
+    fn has_mixed_urgency(&self) -> bool {
         let mut urgent = self.queues.values().map(|q| q.priority == 0);
         urgent.clone().any(|urgent| urgent) && !urgent.all(|urgent| urgent)
     }
 
     /// How many slots accounts want that are within their shares.
-    fn wanted_within(
+    fn wanted_within_shares(
         &mut self,
         demands: &BTreeMap<Option<AccountIndex>, Demand>,
         whole: u64,
@@ -108,7 +109,7 @@
         for (account, headroom) in &mut by_account {
             let demand = demands.get(account).copied().unwrap_or_default();
             headroom.observe(&demand, now);
-            if self.is_due_room(*account) {
+            if self.is_entitled_to_headroom(*account) {
                 wanted += headroom.wanted(&demand, whole);
             }
         }
@@ -117,12 +118,12 @@
     }
 
     /// Whether room may be kept for urgent work of an account.
-    fn is_due_room(&self, account: Option<AccountIndex>) -> bool {
-        !self.over_share(account) && self.is_urgent_due(account)
+    fn is_entitled_to_headroom(&self, account: Option<AccountIndex>) -> bool {
+        !self.over_share(account) && self.urgent_within_shares(account)
     }
 
     /// Whether an account's urgent work is within its shares.
-    fn is_urgent_due(&self, account: Option<AccountIndex>) -> bool {
+    fn urgent_within_shares(&self, account: Option<AccountIndex>) -> bool {
         !self.over_urgent_share(account)
             && !self.urgent_over_total_share(account)
     }
@@ -135,7 +136,7 @@
         let mut demands: BTreeMap<_, Demand> = BTreeMap::new();
         let runs = self.executors.values().flat_map(|e| e.runs.values());
         let within = |run: &&PlacedRun| {
-            run.urgent && self.is_urgent_due(run.charge.account)
+            run.urgent && self.urgent_within_shares(run.charge.account)
         };
         for run in runs.filter(within) {
             let demand = demands.entry(run.charge.account).or_default();
@@ -160,7 +161,11 @@
     }
 
     /// Whether a step has to leave free what is kept for urgent tasks.
-    pub(super) fn heeds_slots(&self, key: StepKey, now: Millis) -> bool {
+    pub(super) fn must_leave_urgent_slots(
+        &self,
+        key: StepKey,
+        now: Millis,
+    ) -> bool {
         if self.urgent_headroom.spare.is_none() {
             return false;
         }
@@ -171,7 +176,7 @@
 
     /// Whether a task with this need may start on an executor without taking
     /// a slot that is kept.
-    pub(super) fn leaves_slots(
+    pub(super) fn leaves_urgent_slots(
         &self,
         at: ExecutorIndex,
         need: &Resources,
@@ -220,13 +225,13 @@
         }
     }
 
-    pub(super) fn begin_looks(&mut self) {
+    pub(super) fn reset_victim_searches(&mut self) {
         self.urgent_headroom.looks = 0;
     }
 
     /// Whether others may be looked at that could give way to an urgent step.
-    pub(super) fn may_look(&mut self) -> bool {
-        let may = self.urgent_headroom.looks < MOST_LOOKS;
+    pub(super) fn may_search_victims(&mut self) -> bool {
+        let may = self.urgent_headroom.looks < MAX_VICTIM_SEARCHES;
         self.urgent_headroom.looks += u32::from(may);
         may
     }
