--- a/puffinknot-core/src/jobs/scheduler/fit.rs
+++ b/puffinknot-core/src/jobs/scheduler/fit.rs
@@ -1,5 +1,5 @@
 /*!
-Where a task may go, and where it fits best.
+Which executors a task may use, and how well it fits there.
 */
 
 use crate::config::Resources;
@@ -12,70 +12,73 @@
 };
 use crate::jobs::scheduler::Scheduler;
 
-/// Accelerators left over weigh more than processors and memory together:
-/// they are what runs out first where there are any, and wide tasks need them
-/// on one executor.
-const ACCELERATORS: u64 = 3;
+/// The weight of leftover accelerators, more than that of processors and
+/// memory together. Where executors have accelerators, these run out first,
+/// and wide tasks need several on one executor.
+const ACCELERATOR_WEIGHT: u64 = 3;
 
 impl Scheduler {
-    /// The candidates on which a step may start something now, whatever is
-    /// free there: nothing is kept there for others that it would hold up.
-    /// They are in order, as the candidates are.
+    /// The candidates on which a step may start tasks now, if enough capacity
+    /// is free there: those that are not reserved in advance, and those on
+    /// which the tasks should end before the reservation begins. Urgent steps
+    /// may use all candidates. Keeps the order of the candidates.
     pub(super) fn eligible_candidates(
         &self,
-        opening: &PlacementContext,
-        kept: &AdvanceReservations,
+        context: &PlacementContext,
+        reserved_from: &AdvanceReservations,
         urgent: bool,
         now: Millis,
     ) -> Vec<(ExecutorIndex, bool)> {
-        let candidates = opening.candidates.iter().copied();
-        if urgent || kept.is_empty() {
+        let candidates = context.candidates.iter().copied();
+        if urgent || reserved_from.is_empty() {
             return candidates.collect();
         }
-        let times = self.run_times(opening.key);
+        let times = self.run_times(context.key);
         let open = candidates.filter(|(at, _)| {
             let ends_by = |needed: &Millis| {
                 now + times.on(self.slowness(*at)) <= *needed
             };
-            kept.get(at).is_none_or(ends_by)
+            reserved_from.get(at).is_none_or(ends_by)
         });
         open.collect()
     }
 
-    /// What would be left on an executor: less is better, so that large
-    /// tasks find room elsewhere. The wrong rack counts as much as a whole
-    /// executor.
+    /// The cost of placing a task of a step on an executor: what would be left
+    /// over there, see [`weighted_leftover`]. Lower is better, so that large
+    /// tasks find capacity elsewhere. The wrong rack costs as much as an
+    /// executor whose processors and memory are all left over.
     pub(super) fn fit_cost(&self, at: ExecutorIndex, step: &Step) -> u64 {
         if !self.is_enabled(Mechanism::BestFit) {
             return 0;
         }
         let Some(executor) = self.executors.get(&at) else { return u64::MAX };
         let left = executor.free.minus(&step.footprint());
-        let far = match &step.near {
+        let rack_cost = match &step.near {
             Some(rack) if !executor.has_label(rack) => 2_000,
             _ => 0,
         };
-        rest(&left, &executor.info.capacity) + far
+        weighted_leftover(&left, &executor.info.capacity) + rack_cost
     }
 }
 
-/// What is left of an executor, in thousandths of it: processors, memory, and
-/// accelerators by their weight.
-pub(super) fn rest(left: &Resources, whole: &Resources) -> u64 {
+/// The leftover capacity of an executor, in thousandths of the whole, summed
+/// over processors, memory and, by their weight, accelerators.
+pub(super) fn weighted_leftover(left: &Resources, whole: &Resources) -> u64 {
     let part = |left: u32, whole: u32| {
         u64::from(left) * 1_000 / u64::from(whole.max(1))
     };
     part(left.cpu_millis, whole.cpu_millis)
         + part(left.memory_mb, whole.memory_mb)
-        + part(left.accelerators, whole.accelerators) * ACCELERATORS
+        + part(left.accelerators, whole.accelerators) * ACCELERATOR_WEIGHT
 }
 
-/// How often `need` fits into `room`.
-pub(super) fn fit_count(room: &Resources, need: &Resources) -> u32 {
-    let fit =
-        |room: u32, need: u32| room.checked_div(need).unwrap_or(u32::MAX);
-    fit(room.cpu_millis, need.cpu_millis)
-        .min(fit(room.memory_mb, need.memory_mb))
-        .min(fit(room.accelerators, need.accelerators))
+/// How many times `need` fits into `available`, up to 100,000.
+pub(super) fn fit_count(available: &Resources, need: &Resources) -> u32 {
+    let fit = |available: u32, need: u32| {
+        available.checked_div(need).unwrap_or(u32::MAX)
+    };
+    fit(available.cpu_millis, need.cpu_millis)
+        .min(fit(available.memory_mb, need.memory_mb))
+        .min(fit(available.accelerators, need.accelerators))
         .min(100_000)
 }
--- a/puffinknot-core/src/jobs/scheduler/gangs.rs
+++ b/puffinknot-core/src/jobs/scheduler/gangs.rs
@@ -14,7 +14,7 @@
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::ExecutorIndex;
 use crate::jobs::model::{JobId, Step, StepKey};
-use crate::jobs::scheduler::fit::{fit_count, rest};
+use crate::jobs::scheduler::fit::{fit_count, weighted_leftover};
 use crate::jobs::scheduler::placement::{
     AdvanceReservations, PlacementContext,
 };
@@ -257,7 +257,10 @@
             rooms.iter().filter_map(|&MemberCapacity { at, free, count }| {
                 let used = step.footprint().times(count.min(step.count));
                 let executor = self.executors.get(&at)?;
-                let left = rest(&free.minus(&used), &executor.info.capacity);
+                let left = weighted_leftover(
+                    &free.minus(&used),
+                    &executor.info.capacity,
+                );
                 Some(((again(at), !holds(at), left), at, count))
             });
         let mut fits: Vec<((bool, bool, u64), ExecutorIndex, u32)> =
--- a/puffinknot-core/src/jobs/scheduler/placement.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement.rs
@@ -91,16 +91,16 @@
             order.iter().filter(|(rank, _)| !rank.is_urgent()).count();
         let due = normal <= FEW_NORMAL_STEPS
             || now >= self.last_full_round + FULL_ROUND_INTERVAL;
-        let all = due && self.placement_rounds.may_take_all(now);
-        self.placement_rounds.begin(all);
-        if all {
+        let full = due && self.placement_rounds.may_begin_full(now);
+        self.placement_rounds.begin(full);
+        if full {
             self.last_full_round = now;
         } else {
             order.retain(|(rank, _)| rank.is_urgent());
         }
-        self.begin_placement_pass(all);
+        self.begin_placement_pass(full);
         self.reset_victim_searches();
-        if all {
+        if full {
             self.update_urgent_slots(&order, now);
         }
         self.update_unseen();
@@ -112,7 +112,7 @@
             order.into_iter().map(Reverse).collect();
         while let Some(Reverse((rank, key))) = order.pop() {
             if let Some(demoted) = self.demoted_rank(key, &rank) {
-                if all || demoted.is_urgent() {
+                if full || demoted.is_urgent() {
                     order.push(Reverse((demoted, key)));
                 }
                 continue;
--- a/puffinknot-core/src/jobs/scheduler/placement_rounds.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement_rounds.rs
@@ -1,14 +1,16 @@
 /*!
-How much of the leader's time placing takes.
+Limits on the share of the leader's time that placement rounds take.
 
-A round of placing goes over all that waits, and nothing is taken in
-meanwhile. So the more waits, the longer a round takes; and a leader that
-spends its whole time on rounds hears of ends late, takes full what is empty,
-and has more waiting for it. Therefore placing rests after each round in
-proportion to what that round took. A leader that is short of processor time
-places less often, but on news that is fresh.
+A round goes over all waiting steps, and the leader handles no events
+meanwhile, so the round takes longer the more steps wait. A leader that spends
+all of its time on rounds learns late that runs have ended, treats free
+executors as full, and accumulates a longer backlog. After each round,
+placement therefore pauses in proportion to the time that the round took. A
+leader that is short of processor time places less often, but with current
+information.
 
-Urgent steps are looked at more often than others, and rest for themselves.
+Rounds over urgent steps alone are more frequent than full rounds and have a
+pause of their own.
 */
 
 use std::time::Duration;
@@ -16,70 +18,71 @@
 use crate::ids::Millis;
 use crate::jobs::scheduler::Scheduler;
 
-/// After a round over all steps, those that may wait are left alone for so
-/// many times as long as it took.
-const REST_OF_ALL: u32 = 3;
-/// No such rest is longer than this, in milliseconds: a process that stood
-/// still in the midst of a round did not spend that time on it.
-const LONGEST_REST_OF_ALL: Millis = 1_000;
-/// After any round, urgent steps are left alone for as long as it took, but no
-/// longer than this, in milliseconds, which urgent callers bear.
-const LONGEST_REST_OF_URGENT: Millis = 200;
+/// The pause before the next full round, as a multiple of the time that the
+/// last one took.
+const FULL_ROUND_PAUSE_FACTOR: u32 = 3;
+/// The maximum pause before the next full round. If the process is suspended
+/// during a round, the time measured includes time not spent on the round.
+const MAX_FULL_ROUND_PAUSE: Millis = 1_000;
+/// The maximum pause after any round, which otherwise lasts as long as the
+/// round. Urgent callers can tolerate this delay.
+const MAX_PAUSE: Millis = 200;
 
-/// When which steps may be looked at next.
+/// When the next placement rounds may begin.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PlacementRounds {
-    all_from: Millis,
-    urgent_from: Millis,
-    /// What of the urgent steps' rest is less than a millisecond.
-    owed: Duration,
-    /// Whether a round was put off.
-    put_off: bool,
-    /// Whether the last round was over all steps, until it is told how long
-    /// it took.
-    last: Option<bool>,
+    full_round_from: Millis,
+    round_from: Millis,
+    /// The fraction of a millisecond by which the last pause was too short.
+    pause_remainder: Duration,
+    /// Whether a round was deferred.
+    deferred: bool,
+    /// Whether the last round was a full one, until its time is recorded.
+    last_full: Option<bool>,
 }
 
 impl PlacementRounds {
-    /// Whether any steps may be looked at; else the round is put off.
+    /// Whether a round may begin. If not, it is deferred.
     pub fn may_begin(&mut self, now: Millis) -> bool {
-        self.put_off = now < self.urgent_from;
-        !self.put_off
+        self.deferred = now < self.round_from;
+        !self.deferred
     }
 
-    /// When a round that was put off may begin.
+    /// When a deferred round may begin, if there is one.
     pub fn next_start(&self) -> Option<Millis> {
-        self.put_off.then_some(self.urgent_from)
+        self.deferred.then_some(self.round_from)
     }
 
-    /// Whether steps that may wait may be looked at as well.
-    pub fn may_take_all(&self, now: Millis) -> bool {
-        now >= self.all_from
+    /// Whether a full round may begin.
+    pub fn may_begin_full(&self, now: Millis) -> bool {
+        now >= self.full_round_from
     }
 
-    /// A round begins, over all steps or over the urgent ones.
-    pub fn begin(&mut self, all: bool) {
-        self.last = Some(all);
+    /// Begins a round, over all steps or over the urgent ones only.
+    pub fn begin(&mut self, full: bool) {
+        self.last_full = Some(full);
     }
 
-    fn end(&mut self, all: bool, took: Duration, now: Millis) {
-        let rest = took + self.owed;
-        let whole = rest.as_millis() as Millis;
-        self.owed = rest - Duration::from_millis(whole);
-        self.urgent_from = now + whole.min(LONGEST_REST_OF_URGENT);
-        if all {
-            let rest = took.saturating_mul(REST_OF_ALL).as_millis() as Millis;
-            self.all_from = now + rest.min(LONGEST_REST_OF_ALL);
+    fn end(&mut self, full: bool, took: Duration, now: Millis) {
+        let pause = took + self.pause_remainder;
+        let pause_ms = pause.as_millis() as Millis;
+        self.pause_remainder = pause - Duration::from_millis(pause_ms);
+        self.round_from = now + pause_ms.min(MAX_PAUSE);
+        if full {
+            let pause = took
+                .saturating_mul(FULL_ROUND_PAUSE_FACTOR)
+                .as_millis() as Millis;
+            self.full_round_from = now + pause.min(MAX_FULL_ROUND_PAUSE);
         }
     }
 }
 
 impl Scheduler {
-    /// Tells how long the last call of [`Scheduler::advance`] took, and when
-    /// it was over. A driver that doesn't has steps placed each time.
+    /// Records how long the last call of [`Scheduler::advance`] took, and when
+    /// it returned. Without these calls, placement never pauses.
     pub fn record_advance_time(&mut self, took: Duration, now: Millis) {
-        if let Some(all) = self.placement_rounds.last.take() {
-            self.placement_rounds.end(all, took, now);
+        if let Some(full) = self.placement_rounds.last_full.take() {
+            self.placement_rounds.end(full, took, now);
         }
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/placement_stats.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement_stats.rs
@@ -1,30 +1,32 @@
 /*!
-How much the placing of tasks looks through.
+How many steps, executors and runs placement has examined.
 
-It is what a leader that falls behind spends its time on, as far as what waits
-is to blame. Totals are kept in integers and told to the counters once in a
-round, so that counting costs nothing beside the looks.
+If a long backlog makes the leader fall behind, this is the work that takes its
+time. Totals are plain integers and are exported to the counters once per
+round, so that the cost of counting is negligible.
 */
 
 use crate::jobs::scheduler::Scheduler;
 
-/// What the placing has looked through so far.
+/// What placement has examined so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlacementStats {
-    /// Times that placing was due.
+    /// The number of placement rounds that were due.
     pub rounds: u64,
-    /// Those of them that were put off, while placing rested or for a crowd.
+    /// The number of those rounds that were deferred, because placement paused
+    /// or many steps were waiting.
     pub deferred: u64,
-    /// Steps.
+    /// The number of steps considered.
     pub steps: u64,
-    /// Executors, once for each look at one for a step.
+    /// The number of executors considered, each time for one step or task.
     pub executors: u64,
-    /// Runs, in looks for when room comes free or who gives way.
+    /// The number of runs considered, to predict when capacity becomes free or
+    /// to choose runs to preempt.
     pub runs: u64,
 }
 
 impl PlacementStats {
-    /// What was looked through since an earlier time.
+    /// The difference to an earlier reading.
     pub fn since(&self, earlier: &PlacementStats) -> PlacementStats {
         PlacementStats {
             rounds: self.rounds - earlier.rounds,
@@ -45,12 +47,12 @@
 }
 
 impl Scheduler {
-    /// How much the placing of tasks has looked through.
+    /// What placement has examined so far.
     pub fn placement_stats(&self) -> PlacementStats {
         self.placement_stats
     }
 
-    /// Takes over the totals into the counters.
+    /// Copies the totals to the counters.
     pub(super) fn export_placement_stats(&mut self) {
         let PlacementStats { rounds, deferred, steps, executors, runs } =
             self.placement_stats;
--- a/puffinknot-core/src/jobs/scheduler/renewal_queue.rs
+++ b/puffinknot-core/src/jobs/scheduler/renewal_queue.rs
@@ -1,10 +1,11 @@
 /*!
-Which executors have to be looked at for their next hold.
+The queue of executors whose leases may be due for renewal.
 
-In a large cell most executors are idle, and going over all of them in each
-turn would be most of the work. So an executor is looked at only if something
-has happened to it, or if its time has come: in the order in which that was
-noted, so that none is passed over for others to which more happens.
+In a large cell most executors are idle, and checking all of them in each
+iteration of the leader's loop would be most of its work. Therefore an executor
+is checked only after an event that concerns it or at a scheduled time. The
+queue is first in, first out, so that executors with many events do not starve
+others.
 */
 
 use std::collections::{BTreeSet, VecDeque};
@@ -12,57 +13,59 @@
 use crate::ids::Millis;
 use crate::jobs::message::ExecutorIndex;
 
-/// In one turn at least one in so many of those that wait is looked at: a
-/// leader whose turns are few catches up all the same.
-const WAITING_PART: usize = 4;
+/// Each call of [`RenewalQueue::take_ready`] takes at least one in this many
+/// of the ready executors, so that a leader whose loop runs slowly still
+/// catches up.
+const MIN_READY_PART: usize = 4;
 
-/// Executors to be looked at, now or at a later time.
+/// Executors to be checked, now or at a later time.
 #[derive(Debug, Default)]
 pub(super) struct RenewalQueue {
-    /// In the order in which they were noted.
-    now: VecDeque<ExecutorIndex>,
-    /// The same, to note each only once.
-    noted: BTreeSet<ExecutorIndex>,
-    later: BTreeSet<(Millis, ExecutorIndex)>,
+    /// The executors to be checked now, in the order in which they were added.
+    ready: VecDeque<ExecutorIndex>,
+    /// The same executors, so that none is added twice.
+    enqueued: BTreeSet<ExecutorIndex>,
+    scheduled: BTreeSet<(Millis, ExecutorIndex)>,
 }
 
 impl RenewalQueue {
-    /// Something has happened to an executor.
+    /// Adds an executor to those to be checked now.
     pub fn enqueue(&mut self, index: ExecutorIndex) {
-        if self.noted.insert(index) {
-            self.now.push_back(index);
+        if self.enqueued.insert(index) {
+            self.ready.push_back(index);
         }
     }
 
-    /// An executor is to be looked at then.
+    /// Schedules a check of an executor.
     pub fn schedule(&mut self, time: Millis, index: ExecutorIndex) {
-        self.later.insert((time, index));
+        self.scheduled.insert((time, index));
     }
 
-    /// Whether executors were left over that are to be looked at by now.
+    /// Whether executors are left to be checked now. Scheduled checks count
+    /// only once [`RenewalQueue::take_ready`] has found them due.
     pub fn has_ready(&self) -> bool {
-        !self.now.is_empty()
+        !self.ready.is_empty()
     }
 
-    /// Takes some executors that are to be looked at by now: up to `most`, or
-    /// a part of them if very many wait.
+    /// Takes executors that are to be checked by now: up to `limit`, or one in
+    /// [`MIN_READY_PART`] of them if that is more.
     pub fn take_ready(
         &mut self,
         now: Millis,
-        most: usize,
+        limit: usize,
     ) -> Vec<ExecutorIndex> {
-        while let Some(&(time, index)) = self.later.first() {
+        while let Some(&(time, index)) = self.scheduled.first() {
             if time > now {
                 break;
             }
-            self.later.pop_first();
+            self.scheduled.pop_first();
             self.enqueue(index);
         }
-        let most = most.max(self.now.len() / WAITING_PART);
-        let most = most.min(self.now.len());
-        let taken: Vec<ExecutorIndex> = self.now.drain(..most).collect();
+        let limit = limit.max(self.ready.len() / MIN_READY_PART);
+        let limit = limit.min(self.ready.len());
+        let taken: Vec<ExecutorIndex> = self.ready.drain(..limit).collect();
         for index in &taken {
-            self.noted.remove(index);
+            self.enqueued.remove(index);
         }
         taken
     }
--- a/puffinknot-core/src/jobs/scheduler/run_time_estimate.rs
+++ b/puffinknot-core/src/jobs/scheduler/run_time_estimate.rs
@@ -1,6 +1,6 @@
 /*!
-How long runs take and when they should end: the one estimate that all
-decisions share.
+Estimates of how long runs take and when they should end, shared by all
+decisions of the scheduler.
 */
 
 use crate::ids::Millis;
@@ -11,10 +11,11 @@
 use crate::jobs::scheduler::Scheduler;
 use crate::jobs::speed::StepTimes;
 
-/// A run that has overstayed its guess should end within this time.
+/// The time within which a run that has exceeded its estimate should end.
 pub(super) const OVERRUN_GRACE: Millis = 500;
 
-/// When a run should end. One that has overstayed may do so for a while.
+/// When a run should end. A run that has exceeded its estimate is given
+/// [`OVERRUN_GRACE`] from now.
 pub(super) fn expected_end(run: &PlacedRun, now: Millis) -> Millis {
     if run.expected_end <= now {
         now + OVERRUN_GRACE
@@ -23,28 +24,29 @@
     }
 }
 
-/// How long tasks of a step should run, by executors.
+/// How long tasks of a step should run, by the slowness of the executor.
 pub(super) struct RunTimes {
-    usual: Millis,
-    /// The slowest executor that has a member already, of a gang.
-    slowest: Option<f64>,
+    nominal: Millis,
+    /// For a gang, the greatest slowness among executors that already run a
+    /// member.
+    max_slowness: Option<f64>,
 }
 
 impl RunTimes {
-    /// How long one should run on an executor of this slowness, in
-    /// milliseconds.
+    /// How long a task should run on an executor of this slowness, see
+    /// [`Scheduler::slowness`].
     pub fn on(&self, slowness: f64) -> Millis {
-        // A gang ends with its slowest member.
-        let slowness = self.slowest.map_or(slowness, |s| s.max(slowness));
+        // A gang ends when its slowest member does.
+        let slowness = self.max_slowness.map_or(slowness, |s| s.max(slowness));
         if slowness == 0.0 {
-            return self.usual;
+            return self.nominal;
         }
-        (self.usual as f64 * slowness.exp()) as Millis
+        (self.nominal as f64 * slowness.exp()) as Millis
     }
 }
 
 impl Scheduler {
-    /// How long a task of a step should run on an executor, in milliseconds.
+    /// How long a task of a step should run on an executor.
     pub(super) fn run_time(&self, key: StepKey, at: ExecutorIndex) -> Millis {
         self.run_times(key).on(self.slowness(at))
     }
@@ -53,13 +55,14 @@
     pub(super) fn run_times(&self, key: StepKey) -> RunTimes {
         let gang = self.step(key).is_some_and(|step| step.gang);
         RunTimes {
-            usual: self.nominal_run_time(key),
-            slowest: gang.then(|| self.slowest(key)).flatten(),
+            nominal: self.nominal_run_time(key),
+            max_slowness: gang.then(|| self.max_slowness(key)).flatten(),
         }
     }
 
-    /// How long a task of a step should run on the usual executor of its
-    /// service, in milliseconds.
+    /// How long a task of a step should run on an executor of the nominal
+    /// speed of its service, by the estimate that came with the job and by
+    /// earlier runs.
     pub(super) fn nominal_run_time(&self, key: StepKey) -> Millis {
         let Some(live) = self.jobs.get(&key.job) else { return 0 };
         let Some(step) = live.job.steps.get(key.step as usize) else {
@@ -68,15 +71,18 @@
         if !self.is_enabled(Mechanism::Speeds) {
             return step.estimate;
         }
-        let error = self.estimate_errors.of(&live.job.queue, step);
+        let estimate_error = self.estimate_errors.of(&live.job.queue, step);
         match live.steps.get(&(key.time, key.step)) {
-            Some(state) => error.run_time(step.estimate, &state.times),
-            None => error.run_time(step.estimate, &StepTimes::default()),
+            Some(state) => {
+                estimate_error.run_time(step.estimate, &state.times)
+            }
+            None => {
+                estimate_error.run_time(step.estimate, &StepTimes::default())
+            }
         }
     }
 
-    /// How long the chain of a job should take from a step on, in
-    /// milliseconds.
+    /// How long the critical path of a job should take from a step on.
     pub(super) fn remaining_chain_time(&self, key: StepKey) -> Millis {
         let live = self.jobs.get(&key.job);
         live.map_or(0, |live| {
--- a/puffinknot-core/src/jobs/scheduler/speeds.rs
+++ b/puffinknot-core/src/jobs/scheduler/speeds.rs
@@ -96,7 +96,7 @@
     }
 
     /// The slowness of the slowest executor on which a step runs.
-    pub(super) fn slowest(&self, key: StepKey) -> Option<f64> {
+    pub(super) fn max_slowness(&self, key: StepKey) -> Option<f64> {
         let places = self.step_state(key)?.placements.values();
         places.map(|(at, _)| self.slowness(*at)).max_by(f64::total_cmp)
     }
@@ -130,7 +130,7 @@
             return;
         }
         let slowness = match gang {
-            true => self.slowest(key).unwrap_or(0.0),
+            true => self.max_slowness(key).unwrap_or(0.0),
             false => executor.speed.slowness(),
         };
         let Some(live) = self.jobs.get_mut(&key.job) else { return };
