--- a/puffinknot-core/src/jobs/scheduler/admission.rs
+++ b/puffinknot-core/src/jobs/scheduler/admission.rs
@@ -292,7 +292,11 @@
         let steps = (0..).zip(&live.job.steps);
         let first = steps.filter(|(_, step)| step.after.is_empty());
         let chains = first.map(|(number, _)| {
-            self.remaining_chain_time(StepKey { job, time: 0, step: number })
+            self.remaining_critical_path(StepKey {
+                job,
+                time: 0,
+                step: number,
+            })
         });
         chains.max().unwrap_or(0)
     }
--- a/puffinknot-core/src/jobs/scheduler/preemption.rs
+++ b/puffinknot-core/src/jobs/scheduler/preemption.rs
@@ -258,7 +258,7 @@
         let whole = live.deadline.saturating_sub(live.arrived_at);
         let slack = whole.saturating_sub(live.job.critical_path());
         let latest =
-            live.deadline.saturating_sub(self.remaining_chain_time(key));
+            live.deadline.saturating_sub(self.remaining_critical_path(key));
         let unused = slack as f64 * (1.0 - SLACK_USED);
         now <= latest && now + unused as Millis >= latest
     }
@@ -338,7 +338,7 @@
             && on.expected_end > now + ENDS_SOON
             && here == Some(run)
             && !state.preempted.contains(&task.index);
-        let rest = self.remaining_chain_time(task.step);
+        let rest = self.remaining_critical_path(task.step);
         let slack = live.deadline.saturating_sub(now + rest);
         let over_share = self.over_share(live.account);
         let victim = Victim { task, run, need, over_share, slack };
--- a/puffinknot-core/src/jobs/scheduler/ranking.rs
+++ b/puffinknot-core/src/jobs/scheduler/ranking.rs
@@ -149,7 +149,7 @@
         now: Millis,
     ) -> (Timeliness, Millis) {
         let step = &live.job.steps[key.step as usize];
-        let remaining = self.remaining_chain_time(key)
+        let remaining = self.remaining_critical_path(key)
             + self.earlier_batches_time(key, step, live);
         let latest_start = live.deadline.saturating_sub(remaining);
         // Lasting steps and jobs that repeat have no single completion time.
--- a/puffinknot-core/src/jobs/scheduler/run_time_estimate.rs
+++ b/puffinknot-core/src/jobs/scheduler/run_time_estimate.rs
@@ -83,7 +83,7 @@
     }
 
     /// How long the critical path of a job should take from a step on.
-    pub(super) fn remaining_chain_time(&self, key: StepKey) -> Millis {
+    pub(super) fn remaining_critical_path(&self, key: StepKey) -> Millis {
         let live = self.jobs.get(&key.job);
         live.map_or(0, |live| {
             let time_of =
--- a/puffinknot-core/src/jobs/scheduler/speeds.rs
+++ b/puffinknot-core/src/jobs/scheduler/speeds.rs
@@ -323,7 +323,7 @@
             rank.is_some_and(|rank| rank.class == PriorityClass::Urgent);
         let missed = live.deadline < now && !urgent;
         let times = if urgent { TIGHT } else { 1 };
-        let late = times * self.remaining_chain_time(key) + TOLD;
+        let late = times * self.remaining_critical_path(key) + TOLD;
         let misses = live.deadline < now + late;
         misses && !missed && !live.over_rate
     }
