--- a/puffinknot-core/src/jobs/scheduler/gangs.rs
+++ b/puffinknot-core/src/jobs/scheduler/gangs.rs
@@ -1,10 +1,10 @@
 /*!
-Gangs: all members of a step start together, or none.
+Gangs: the members of a step start together or not at all.
 
-A gang that fits but lacks tickets keeps its room while it asks for them. One
-that does not fit gets the executors on which it fits soonest; others may use
-them only if they should end before. Single tasks that take up much of an
-executor get the same.
+A gang that fits but lacks valid tickets reserves the capacity while it
+requests them. For a gang that does not fit, the executors on which it should
+fit soonest are reserved in advance: until then, other steps may use them only
+for tasks that should end in time. Wide tasks get the same reservations.
 */
 
 use std::collections::BTreeMap;
@@ -21,53 +21,57 @@
 use crate::jobs::scheduler::run_time_estimate::expected_end;
 use crate::jobs::scheduler::Scheduler;
 
-/// Tickets are asked for this long before the room should be free, beside
-/// the time of the call.
-const LEAD: Millis = 50;
-/// More executors than a gang needs are asked about, by this much.
-const SPARES: usize = 2;
+/// How long before the capacity should be free tickets are requested, in
+/// addition to the duration of the call for advice.
+const TICKET_LEAD_TIME: Millis = 50;
+/// The number of executors for which tickets are requested beyond those that
+/// a gang needs.
+const SPARE_EXECUTORS: usize = 2;
 
-/// How many members of a gang go to which executors.
+/// How many members of a gang, or tasks of a step, go to which executors.
 pub(super) type Plan = Vec<(ExecutorIndex, u32)>;
 
-/// Where some members of a gang have room.
+/// An executor that has capacity for some members of a gang.
 #[derive(Clone, Copy)]
 pub(super) struct MemberCapacity {
     pub at: ExecutorIndex,
-    /// What is free there for the gang.
+    /// The capacity that is free there for the gang.
     free: Resources,
-    /// How many members that holds.
+    /// How many members fit into it.
     count: u32,
 }
 
-/// Whether all members of a gang have room there.
-fn hold(rooms: &[MemberCapacity], step: &Step) -> bool {
-    let total: u64 = rooms.iter().map(|room| u64::from(room.count)).sum();
-    total >= u64::from(step.count)
+/// Whether all members of a gang fit.
+fn fits_gang(capacities: &[MemberCapacity], step: &Step) -> bool {
+    let total_fitting: u64 =
+        capacities.iter().map(|capacity| u64::from(capacity.count)).sum();
+    total_fitting >= u64::from(step.count)
 }
 
-/// Tasks of a step that wait for room.
+/// Tasks of a step that wait for capacity.
 #[derive(Clone, Copy)]
-pub(super) struct Waiting<'a> {
+pub(super) struct WaitingTasks<'a> {
     pub key: StepKey,
     pub step: &'a Step,
     pub count: u32,
 }
 
 impl Scheduler {
-    /// Places all members of a gang, or none. Returns whether it is placed.
+    /// Starts all members of a gang or none. Returns false if the gang waits
+    /// for capacity or for tickets, and true if it started or cannot start
+    /// for another reason.
     pub(super) fn place_gang(
         &mut self,
         key: StepKey,
-        kept: &mut AdvanceReservations,
-        keep: bool,
+        reserved_from: &mut AdvanceReservations,
+        may_reserve: bool,
         urgent: bool,
         now: Millis,
     ) -> bool {
         if self.lacks_advice(key, now) {
             return true;
         }
-        if !keep && !urgent && self.clearly_lacks_capacity(key, now) {
+        if !may_reserve && !urgent && self.clearly_lacks_capacity(key, now) {
             self.wait_unreserved(key, now);
             return false;
         }
@@ -75,11 +79,12 @@
             self.unreserve(key);
             return true;
         }
-        let Some(opening) = self.placement_context(key, now) else {
+        let Some(context) = self.placement_context(key, now) else {
             return true;
         };
-        let open = self.eligible_candidates(&opening, kept, urgent, now);
-        let PlacementContext { step, failed_on, candidates, .. } = opening;
+        let open =
+            self.eligible_candidates(&context, reserved_from, urgent, now);
+        let PlacementContext { step, failed_on, candidates, .. } = context;
         let state = self.step_state(key);
         if state.is_none_or(|s| s.waiting.len() as u32 != step.count) {
             return true;
@@ -92,26 +97,34 @@
         let open = self.trial_candidates(key, open, now);
         self.placement_stats.add_executors(open.len());
         let suspect = self.suspected_losses(key.task(0)).cloned();
-        let again = |at: ExecutorIndex| {
+        let avoid = |at: ExecutorIndex| {
             failed_on.contains(&at)
                 || self.is_inconclusive_trial(at, suspect.as_ref())
         };
-        let holds = |at: ExecutorIndex| {
+        let has_ticket = |at: ExecutorIndex| {
             let found = candidates.binary_search_by_key(&at, |(at, _)| *at);
             found.is_ok_and(|found| candidates[found].1)
         };
-        let rooms = self.member_capacities(key, &step, &open);
-        let plan = self.plan_by_speed(key, &step, &rooms, again, holds, now);
-        if let Some((plan, fresh)) = plan {
-            if fresh {
+        let capacities = self.member_capacities(key, &step, &open);
+        let plan = self.plan_by_speed(
+            key,
+            &step,
+            &capacities,
+            avoid,
+            has_ticket,
+            now,
+        );
+        if let Some((plan, tickets_valid)) = plan {
+            if tickets_valid {
                 self.unreserve(key);
                 self.start_gang(key, &plan, now);
                 return true;
             }
-            // Tickets are too old: keep the room, and ask anew.
+            // Some tickets have expired. Hold the capacity while new ones are
+            // requested.
             self.reserve(key, &step, &plan);
-            let asked = plan.iter().map(|(at, _)| *at).collect();
-            self.request_advice(key, asked, now);
+            let requested = plan.iter().map(|(at, _)| *at).collect();
+            self.request_advice(key, requested, now);
             return false;
         }
         if self.is_preempting(key, now) {
@@ -119,9 +132,10 @@
         }
         self.note_no_capacity(key);
         self.unreserve(key);
-        let waiting = Waiting { key, step: &step, count: step.count };
-        let displaces = keep && self.is_enabled(Mechanism::GangPreemption);
-        if displaces && self.preempt_for_gang(&waiting, &open, now)
+        let waiting = WaitingTasks { key, step: &step, count: step.count };
+        let may_preempt_gang =
+            may_reserve && self.is_enabled(Mechanism::GangPreemption);
+        if may_preempt_gang && self.preempt_for_gang(&waiting, &open, now)
             || urgent && self.preempt_for_urgent(&waiting, &open, now)
         {
             return false;
@@ -130,8 +144,14 @@
             candidates.iter().map(|(at, _)| *at).collect();
         self.widen_advice(key, now);
         let scarce = self.advice_scarce();
-        if keep {
-            self.reserve_in_advance(&waiting, &all, !scarce, kept, now);
+        if may_reserve {
+            self.reserve_in_advance(
+                &waiting,
+                &all,
+                !scarce,
+                reserved_from,
+                now,
+            );
         }
         if !scarce || !self.could_fit(&step, &all) {
             self.request_more_advice(key, now);
@@ -139,28 +159,29 @@
         false
     }
 
-    /// Whether all that is free on the executors that may run a gang is too
-    /// little, whether they take work now or not. Most gangs that wait in a
-    /// full cell are done with by this.
+    /// Whether the free capacity of all executors with a ticket for the gang,
+    /// usable or not, is too small for it. In a full cell, this cheap check
+    /// settles most waiting gangs.
     fn clearly_lacks_capacity(&self, key: StepKey, now: Millis) -> bool {
         let Some(live) = self.jobs.get(&key.job) else { return false };
         let Some(state) = live.steps.get(&(key.time, key.step)) else {
             return false;
         };
         let step = &live.job.steps[key.step as usize];
-        // Its own room is free to it, and a trial has others asked.
-        let special = self.reservations.contains_key(&key)
+        // Capacity that is reserved for the gang is free to it, and a gang
+        // that waits for a trial has other executors asked about.
+        let unsuited = self.reservations.contains_key(&key)
             || now < state.trial_wait_until
             || state.waiting.len() as u32 != step.count;
-        if special || live.queue.advice.is_none() {
+        if unsuited || live.queue.advice.is_none() {
             return false;
         }
-        let room = step.footprint();
+        let footprint = step.footprint();
         let mut left = u64::from(step.count);
-        let good = state.advice.tickets.keys();
-        for executor in good.filter_map(|at| self.executors.get(at)) {
-            if executor.free.fits(&room) {
-                let count = fit_count(&executor.free, &room);
+        let with_ticket = state.advice.tickets.keys();
+        for executor in with_ticket.filter_map(|at| self.executors.get(at)) {
+            if executor.free.fits(&footprint) {
+                let count = fit_count(&executor.free, &footprint);
                 left = left.saturating_sub(u64::from(count));
             }
             if left == 0 {
@@ -170,7 +191,8 @@
         true
     }
 
-    /// A gang has no room, and none is kept for it.
+    /// Leaves a gang waiting that has no capacity and gets no reservation, and
+    /// requests more advice if that can help.
     fn wait_unreserved(&mut self, key: StepKey, now: Millis) {
         if self.is_preempting(key, now) {
             return;
@@ -190,15 +212,15 @@
         self.step(key).is_some_and(|step| self.could_fit(step, &all))
     }
 
-    /// How many members of a gang have room on each of these executors, if
-    /// all together have.
+    /// How many members of a gang fit on each of these executors; empty if
+    /// not all members fit on them together.
     fn member_capacities(
         &self,
         key: StepKey,
         step: &Step,
         executors: &[ExecutorIndex],
     ) -> Vec<MemberCapacity> {
-        let rooms = executors.iter().filter_map(|&at| {
+        let capacities = executors.iter().filter_map(|&at| {
             let free = self.executors.get(&at)?.free_for(&key);
             let mut count = fit_count(&free, &step.footprint());
             if step.max_per_executor > 0 {
@@ -206,63 +228,69 @@
             }
             (count > 0).then_some(MemberCapacity { at, free, count })
         });
-        let rooms: Vec<MemberCapacity> = rooms.collect();
-        if hold(&rooms, step) {
-            rooms
+        let capacities: Vec<MemberCapacity> = capacities.collect();
+        if fits_gang(&capacities, step) {
+            capacities
         } else {
             Vec::new()
         }
     }
 
-    /// How to spread a gang over executors that are alike, where its tickets
-    /// hold, or else over all, if it fits; and whether its tickets hold there.
+    /// How to spread a gang over executors of similar speed for which it has
+    /// valid tickets. If there is no such plan, how to spread it over all
+    /// executors, if it fits. Also returns whether all tickets of the plan
+    /// are valid.
     fn plan_by_speed(
         &self,
         key: StepKey,
         step: &Step,
-        rooms: &[MemberCapacity],
-        again: impl Fn(ExecutorIndex) -> bool,
-        holds: impl Fn(ExecutorIndex) -> bool,
+        capacities: &[MemberCapacity],
+        avoid: impl Fn(ExecutorIndex) -> bool,
+        has_ticket: impl Fn(ExecutorIndex) -> bool,
         now: Millis,
     ) -> Option<(Plan, bool)> {
-        if rooms.is_empty() {
+        if capacities.is_empty() {
             return None;
         }
-        let plan_on = |rooms: &[MemberCapacity]| {
-            let plan = self.plan(step, rooms, &again, &holds)?;
-            let fresh = plan.iter().all(|(at, _)| holds(*at));
-            Some((plan, fresh))
+        let plan_on = |capacities: &[MemberCapacity]| {
+            let plan = self.plan(step, capacities, &avoid, &has_ticket)?;
+            let tickets_valid = plan.iter().all(|(at, _)| has_ticket(*at));
+            Some((plan, tickets_valid))
         };
         let groups =
-            self.speed_groups(rooms, self.needs_fast_executor(key, now));
-        let mut on_alike = groups.iter().filter_map(|group| plan_on(group));
-        on_alike.find(|(_, fresh)| *fresh).or_else(|| plan_on(rooms))
+            self.speed_groups(capacities, self.needs_fast_executor(key, now));
+        let mut by_group = groups.iter().filter_map(|group| plan_on(group));
+        by_group
+            .find(|(_, tickets_valid)| *tickets_valid)
+            .or_else(|| plan_on(capacities))
     }
 
-    /// How to spread a gang over these executors, if it fits. Those where it
-    /// should not start again come last, and those where a ticket holds first:
-    /// while others are asked about, the best change, and the gang would never
-    /// have all tickets at one time.
+    /// How to spread a gang over these executors, if it fits. Executors on
+    /// which it should not start again come last. Among the others, those with
+    /// a valid ticket come first: the best fit changes while tickets are
+    /// requested, and a gang that followed it would never have all of its
+    /// tickets valid at the same time.
     fn plan(
         &self,
         step: &Step,
-        rooms: &[MemberCapacity],
-        again: impl Fn(ExecutorIndex) -> bool,
-        holds: impl Fn(ExecutorIndex) -> bool,
+        capacities: &[MemberCapacity],
+        avoid: impl Fn(ExecutorIndex) -> bool,
+        has_ticket: impl Fn(ExecutorIndex) -> bool,
     ) -> Option<Plan> {
-        if !hold(rooms, step) {
+        if !fits_gang(capacities, step) {
             return None;
         }
-        let fits =
-            rooms.iter().filter_map(|&MemberCapacity { at, free, count }| {
+        let fits = capacities.iter().filter_map(
+            |&MemberCapacity { at, free, count }| {
                 let used = step.footprint().times(count.min(step.count));
                 let executor = self.executors.get(&at)?;
                 let left = weighted_leftover(
                     &free.minus(&used),
                     &executor.info.capacity,
                 );
-                Some(((again(at), !holds(at), left), at, count))
-            });
+                Some(((avoid(at), !has_ticket(at), left), at, count))
+            },
+        );
         let mut fits: Vec<((bool, bool, u64), ExecutorIndex, u32)> =
             fits.collect();
         fits.sort_unstable();
@@ -282,7 +310,8 @@
     fn start_gang(&mut self, key: StepKey, plan: &Plan, now: Millis) {
         let run = self.new_run_number();
         let mut index = 0;
-        // Ends are reckoned by the slowest: it comes first.
+        // A member's expected end takes the slowest executor used so far into
+        // account, so members on the slowest one start first.
         let mut plan = plan.clone();
         plan.sort_by(|one, other| {
             self.slowness(other.0).total_cmp(&self.slowness(one.0))
@@ -302,6 +331,8 @@
         self.count("gangs");
     }
 
+    /// Reserves capacity for a step as planned, in place of any earlier
+    /// reservations.
     pub(super) fn reserve(&mut self, key: StepKey, step: &Step, plan: &Plan) {
         self.unreserve(key);
         for (at, count) in plan {
@@ -321,7 +352,7 @@
         }
     }
 
-    /// Gives back what is kept on an executor for one task of a step.
+    /// Releases what is reserved on an executor for one task of a step.
     pub(super) fn unreserve_one(
         &mut self,
         key: StepKey,
@@ -332,10 +363,12 @@
             return;
         }
         let Some(executor) = self.executors.get_mut(&at) else { return };
-        let Some(kept) = executor.reserved.get(&key).copied() else { return };
-        let left = kept.minus(&step.footprint());
-        if left.fits(&step.footprint()) {
-            executor.reserve(key, left);
+        let Some(reserved) = executor.reserved.get(&key).copied() else {
+            return;
+        };
+        let remaining = reserved.minus(&step.footprint());
+        if remaining.fits(&step.footprint()) {
+            executor.reserve(key, remaining);
         } else {
             executor.unreserve(&key);
         }
@@ -349,39 +382,40 @@
         }
     }
 
-    /// Whether these executors could hold a whole step if nothing else ran
-    /// there.
+    /// Whether all tasks of a step would fit on these executors if nothing
+    /// else ran there.
     pub(super) fn could_fit(
         &self,
         step: &Step,
         executors: &[ExecutorIndex],
     ) -> bool {
         let known = executors.iter().filter_map(|at| self.executors.get(at));
-        let room = known.map(|executor| {
+        let counts = known.map(|executor| {
             let count = fit_count(&executor.info.capacity, &step.footprint());
             match step.max_per_executor {
                 0 => u64::from(count),
                 most => u64::from(count.min(most)),
             }
         });
-        room.sum::<u64>() >= u64::from(step.count)
+        counts.sum::<u64>() >= u64::from(step.count)
     }
 
-    /// Finds when `count` tasks of a step should fit on which executors, and
-    /// keeps others off them. Asks for tickets in time, if it may.
+    /// Predicts when and on which executors the waiting tasks of a step should
+    /// fit, and reserves those executors from then on. If `may_request` is
+    /// set, requests tickets in time for that.
     pub(super) fn reserve_in_advance(
         &mut self,
-        waiting: &Waiting<'_>,
+        waiting: &WaitingTasks<'_>,
         executors: &[ExecutorIndex],
-        may_ask: bool,
-        kept: &mut AdvanceReservations,
+        may_request: bool,
+        reserved_from: &mut AdvanceReservations,
         now: Millis,
     ) {
-        let Waiting { key, step, count } = *waiting;
+        let WaitingTasks { key, step, count } = *waiting;
         let mut ends: Vec<(Millis, ExecutorIndex, Resources)> = Vec::new();
         let mut free: BTreeMap<ExecutorIndex, Resources> = BTreeMap::new();
         for &at in executors {
-            if kept.contains_key(&at) {
+            if reserved_from.contains_key(&at) {
                 continue;
             }
             let Some(executor) = self.executors.get(&at) else { continue };
@@ -393,72 +427,81 @@
         self.placement_stats.add_executors(executors.len());
         self.placement_stats.add_runs(ends.len());
         ends.sort_unstable_by_key(|(end, at, _)| (*end, *at));
-        let mut total: u64 = free
+        let mut total_fitting: u64 = free
             .values()
-            .map(|room| u64::from(fit_count(room, &step.footprint())))
+            .map(|available| {
+                u64::from(fit_count(available, &step.footprint()))
+            })
             .sum();
-        let mut when = now;
+        let mut available_at = now;
         for (end, at, need) in ends {
-            if total >= u64::from(count) {
+            if total_fitting >= u64::from(count) {
                 break;
             }
-            let Some(room) = free.get_mut(&at) else { continue };
-            total -= u64::from(fit_count(room, &step.footprint()));
-            *room = room.plus(&need);
-            total += u64::from(fit_count(room, &step.footprint()));
-            when = end;
+            let Some(available) = free.get_mut(&at) else { continue };
+            total_fitting -=
+                u64::from(fit_count(available, &step.footprint()));
+            *available = available.plus(&need);
+            total_fitting +=
+                u64::from(fit_count(available, &step.footprint()));
+            available_at = end;
         }
-        if total < u64::from(count) {
+        if total_fitting < u64::from(count) {
             return;
         }
-        let mut most: Vec<(u32, ExecutorIndex)> = free
+        let mut largest: Vec<(u32, ExecutorIndex)> = free
             .iter()
-            .map(|(at, room)| (fit_count(room, &step.footprint()), *at))
+            .map(|(at, available)| {
+                (fit_count(available, &step.footprint()), *at)
+            })
             .filter(|(count, _)| *count > 0)
             .collect();
-        most.sort_unstable_by_key(|&(count, at)| (u32::MAX - count, at));
+        largest.sort_unstable_by_key(|&(count, at)| (u32::MAX - count, at));
         let mut left = count;
         let mut chosen = Vec::new();
-        let mut spares = SPARES;
-        for (there, at) in most {
+        let mut spares = SPARE_EXECUTORS;
+        for (fitting, at) in largest {
             if left == 0 {
                 if spares == 0 {
                     break;
                 }
                 spares -= 1;
             } else {
-                kept.insert(at, when);
+                reserved_from.insert(at, available_at);
             }
-            left = left.saturating_sub(there);
+            left = left.saturating_sub(fitting);
             chosen.push(at);
         }
-        if may_ask && self.is_enabled(Mechanism::TicketsAhead) {
-            self.prefetch_tickets(key, chosen, when, now);
+        if may_request && self.is_enabled(Mechanism::TicketsAhead) {
+            self.prefetch_tickets(key, chosen, available_at, now);
         }
     }
 
-    /// Asks for tickets if those at hand won't hold when they are needed.
+    /// Requests tickets if they will be needed soon and some of those at hand
+    /// will have expired by then.
     fn prefetch_tickets(
         &mut self,
         key: StepKey,
         executors: Vec<ExecutorIndex>,
-        when: Millis,
+        available_at: Millis,
         now: Millis,
     ) {
         let Some(live) = self.jobs.get(&key.job) else { return };
-        let Some(cost) = live.queue.advice else { return };
+        let Some(advice_cost) = live.queue.advice else { return };
         let Some(state) = live.steps.get(&(key.time, key.step)) else {
             return;
         };
-        let call = cost.of(executors.len());
-        if when > now + call + LEAD {
+        let call = advice_cost.of(executors.len());
+        if available_at > now + call + TICKET_LEAD_TIME {
             return;
         }
-        let old = executors.iter().any(|at| {
-            let good = state.advice.tickets.get(at);
-            good.is_none_or(|ticket| ticket.valid_until < when.max(now + call))
+        let expired = executors.iter().any(|at| {
+            let ticket = state.advice.tickets.get(at);
+            ticket.is_none_or(|ticket| {
+                ticket.valid_until < available_at.max(now + call)
+            })
         });
-        if old {
+        if expired {
             self.request_advice(key, executors, now);
         }
     }
--- a/puffinknot-core/src/jobs/scheduler/placement.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement.rs
@@ -16,7 +16,7 @@
 use crate::jobs::message::{AccountIndex, ExecutorIndex};
 use crate::jobs::model::{Step, StepKey};
 use crate::jobs::scheduler::fit::fit_count;
-use crate::jobs::scheduler::gangs::Waiting;
+use crate::jobs::scheduler::gangs::WaitingTasks;
 use crate::jobs::scheduler::ledger::LimitReservations;
 use crate::jobs::scheduler::live_job::StepState;
 use crate::jobs::scheduler::ranking::Rank;
@@ -348,7 +348,7 @@
             self.start(at, key.task(index), run, ticket, now);
         }
         if held_back {
-            self.held_back(key);
+            self.record_held_back(key);
         }
         let left = self.step_state(key).map(|state| state.waiting.len());
         let count = left.unwrap_or(0) as u32;
@@ -372,7 +372,7 @@
             return true;
         }
         self.note_no_capacity(key);
-        let waiting = Waiting { key, step: &step, count };
+        let waiting = WaitingTasks { key, step: &step, count };
         if urgent {
             let with_ticket = open.iter().filter(|(at, has_ticket)| {
                 *has_ticket && !self.is_closed_by_trial(*at, now)
@@ -400,7 +400,7 @@
     /// whether a reservation was attempted.
     fn wait_for_capacity(
         &mut self,
-        waiting: &Waiting<'_>,
+        waiting: &WaitingTasks<'_>,
         known: &[ExecutorIndex],
         may_reserve: bool,
         reserved_from: &mut AdvanceReservations,
--- a/puffinknot-core/src/jobs/scheduler/urgent_headroom.rs
+++ b/puffinknot-core/src/jobs/scheduler/urgent_headroom.rs
@@ -1,15 +1,17 @@
 /*!
-Room for urgent tasks in a cell that is nearly full.
+Headroom for urgent tasks in a cell that is nearly full.
 
-So much is kept free as [`crate::jobs::headroom`] says. It is counted in slots,
-each the room for an urgent task on one executor: scraps of room add up to
-nothing. While there are no more slots than should be free, tasks that may wait
-start only where they take none away. The rest of the cell is theirs, and a
-step that has waited for twice its objective, and for some seconds, may use the
-slots, so that nothing starves by them. Gangs use them at any time, since they
-find room seldom enough.
+The amount of headroom is that of [`crate::jobs::headroom`]. It is counted in
+slots, each the capacity for one urgent task on one executor, because fragments
+on several executors don't add up to capacity for a task. While no more slots
+are free than should be, tasks that are not urgent start only where they take no
+slot. They may use the rest of the cell. To prevent starvation, a step may use
+the slots once it has waited for twice its objective and for at least
+[`MIN_HEADROOM_WAIT`]. Gangs may use them at any time, since they find enough
+capacity rarely.
 
-What still finds no room has others give way to it, see [`super::preemption`].
+Urgent tasks that still find no capacity preempt others, see
+[`super::preemption`].
 */
 
 use std::collections::BTreeMap;
@@ -25,46 +27,48 @@
 use crate::jobs::scheduler::ranking::{PriorityClass, Rank, Timeliness};
 use crate::jobs::scheduler::Scheduler;
 
-/// The time between two counts of the free slots, in milliseconds: it bounds
-/// what the counts cost in large cells, and how long room that has come free
-/// since is held back.
-const COUNT_GAP: Millis = 50;
-/// A step that may wait leaves the slots alone for at least so long, in
-/// milliseconds: a burst lasts some seconds, and short work that waits for its
-/// end must not take the room in its midst.
-const LEFT_ALONE: Millis = 10_000;
-/// Others are looked at that may give way to so many steps in one placing.
-/// What is left over has its turn in the next.
+/// The time between two counts of the free slots. It bounds the cost of counting
+/// in large cells, and how long capacity that became free since the last count
+/// is withheld.
+const COUNT_INTERVAL: Millis = 50;
+/// How long a step that is not urgent leaves the slots alone at least. A burst
+/// of urgent work lasts some seconds, and short steps that wait for its end must
+/// not take the capacity in the middle of it.
+const MIN_HEADROOM_WAIT: Millis = 10_000;
+/// The number of urgent steps per placement round that may search for runs to
+/// preempt. The remaining steps can do so in the next rounds.
 const MAX_VICTIM_SEARCHES: u32 = 8;
 
-/// What is kept free for urgent tasks.
+/// The state of the capacity that is kept free for urgent tasks.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UrgentHeadroom {
     headroom: Headroom,
-    /// The same by account: none is kept for one that is over its share.
+    /// The same by account. No headroom is kept for an account that is over
+    /// its share.
     by_account: BTreeMap<Option<AccountIndex>, Headroom>,
-    /// The room for one urgent task.
+    /// The capacity for one urgent task.
     slot: Resources,
-    /// The slots that may be taken still; none is no bound.
-    spare: Option<u64>,
+    /// The number of slots that tasks which are not urgent may still take;
+    /// none is no limit.
+    available_slots: Option<u64>,
     counted_at: Millis,
-    /// The looks for others that give way, in this placing.
-    looks: u32,
+    /// The number of searches for runs to preempt in this round.
+    victim_searches: u32,
 }
 
 impl Scheduler {
-    /// Counts anew how many slots for urgent tasks may be taken. `order` has
-    /// all steps that wait.
+    /// Recounts how many urgent slots may be taken, unless they were counted
+    /// less than [`COUNT_INTERVAL`] ago. `order` holds all waiting steps.
     pub(super) fn update_urgent_slots(
         &mut self,
         order: &[(Rank, StepKey)],
         now: Millis,
     ) {
-        if now < self.urgent_headroom.counted_at + COUNT_GAP {
+        if now < self.urgent_headroom.counted_at + COUNT_INTERVAL {
             return;
         }
         self.urgent_headroom.counted_at = now;
-        self.urgent_headroom.spare = None;
+        self.urgent_headroom.available_slots = None;
         if !self.is_enabled(Mechanism::UrgentHeadroom)
             || !self.has_mixed_urgency()
         {
@@ -75,29 +79,33 @@
         self.urgent_headroom.headroom.observe(&demand, now);
         let Some(slot) = self.urgent_headroom.headroom.slot() else { return };
         let usable = self.executors.values().filter(|e| e.usable());
-        let (mut free, mut whole) = (0, 0);
+        let (mut free, mut total_slots) = (0, 0);
         for executor in usable {
             free += u64::from(fit_count(&executor.free, &slot));
-            whole += u64::from(fit_count(&executor.info.capacity, &slot));
+            total_slots +=
+                u64::from(fit_count(&executor.info.capacity, &slot));
         }
-        let wanted = self.urgent_headroom.headroom.wanted(&demand, whole);
         let wanted =
-            wanted.min(self.wanted_within_shares(&demands, whole, now));
+            self.urgent_headroom.headroom.wanted(&demand, total_slots);
+        let wanted =
+            wanted.min(self.wanted_within_shares(&demands, total_slots, now));
         self.urgent_headroom.slot = slot;
-        self.urgent_headroom.spare = Some(free.saturating_sub(wanted));
+        self.urgent_headroom.available_slots =
+            Some(free.saturating_sub(wanted));
     }
 
-    /// Whether some queues are urgent and others are not.
+    /// Whether there are both urgent queues and others.
     fn has_mixed_urgency(&self) -> bool {
         let mut urgent = self.queues.values().map(|q| q.priority == 0);
         urgent.clone().any(|urgent| urgent) && !urgent.all(|urgent| urgent)
     }
 
-    /// How many slots accounts want that are within their shares.
+    /// The number of slots wanted by accounts that are within their shares,
+    /// updating the headroom of each account.
     fn wanted_within_shares(
         &mut self,
         demands: &BTreeMap<Option<AccountIndex>, Demand>,
-        whole: u64,
+        total_slots: u64,
         now: Millis,
     ) -> u64 {
         for account in demands.keys() {
@@ -110,14 +118,14 @@
             let demand = demands.get(account).copied().unwrap_or_default();
             headroom.observe(&demand, now);
             if self.is_entitled_to_headroom(*account) {
-                wanted += headroom.wanted(&demand, whole);
+                wanted += headroom.wanted(&demand, total_slots);
             }
         }
         self.urgent_headroom.by_account = by_account;
-        wanted.min(whole / MOST_KEPT)
+        wanted.min(total_slots / MOST_KEPT)
     }
 
-    /// Whether room may be kept for urgent work of an account.
+    /// Whether headroom may be kept for an account's urgent work.
     fn is_entitled_to_headroom(&self, account: Option<AccountIndex>) -> bool {
         !self.over_share(account) && self.urgent_within_shares(account)
     }
@@ -128,7 +136,8 @@
             && !self.urgent_over_total_share(account)
     }
 
-    /// What urgent tasks of each account hold and wait for.
+    /// What urgent tasks hold and wait for, by account, as far as the
+    /// account's urgent work is within its shares.
     fn urgent_demands(
         &self,
         order: &[(Rank, StepKey)],
@@ -160,30 +169,33 @@
         demands
     }
 
-    /// Whether a step has to leave free what is kept for urgent tasks.
+    /// Whether a step has to leave the urgent slots free.
     pub(super) fn must_leave_urgent_slots(
         &self,
         key: StepKey,
         now: Millis,
     ) -> bool {
-        if self.urgent_headroom.spare.is_none() {
+        if self.urgent_headroom.available_slots.is_none() {
             return false;
         }
         let Some(live) = self.jobs.get(&key.job) else { return false };
         let objective = live.deadline.saturating_sub(live.arrived_at);
-        now < live.arrived_at + (2 * objective).max(LEFT_ALONE)
+        now < live.arrived_at + (2 * objective).max(MIN_HEADROOM_WAIT)
     }
 
-    /// Whether a task with this need may start on an executor without taking
-    /// a slot that is kept.
+    /// Whether a task with this need can start on an executor without taking
+    /// more urgent slots than may be taken.
     pub(super) fn leaves_urgent_slots(
         &self,
         at: ExecutorIndex,
         need: &Resources,
     ) -> bool {
-        let Some(spare) = self.urgent_headroom.spare else { return true };
+        let Some(available_slots) = self.urgent_headroom.available_slots
+        else {
+            return true;
+        };
         let executor = self.executors.get(&at);
-        executor.is_some_and(|e| spare >= self.slots_taken(e, need))
+        executor.is_some_and(|e| available_slots >= self.slots_taken(e, need))
     }
 
     fn slots_taken(&self, executor: &Executor, need: &Resources) -> u64 {
@@ -193,14 +205,17 @@
         slots(&executor.free).saturating_sub(slots(&left))
     }
 
-    /// A task of a step is about to start on an executor. What urgent ones
-    /// take is what the slots are kept for.
+    /// Deducts the slots that a task of a step takes on an executor. Urgent
+    /// tasks deduct none: the slots are kept for them.
     pub(super) fn consume_urgent_slots(
         &mut self,
         key: StepKey,
         at: ExecutorIndex,
     ) {
-        let Some(spare) = self.urgent_headroom.spare else { return };
+        let Some(available_slots) = self.urgent_headroom.available_slots
+        else {
+            return;
+        };
         let live = self.jobs.get(&key.job);
         if live.is_none_or(|live| live.is_urgent()) {
             return;
@@ -211,11 +226,13 @@
             return;
         };
         let taken = self.slots_taken(executor, &step.footprint());
-        self.urgent_headroom.spare = Some(spare.saturating_sub(taken));
+        self.urgent_headroom.available_slots =
+            Some(available_slots.saturating_sub(taken));
     }
 
-    /// A task was not started for the sake of the slots.
-    pub(super) fn held_back(&mut self, key: StepKey) {
+    /// Records that a task of a step was not started because of the urgent
+    /// slots.
+    pub(super) fn record_held_back(&mut self, key: StepKey) {
         self.count("starts_held_back");
         let live = self.jobs.get_mut(&key.job);
         let state = live.and_then(|live| live.step_state(key.time, key.step));
@@ -226,13 +243,15 @@
     }
 
     pub(super) fn reset_victim_searches(&mut self) {
-        self.urgent_headroom.looks = 0;
+        self.urgent_headroom.victim_searches = 0;
     }
 
-    /// Whether others may be looked at that could give way to an urgent step.
+    /// Whether an urgent step may search for runs to preempt in this round.
+    /// Counts the search if it may.
     pub(super) fn may_search_victims(&mut self) -> bool {
-        let may = self.urgent_headroom.looks < MAX_VICTIM_SEARCHES;
-        self.urgent_headroom.looks += u32::from(may);
-        may
+        let allowed =
+            self.urgent_headroom.victim_searches < MAX_VICTIM_SEARCHES;
+        self.urgent_headroom.victim_searches += u32::from(allowed);
+        allowed
     }
 }
