--- a/puffinknot-core/src/jobs/scheduler/placement.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement.rs
@@ -395,8 +395,8 @@
     }
 
     /// Reserves capacity in advance for tasks that found none, if they are
-    /// wide and `may_reserve` is set. Requests advice on more executors, unless
-    /// advice is scarce and the known ones could hold the step. Returns
+    /// wide and `may_reserve` is set. Requests advice on more executors,
+    /// unless advice is scarce and the known ones could hold the step. Returns
     /// whether a reservation was attempted.
     fn wait_for_capacity(
         &mut self,
--- a/puffinknot-core/src/jobs/scheduler/preemption.rs
+++ b/puffinknot-core/src/jobs/scheduler/preemption.rs
@@ -3,13 +3,13 @@
 would miss their objectives.
 
 In a full cell, a wide gang fits only when many tasks happen to end at the same
-time, and small tasks take the capacity that becomes free before then. A task of
-a less urgent queue that writes checkpoints loses little when it is stopped,
-because it resumes elsewhere from its last checkpoint. Therefore a gang that has
-waited for a part of its slack preempts such tasks, on the executors with the
-lowest cost: the fewest processors to be freed per member. The capacity is
-reserved for the gang while those tasks stop. Urgent tasks preempt others one by
-one: they are short, and would be late before other tasks end by themselves.
+time, and small tasks take the capacity that becomes free before then. A task
+of a less urgent queue that writes checkpoints loses little when it is stopped,
+because it resumes elsewhere from its last checkpoint. Therefore a gang that
+has waited for a part of its slack preempts such tasks, on the executors with
+the lowest cost: the fewest processors to be freed per member. The capacity is
+reserved for the gang while those tasks stop. Urgent tasks preempt others one
+by one: they are short, and would be late before other tasks end by themselves.
 
 A task is preempted at most once, and only if it can still meet its objective
 afterwards.
@@ -32,8 +32,8 @@
 const RESERVATION_TIME: Millis = 2_000;
 /// The time until a step that found too few runs to preempt tries again.
 const RETRY_DELAY: Millis = 200;
-/// The least slack of a task that may be preempted: one second to stop, one for
-/// advice and the next placement, and one in reserve.
+/// The least slack of a task that may be preempted: one second to stop, one
+/// for advice and the next placement, and one in reserve.
 const MIN_VICTIM_SLACK: Millis = 3_000;
 /// A run that should end within this time is not preempted.
 const MIN_REMAINING_TIME: Millis = 500;
--- a/puffinknot-core/src/jobs/scheduler/runs.rs
+++ b/puffinknot-core/src/jobs/scheduler/runs.rs
@@ -9,7 +9,7 @@
 };
 use crate::jobs::model::{JobId, JobState, StepKey, TaskKey};
 use crate::jobs::scheduler::renewals::expiry;
-use crate::jobs::scheduler::speeds::is_informative;
+use crate::jobs::scheduler::speeds::measures_speed;
 use crate::jobs::scheduler::Scheduler;
 
 /// A stop that is not confirmed is sent again after this time.
@@ -48,7 +48,7 @@
         let window = state.window(saved);
         let checkpoint =
             state.checkpoints.get(&saved).cloned().unwrap_or_default();
-        let tells = is_informative(step, executor, &checkpoint);
+        let tells = measures_speed(step, executor, &checkpoint);
         executor.expiry = executor.expiry.max(expiry(now, lease));
         // Its end is wanted at once, also if it was idle and left alone.
         executor.next_renewal = executor.next_renewal.min(now);
--- a/puffinknot-core/src/jobs/scheduler/speeds.rs
+++ b/puffinknot-core/src/jobs/scheduler/speeds.rs
@@ -1,11 +1,12 @@
 /*!
-What runs tell of executors and of guesses, see [`crate::jobs::speed`], and
-what follows for placing.
+Learning the speed of executors and the error of run time estimates from runs,
+see [`crate::jobs::speed`], and using both in placement.
 
-Runs that began from the start and are done are noted with their step; once
-all of it is done, they are compared. The members of a gang end together, by
-the slowest, and tell of guesses only. A run that goes on far beyond what it
-should tells of its executor before it ends.
+The times of completed runs that did not resume from a checkpoint are recorded
+with their step, and compared once the whole step is done. The members of a
+gang end together, when the slowest does, so their times tell only about the
+error of the estimate. A run that takes far longer than expected tells about
+its executor before it ends.
 */
 
 use std::collections::BTreeMap;
@@ -23,48 +24,53 @@
 use crate::jobs::scheduler::Scheduler;
 use crate::jobs::speed::{compare, EstimateError, Speed};
 
-/// A run that goes on for this many times what it should is noted: two of
-/// three guesses are within 1.6, nearly all within the square of that.
-const OVERDUE: Millis = 3;
-/// An urgent step needs a quick executor if it would miss its objective by
-/// taking this many times as long as it should: guesses are off by as much.
-/// Others do only if they would miss it by taking what they should.
-const TIGHT: Millis = 2;
-/// The time until a client is told of an end, in milliseconds: the end has to
-/// be reported, written and asked for. Short steps have little else to spare.
-const TOLD: Millis = 500;
-/// For steps that need a quick executor, a logarithm of run time counts as so
-/// many thousandths of an executor left over: one that is quicker by a third
-/// goes before the best fit.
-const BY_SPEED: f64 = 4_000.0;
-/// An executor that is slower by more than this logarithm, a factor of two, is
-/// the last for all: patient objectives allow for twice the time, about.
+/// A run is overdue if it takes more than this many times its expected run
+/// time. Two of three estimates are within a factor of 1.6 of the run time,
+/// and nearly all are within the square of that.
+const OVERDUE_FACTOR: Millis = 3;
+/// An urgent step needs a fast executor if it would miss its objective by
+/// taking this many times its expected run time, since estimates are off by as
+/// much. Other steps need one only if they would miss it by taking the
+/// expected run time.
+const URGENT_TIME_FACTOR: Millis = 2;
+/// The time until a client learns that a run has ended: the end has to be
+/// reported, written and queried. Short steps have little other slack.
+const END_NOTICE_DELAY: Millis = 500;
+/// The fit cost per unit of [`Scheduler::slowness`] for steps that need a fast
+/// executor, in thousandths of an executor left over. An executor that is
+/// faster by a third is preferred to the best fit.
+const FAST_NEEDED_WEIGHT: f64 = 4_000.0;
+/// The slowness, a factor of two, above which an executor is the last choice
+/// for every step: objectives of steps that are not urgent allow for about
+/// twice the run time.
 const VERY_SLOW: f64 = 0.69;
-/// The same as [`BY_SPEED`] for other steps, by what an executor is slower
-/// beyond that: they would hold room there for long.
-const OFF_SLOW: f64 = 4_000.0;
-/// The same for other steps on executors that are quick, which are left to
-/// those that need them: about as much as a good fit is worth.
-const OFF_QUICK: f64 = 600.0;
-/// What is known fades, and is kept, so often, in milliseconds. All shards are
-/// looked at within sixteen times this.
-const REFRESH: Millis = 1_000;
-/// What the store keeps is written again once it is off by so many parts, see
-/// [`Speed::kept`]: a quarter of a run time.
-const MATERIAL: i32 = 8;
+/// The fit cost per unit of slowness above [`VERY_SLOW`] for other steps: they
+/// would hold capacity there for a long time.
+const VERY_SLOW_WEIGHT: f64 = 4_000.0;
+/// The fit cost for other steps per unit by which an executor is faster than
+/// nominal, so that fast executors are left to the steps that need them. It is
+/// worth about as much as a good fit.
+const KEEP_FAST_FREE_WEIGHT: f64 = 600.0;
+/// The time between two refreshes. Each lets evidence fade and checks one
+/// shard for speeds to store, so that all shards are checked within sixteen
+/// times this.
+const REFRESH_INTERVAL: Millis = 1_000;
+/// The stored speed of an executor is written again once it is off by this
+/// many units of [`Speed::kept`], a quarter of a run time.
+const MIN_STORED_CHANGE: i32 = 8;
 
-/// The error of guesses by queue, of single tasks and of gangs.
+/// The error of run time estimates by queue, for single tasks and for gangs.
 #[derive(Debug, Default)]
 pub(super) struct EstimateErrors {
     by_queue: BTreeMap<String, [EstimateError; 2]>,
     unknown: EstimateError,
-    refreshed: Millis,
-    /// The shard whose executors were looked at last.
+    refreshed_at: Millis,
+    /// The shard whose executors were checked last.
     shard: u8,
 }
 
 impl EstimateErrors {
-    /// The error of the guesses of a queue.
+    /// The error of a queue's estimates for steps like this one.
     pub fn of(&self, queue: &str, step: &Step) -> &EstimateError {
         let known = self.by_queue.get(queue);
         known.map_or(&self.unknown, |both| &both[usize::from(step.gang)])
@@ -76,40 +82,48 @@
     }
 }
 
-/// Whether a run of a step there would tell of its executor.
-pub(super) fn is_informative(
+/// Whether the time that a run of a step takes on an executor measures the
+/// executor's speed.
+pub(super) fn measures_speed(
     step: &Step,
     at: &Executor,
     checkpoint: &str,
 ) -> bool {
-    let far = step.near.as_ref().is_some_and(|rack| !at.has_label(rack));
-    let split = step.gang && step.same_rack;
-    checkpoint.is_empty() && !far && !split && !step.lasting && !step.fills
+    let outside_rack =
+        step.near.as_ref().is_some_and(|rack| !at.has_label(rack));
+    let rack_gang = step.gang && step.same_rack;
+    checkpoint.is_empty()
+        && !outside_rack
+        && !rack_gang
+        && !step.lasting
+        && !step.fills
 }
 
 impl Scheduler {
-    /// How much longer runs take on an executor than on the usual one, as a
-    /// natural logarithm.
+    /// How much longer runs take on an executor than on one of nominal speed,
+    /// as a natural logarithm. Negative values mean that it is faster.
     pub(super) fn slowness(&self, at: ExecutorIndex) -> f64 {
         let executor = self.executors.get(&at);
         executor.map_or(0.0, |executor| executor.speed.slowness())
     }
 
-    /// The slowness of the slowest executor on which a step runs.
+    /// The slowness of the slowest executor that runs tasks of a step, if any
+    /// does.
     pub(super) fn max_slowness(&self, key: StepKey) -> Option<f64> {
-        let places = self.step_state(key)?.placements.values();
-        places.map(|(at, _)| self.slowness(*at)).max_by(f64::total_cmp)
+        let placements = self.step_state(key)?.placements.values();
+        placements.map(|(at, _)| self.slowness(*at)).max_by(f64::total_cmp)
     }
 
-    /// Takes in what the end of a run tells.
+    /// Learns from the end of a run.
     pub(super) fn learn_from_end(
         &mut self,
         index: ExecutorIndex,
         end: &EndReport,
-        given: &ReportTiming,
+        timing: &ReportTiming,
         now: Millis,
     ) {
-        // Ends that wait for the store are heard of late.
+        // While writes to the store are stalled, ends are reported late, which
+        // makes run times appear longer.
         let late = self.commits.is_stalled(now);
         if end.how != EndKind::Done
             || late
@@ -119,11 +133,11 @@
         }
         let key = end.task.step;
         let Some(executor) = self.executors.get(&index) else { return };
-        let Some(on) = executor.runs.get(&end.task) else { return };
-        if on.run != end.run {
+        let Some(placed) = executor.runs.get(&end.task) else { return };
+        if placed.run != end.run {
             return;
         }
-        let time = given.duration(on).filter(|_| on.measures_speed);
+        let time = timing.duration(placed).filter(|_| placed.measures_speed);
         let gang = self.step(key).is_some_and(|step| step.gang);
         let done = |run: &StepState| run.done.contains(&end.task.index);
         if self.step_state(key).is_some_and(done) {
@@ -147,7 +161,7 @@
         }
     }
 
-    /// All runs of a step are done.
+    /// Learns from the run times of a step that is done.
     fn learn_from_step(&mut self, key: StepKey, now: Millis) {
         let Some(live) = self.jobs.get(&key.job) else { return };
         let step = &live.job.steps[key.step as usize];
@@ -157,28 +171,32 @@
         if step.estimate == 0 {
             return;
         }
-        let error = self.estimate_errors.of_mut(&live.job.queue, step);
-        let expected = (step.estimate as f64).ln() + error.mean();
+        let estimate_error =
+            self.estimate_errors.of_mut(&live.job.queue, step);
+        let expected = (step.estimate as f64).ln() + estimate_error.mean();
         let speed_of = |at: ExecutorIndex| {
             self.executors.get(&at).map(|e| e.speed).unwrap_or_default()
         };
-        let mut findings = Vec::new();
+        let mut samples = Vec::new();
         if !step.gang {
-            findings = compare(&state.times, speed_of, error, expected);
-            let thought = findings.iter().map(|f| speed_of(f.at).mean());
-            let thought: Vec<f64> = thought.collect();
-            error.note_uneven(&findings, &thought);
+            samples =
+                compare(&state.times, speed_of, estimate_error, expected);
+            let prior_means =
+                samples.iter().map(|sample| speed_of(sample.at).mean());
+            let prior_means: Vec<f64> = prior_means.collect();
+            estimate_error.note_uneven(&samples, &prior_means);
         }
-        error.note(step.estimate, &state.times);
-        for finding in findings {
-            self.update_speed(finding.at, |speed| {
-                speed.note(finding.longer, finding.variance, now);
+        estimate_error.note(step.estimate, &state.times);
+        for sample in samples {
+            self.update_speed(sample.at, |speed| {
+                speed.note(sample.longer, sample.variance, now);
             });
         }
     }
 
-    /// Changes what is known of an executor, and says so if it differs from
-    /// now on, or does no more.
+    /// Updates the speed of an executor, and reports it if the executor is now
+    /// known to be faster or slower than nominal and was not before, or the
+    /// reverse.
     fn update_speed(
         &mut self,
         at: ExecutorIndex,
@@ -188,13 +206,13 @@
         let before = executor.speed.slowness();
         change(&mut executor.speed);
         let after = executor.speed.slowness();
-        let kind = |slowness: f64| (slowness * 1e6) as i64;
-        if kind(before).signum() == kind(after).signum() {
+        let micros = |slowness: f64| (slowness * 1e6) as i64;
+        if micros(before).signum() == micros(after).signum() {
             return;
         }
         let id = executor.info.id.clone();
         let percent = (after.exp() * 100.0) as u32;
-        self.count(match kind(after).signum() {
+        self.count(match micros(after).signum() {
             -1 => "executors_found_quick",
             1 => "executors_found_slow",
             _ => "executors_usual_again",
@@ -203,86 +221,92 @@
         self.needs_placement = true;
     }
 
-    /// Looks for runs on an executor that go on far beyond what they should.
+    /// Looks for overdue runs on an executor.
     pub(super) fn check_overdue_runs(
         &mut self,
         index: ExecutorIndex,
-        given: &ReportTiming,
+        timing: &ReportTiming,
         now: Millis,
     ) {
         if !self.is_enabled(Mechanism::Speeds) {
             return;
         }
         let Some(executor) = self.executors.get(&index) else { return };
-        let overdue = executor.runs.iter().filter(|(_, on)| {
-            let should = on.expected_end.saturating_sub(on.placed_at);
-            on.measures_speed
-                && on.phase == Phase::Running
-                && should > 0
-                && given.elapsed(on) > OVERDUE * should
+        let overdue = executor.runs.iter().filter(|(_, placed)| {
+            let expected =
+                placed.expected_end.saturating_sub(placed.placed_at);
+            placed.measures_speed
+                && placed.phase == Phase::Running
+                && expected > 0
+                && timing.elapsed(placed) > OVERDUE_FACTOR * expected
         });
-        let overdue = overdue.map(|(task, on)| (*task, given.elapsed(on)));
+        let overdue =
+            overdue.map(|(task, placed)| (*task, timing.elapsed(placed)));
         let overdue: Vec<(TaskKey, Millis)> = overdue.collect();
-        let mut noted: Option<StepKey> = None;
+        let mut previous_step: Option<StepKey> = None;
         for (task, ran) in overdue {
             self.count("runs_overdue");
-            let again = noted == Some(task.step);
-            self.handle_overdue_run(index, task, ran, again, now);
-            noted = Some(task.step);
+            let same_step = previous_step == Some(task.step);
+            self.handle_overdue_run(index, task, ran, same_step, now);
+            previous_step = Some(task.step);
         }
     }
 
-    /// A run is overdue; `again`, if another of its step there is as well.
+    /// Learns from an overdue run. `same_step` is set if the overdue run
+    /// handled just before it on this executor is of the same step.
     fn handle_overdue_run(
         &mut self,
         index: ExecutorIndex,
         task: TaskKey,
         ran: Millis,
-        again: bool,
+        same_step: bool,
         now: Millis,
     ) {
         let key = task.step;
-        let usual = self.nominal_run_time(key);
+        let nominal = self.nominal_run_time(key);
         let Some(executor) = self.executors.get_mut(&index) else { return };
-        let Some(on) = executor.runs.get_mut(&task) else { return };
-        // Its end would be the same evidence once more.
-        on.measures_speed = false;
+        let Some(placed) = executor.runs.get_mut(&task) else { return };
+        // When the run ends, it must not count as evidence a second time.
+        placed.measures_speed = false;
         self.actions.push(Action::RunOverdue {
             executor: executor.info.id.clone(),
             task,
-            run: on.run,
+            run: placed.run,
             ran,
-            should: on.expected_end.saturating_sub(on.placed_at),
+            should: placed.expected_end.saturating_sub(placed.placed_at),
         });
         let Some(live) = self.jobs.get(&key.job) else { return };
         let step = &live.job.steps[key.step as usize];
         let Some(state) = live.steps.get(&(key.time, key.step)) else {
             return;
         };
-        let error = self.estimate_errors.of(&live.job.queue, step);
+        let estimate_error = self.estimate_errors.of(&live.job.queue, step);
         let ended = state.times.len();
-        // A gang waits for its slowest. While no other run of its step has
-        // ended, the work may be hard, for all that are there.
-        if usual == 0 || step.gang || (again && ended == 0) {
+        // A gang waits for its slowest member, so its runs say nothing about
+        // this executor. While no other run of the step has ended, its tasks
+        // may all be longer than estimated, so only the first of them on this
+        // executor counts.
+        if nominal == 0 || step.gang || (same_step && ended == 0) {
             return;
         }
-        let by = match ended {
-            0 => error.spread(),
-            ended => error.uneven() / ended as f64,
+        let estimate_variance = match ended {
+            0 => estimate_error.spread(),
+            ended => estimate_error.uneven() / ended as f64,
         };
-        let variance = by + error.uneven();
-        let longer = (ran as f64 / usual as f64).ln();
+        let variance = estimate_variance + estimate_error.uneven();
+        let longer = (ran as f64 / nominal as f64).ln();
         self.update_speed(index, |speed| speed.overdue(longer, variance, now));
     }
 
-    /// Lets what is known of executors fade, and has the store keep what has
-    /// changed materially, a shard at a time.
+    /// Lets the evidence on executors of other than nominal speed fade, and
+    /// has speeds that differ enough from the stored ones written, one shard
+    /// at a time.
     pub(super) fn refresh_speeds(&mut self, now: Millis) {
-        let due = now >= self.estimate_errors.refreshed + REFRESH;
+        let due = now >= self.estimate_errors.refreshed_at + REFRESH_INTERVAL;
         if !due || !self.is_enabled(Mechanism::Speeds) {
             return;
         }
-        self.estimate_errors.refreshed = now;
+        self.estimate_errors.refreshed_at = now;
         let queues = &self.queues;
         self.estimate_errors
             .by_queue
@@ -290,19 +314,20 @@
         self.estimate_errors.shard =
             (self.estimate_errors.shard + 1) % SHARD_COUNT;
         let shard = self.estimate_errors.shard;
-        let mut fades = Vec::new();
+        let mut to_refresh = Vec::new();
         let mut changed = None;
         for (at, executor) in self.executors.iter() {
             if executor.speed.slowness() != 0.0 {
-                fades.push(*at);
+                to_refresh.push(*at);
             }
             let kept = i32::from(executor.speed.kept());
-            let off = kept - i32::from(executor.kept_speed);
-            if executor.shard == shard && off.abs() >= MATERIAL {
+            let difference = kept - i32::from(executor.kept_speed);
+            if executor.shard == shard && difference.abs() >= MIN_STORED_CHANGE
+            {
                 changed = Some(executor.info.id.clone());
             }
         }
-        for at in fades {
+        for at in to_refresh {
             self.update_speed(at, |speed| speed.refresh(now));
         }
         if let Some(id) = changed {
@@ -311,7 +336,9 @@
         }
     }
 
-    /// Whether a step may miss its objective unless it runs quickly.
+    /// Whether a step may miss its objective unless it runs on a fast
+    /// executor. False for a step that is not urgent and has missed it
+    /// already, and for jobs over their account's rate.
     pub(super) fn needs_fast_executor(
         &self,
         key: StepKey,
@@ -321,41 +348,51 @@
         let rank = self.rank(key, now);
         let urgent =
             rank.is_some_and(|rank| rank.class == PriorityClass::Urgent);
-        let missed = live.deadline < now && !urgent;
-        let times = if urgent { TIGHT } else { 1 };
-        let late = times * self.remaining_critical_path(key) + TOLD;
-        let misses = live.deadline < now + late;
-        misses && !missed && !live.over_rate
+        let missed_objective = live.deadline < now && !urgent;
+        let factor = if urgent { URGENT_TIME_FACTOR } else { 1 };
+        let needed =
+            factor * self.remaining_critical_path(key) + END_NOTICE_DELAY;
+        let would_miss = live.deadline < now + needed;
+        would_miss && !missed_objective && !live.over_rate
     }
 
-    /// What the speed of an executor adds to what is left over there, for a
-    /// step that is tight or not.
-    pub(super) fn speed_cost(&self, at: ExecutorIndex, tight: bool) -> i64 {
+    /// What the speed of an executor adds to the fit cost there, for a step
+    /// that needs a fast executor or does not.
+    pub(super) fn speed_cost(
+        &self,
+        at: ExecutorIndex,
+        needs_fast: bool,
+    ) -> i64 {
         let slowness = self.slowness(at);
-        let cost = match (tight, slowness < 0.0) {
-            (true, _) => slowness * BY_SPEED,
-            (false, true) => -slowness * OFF_QUICK,
-            (false, false) => (slowness - VERY_SLOW).max(0.0) * OFF_SLOW,
+        let cost = match (needs_fast, slowness < 0.0) {
+            (true, _) => slowness * FAST_NEEDED_WEIGHT,
+            (false, true) => -slowness * KEEP_FAST_FREE_WEIGHT,
+            (false, false) => {
+                (slowness - VERY_SLOW).max(0.0) * VERY_SLOW_WEIGHT
+            }
         };
         cost as i64
     }
 
-    /// The groups of executors of about the same speed that a gang should be
-    /// tried on, in this order, before it is on all: its slowest member ends
-    /// it, so that quick ones would be wasted beside others.
+    /// The groups of executors of similar speed on which to try to place a
+    /// gang, in this order, before all executors are considered. A gang ends
+    /// with its slowest member, so fast executors are wasted beside slow ones.
+    /// Empty if all executors are of nominal speed.
     pub(super) fn speed_groups(
         &self,
-        rooms: &[MemberCapacity],
-        tight: bool,
+        capacities: &[MemberCapacity],
+        needs_fast: bool,
     ) -> Vec<Vec<MemberCapacity>> {
-        if rooms.iter().all(|room| self.slowness(room.at) == 0.0) {
+        if capacities.iter().all(|capacity| self.slowness(capacity.at) == 0.0)
+        {
             return Vec::new();
         }
         let group = |belongs: fn(f64) -> bool| {
-            let all = rooms.iter().copied();
-            all.filter(|room| belongs(self.slowness(room.at))).collect()
+            let all = capacities.iter().copied();
+            all.filter(|capacity| belongs(self.slowness(capacity.at)))
+                .collect()
         };
-        let first = match tight {
+        let first = match needs_fast {
             true => group(|slowness| slowness < 0.0),
             false => group(|slowness| (0.0..VERY_SLOW).contains(&slowness)),
         };
--- a/puffinknot-core/src/jobs/scheduler/urgent_headroom.rs
+++ b/puffinknot-core/src/jobs/scheduler/urgent_headroom.rs
@@ -4,9 +4,9 @@
 The amount of headroom is that of [`crate::jobs::headroom`]. It is counted in
 slots, each the capacity for one urgent task on one executor, because fragments
 on several executors don't add up to capacity for a task. While no more slots
-are free than should be, tasks that are not urgent start only where they take no
-slot. They may use the rest of the cell. To prevent starvation, a step may use
-the slots once it has waited for twice its objective and for at least
+are free than should be, tasks that are not urgent start only where they take
+no slot. They may use the rest of the cell. To prevent starvation, a step may
+use the slots once it has waited for twice its objective and for at least
 [`MIN_HEADROOM_WAIT`]. Gangs may use them at any time, since they find enough
 capacity rarely.
 
@@ -27,13 +27,13 @@
 use crate::jobs::scheduler::ranking::{PriorityClass, Rank, Timeliness};
 use crate::jobs::scheduler::Scheduler;
 
-/// The time between two counts of the free slots. It bounds the cost of counting
-/// in large cells, and how long capacity that became free since the last count
-/// is withheld.
+/// The time between two counts of the free slots. It bounds the cost of
+/// counting in large cells, and how long capacity that became free since the
+/// last count is withheld.
 const COUNT_INTERVAL: Millis = 50;
 /// How long a step that is not urgent leaves the slots alone at least. A burst
-/// of urgent work lasts some seconds, and short steps that wait for its end must
-/// not take the capacity in the middle of it.
+/// of urgent work lasts some seconds, and short steps that wait for its end
+/// must not take the capacity in the middle of it.
 const MIN_HEADROOM_WAIT: Millis = 10_000;
 /// The number of urgent steps per placement round that may search for runs to
 /// preempt. The remaining steps can do so in the next rounds.
