--- a/puffinknot-core/src/jobs/scheduler/placement.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement.rs
@@ -360,8 +360,8 @@
         }
         self.widen_advice(key, now);
         if expired_tickets {
-            // By the time the advice arrives, the free capacity may have
-            // moved to other executors, so nothing is reserved here.
+            // By the time the advice arrives, the free capacity may have moved
+            // to other executors, so all expired tickets are renewed.
             let expired =
                 candidates.iter().filter(|(_, has_ticket)| !has_ticket);
             let expired = expired
