--- a/puffinknot-core/src/jobs/scheduler/admission.rs
+++ b/puffinknot-core/src/jobs/scheduler/admission.rs
@@ -273,7 +273,7 @@
             let tasks = state.waiting.len() as u32;
             let each = self.nominal_run_time(key);
             let work = Work::of(&step.footprint(), tasks, each);
-            let urgent = rank.urgent().then(|| rank_key(&rank));
+            let urgent = rank.is_urgent().then(|| rank_key(&rank));
             backlog.add(live.account, &live.job.queue, &work, urgent);
         }
     }
@@ -289,7 +289,7 @@
         let Some(backlog) = backlogs.get_mut(&live.queue.service) else {
             return;
         };
-        let urgent = rank.urgent().then(|| rank_key(&rank));
+        let urgent = rank.is_urgent().then(|| rank_key(&rank));
         backlog.add(live.account, &live.job.queue, &work, urgent);
     }
 
@@ -314,7 +314,11 @@
         let steps = (0..).zip(&live.job.steps);
         let first = steps.filter(|(_, step)| step.after.is_empty());
         let chains = first.map(|(number, _)| {
-            self.remaining_chain_time(StepKey { job, time: 0, step: number })
+            self.remaining_critical_path(StepKey {
+                job,
+                time: 0,
+                step: number,
+            })
         });
         chains.max().unwrap_or(0)
     }
--- a/puffinknot-core/src/jobs/scheduler/runs.rs
+++ b/puffinknot-core/src/jobs/scheduler/runs.rs
@@ -9,7 +9,7 @@
 };
 use crate::jobs::model::{JobId, JobState, StepKey, TaskKey};
 use crate::jobs::scheduler::renewals::lease_expiry;
-use crate::jobs::scheduler::speeds::is_informative;
+use crate::jobs::scheduler::speeds::measures_speed;
 use crate::jobs::scheduler::Scheduler;
 
 /// A stop that was not confirmed is sent again after this time.
@@ -53,7 +53,7 @@
             .get(&representative)
             .cloned()
             .unwrap_or_default();
-        let measures_speed = is_informative(step, executor, &checkpoint);
+        let measures_speed = measures_speed(step, executor, &checkpoint);
         executor.lease_expiry =
             executor.lease_expiry.max(lease_expiry(now, lease));
         // The end of the run should be reported at once, even if the executor
