--- a/puffinknot-core/src/jobs/scheduler/commit.rs
+++ b/puffinknot-core/src/jobs/scheduler/commit.rs
@@ -21,8 +21,8 @@
 
 /// The maximum number of changes in one commit.
 const MAX_CHANGES: usize = 28;
-/// The approximate maximum size of the new jobs, and of the executor shards, in
-/// one commit. Stores accept values of up to one megabyte.
+/// The approximate maximum size of the new jobs, and of the executor shards,
+/// in one commit. Stores accept values of up to one megabyte.
 const MAX_BYTES: usize = 400_000;
 /// If a commit takes longer than this, the store is in trouble.
 const STALLED_AFTER: Millis = 600;
