--- a/puffinknot-core/src/jobs/mechanism.rs
+++ b/puffinknot-core/src/jobs/mechanism.rs
@@ -12,7 +12,8 @@
 /// A scheduling mechanism that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// Places steps in the order of their deadlines, instead of arrival.
+    /// Places steps in the order in which their objectives end, instead of
+    /// arrival.
     OrderByObjective,
     /// Places tasks where least capacity is left over, instead of anywhere
     /// that they fit.
--- a/puffinknot-core/src/jobs/record.rs
+++ b/puffinknot-core/src/jobs/record.rs
@@ -29,9 +29,9 @@
 pub const ENDED_PREFIX: &str = "ended/";
 /// The prefix of the names of shards of the list of executors.
 pub const SHARD_PREFIX: &str = "enrolled/";
-/// The number of shards of the list of executors. Shards keep a change of one
-/// executor from rewriting more than a small part of the list, and a shard
-/// from exceeding the size limit of a value.
+/// The number of shards of the list of executors. With shards, a change of one
+/// executor rewrites only a small part of the list, and none grows too large
+/// for a value.
 pub const SHARD_COUNT: u8 = 16;
 
 /// The name of the whole list of executors, as earlier versions wrote it.
