--- a/puffinknot-core/src/jobs/scheduler/ledger.rs
+++ b/puffinknot-core/src/jobs/scheduler/ledger.rs
@@ -7,8 +7,9 @@
 only when that executor answers. Until then an account may use more than is
 known. The unknown part is at most the capacity of the executors that have not
 answered, and at most what the inherited jobs of the account may have started.
-The smaller of the two is added to the known usage, so that the sum may be too
-high but never too low.
+The smaller of the two bounds, for each resource, is added to the known usage
+before it is compared with the limit, so that the result may be too high but
+never too low.
 */
 
 use std::collections::BTreeMap;
@@ -171,7 +172,8 @@
         }
     }
 
-    /// The limit of an account. A gang that needs more can never start.
+    /// The limit of an account, with `u32::MAX` for a resource without one. A
+    /// gang that needs more can never start.
     pub fn limit_of(&self, account: Option<AccountIndex>) -> Resources {
         let entry = account.and_then(|at| self.entries.get(at as usize));
         let limit = entry.map(|entry| entry.limit).unwrap_or_default();
@@ -307,9 +309,9 @@
         if self.ledger.entries.is_empty() {
             return;
         }
-        let unseen = self.unheard_executors.iter();
-        let unseen = unseen.filter_map(|at| self.executors.get(at));
-        let bound = unseen.fold(Resources::default(), |sum, executor| {
+        let unheard = self.unheard_executors.iter();
+        let unheard = unheard.filter_map(|at| self.executors.get(at));
+        let bound = unheard.fold(Resources::default(), |sum, executor| {
             sum.plus(&executor.info.capacity)
         });
         let mut started: BTreeMap<AccountIndex, Resources> = BTreeMap::new();
--- a/puffinknot-core/src/jobs/scheduler/requests.rs
+++ b/puffinknot-core/src/jobs/scheduler/requests.rs
@@ -242,11 +242,11 @@
         self.retain_unseen(job);
         let Some(live) = self.jobs.get_mut(&job) else { return };
         let mut placed = Vec::new();
-        for (&(time, step), state) in &mut live.steps {
+        for (&(time, step), step_state) in &mut live.steps {
             let step = StepKey { job, time, step };
             self.ready.remove(&step);
-            state.waiting.clear();
-            let places = std::mem::take(&mut state.placements);
+            step_state.waiting.clear();
+            let places = std::mem::take(&mut step_state.placements);
             let tasks = places
                 .into_iter()
                 .map(|(index, (at, run))| (at, step.task(index), run));
