--- a/puffinknot-core/src/config.rs
+++ b/puffinknot-core/src/config.rs
@@ -67,7 +67,7 @@
     }
 
     /// The lesser of each.
-    pub fn least(&self, other: &Resources) -> Resources {
+    pub fn component_min(&self, other: &Resources) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.min(other.cpu_millis),
             memory_mb: self.memory_mb.min(other.memory_mb),
@@ -243,7 +243,7 @@
 
 impl Room {
     /// What is left to the old scripts on this worker.
-    pub fn on(&self, worker: &TargetId) -> Resources {
+    pub fn reserved_on(&self, worker: &TargetId) -> Resources {
         self.worker.get(worker).copied().unwrap_or(self.default)
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/account_shares.rs
+++ b/puffinknot-core/src/jobs/scheduler/account_shares.rs
@@ -333,7 +333,7 @@
             let claims = usages.map(|(usage, waiting)| {
                 let waiting = &waiting[usize::from(kind.is_share_of_urgent())];
                 let used = kind.usage_of(&usage);
-                let wants = used.plus(waiting).least(&usage.limit);
+                let wants = used.plus(waiting).component_min(&usage.limit);
                 let held = dominant_share(&used, whole);
                 Claim {
                     weight: usage.weight,
--- a/puffinknot-core/src/jobs/scheduler/ledger.rs
+++ b/puffinknot-core/src/jobs/scheduler/ledger.rs
@@ -324,7 +324,7 @@
             let started = started.get(&(at as AccountIndex));
             let started = started.copied().unwrap_or_default();
             let may_run = started.plus(&entry.inherited);
-            entry.unseen = may_run.least(&bound);
+            entry.unseen = may_run.component_min(&bound);
         }
     }
 
--- a/puffinknot-core/src/jobs/scheduler/ranking.rs
+++ b/puffinknot-core/src/jobs/scheduler/ranking.rs
@@ -182,7 +182,7 @@
             return 0;
         }
         let cell = self.account_shares.total_capacity();
-        let capacity = cell.least(&self.ledger.limit_of(live.account));
+        let capacity = cell.component_min(&self.ledger.limit_of(live.account));
         let waiting = live.steps.get(&(key.time, key.step));
         let waiting = waiting.map_or(0, |run| run.waiting.len()) as u32;
         let batches =
--- a/puffinknot-core/src/node/claims.rs
+++ b/puffinknot-core/src/node/claims.rs
@@ -140,21 +140,21 @@
         result: WriteResult,
     ) {
         match result {
-            WriteResult::Won(_) => {}
-            WriteResult::Lost => self.counters.writes_lost += 1,
+            WriteResult::Written(_) => {}
+            WriteResult::Conflict => self.counters.writes_lost += 1,
             WriteResult::Unknown => self.counters.writes_unknown += 1,
-            WriteResult::NotMade => self.counters.writes_not_made += 1,
+            WriteResult::NotSent => self.counters.writes_not_made += 1,
         }
         if matches!(key, Key::Progress(_)) {
             self.progress_written(result);
         } else {
             self.contracts_written(result);
         }
-        if matches!(result, WriteResult::Lost | WriteResult::Unknown) {
+        if matches!(result, WriteResult::Conflict | WriteResult::Unknown) {
             // Only a read can tell what the value is now.
             self.read_again();
         }
-        if result == WriteResult::NotMade {
+        if result == WriteResult::NotSent {
             self.claims.rest_until = now.mono + REST;
         }
         self.after_change(now);
@@ -163,7 +163,7 @@
     fn contracts_written(&mut self, result: WriteResult) {
         let claims = &mut self.claims;
         match (result, &mut claims.writing) {
-            (WriteResult::Won(revision), Some(writing)) => {
+            (WriteResult::Written(revision), Some(writing)) => {
                 writing.won = Some(revision);
                 claims.broken &= !claims.mending;
             }
@@ -281,8 +281,8 @@
         self.out.push(Action::Write(Write {
             key: Key::Contracts(dc),
             value: Value::Contracts(map),
-            expect: known.revision,
-            expect_config: claimed.then_some(since),
+            expected_revision: known.revision,
+            expected_config_revision: claimed.then_some(since),
         }));
     }
 
@@ -526,7 +526,7 @@
         }
         let confirmed = contract.epoch == epoch;
         let held = match scope {
-            Scope::Tasks => self.work.as_ref().map(|w| &w.tenure.epoch),
+            Scope::Tasks => self.work.as_ref().map(|w| &w.term.epoch),
             _ => self.homes.get(&scope).map(|h| &h.tenure.epoch),
         };
         if held != Some(&epoch) {
@@ -553,7 +553,7 @@
             let progress = self.view.progress.value.clone();
             let mut placer = Placer::new(config, dc, tenure, old, progress);
             if let Some(config) = self.view.config() {
-                placer.configure(config);
+                placer.apply_config(config);
             }
             self.work = Some(Box::new(placer));
             return;
@@ -580,7 +580,7 @@
     ) {
         if scope == Scope::Tasks {
             if let Some(work) = &mut self.work {
-                work.tenure.confirmed = confirmed;
+                work.term.confirmed = confirmed;
             }
             self.update_workers(now, &contract.targets);
         } else if let Some(home) = self.homes.get_mut(&scope) {
--- a/puffinknot-core/src/node/mod.rs
+++ b/puffinknot-core/src/node/mod.rs
@@ -31,7 +31,7 @@
 use crate::ids::{CallerId, DcName, Epoch, Millis, Revision, TargetId, VmId};
 use crate::keys::{Key as CallKey, KeyMemory, KeysConfig};
 use crate::outcome::{Outcome, Reason};
-use crate::store::{Key, Stored, Write, WriteResult};
+use crate::store::{Key, StoredEntry, Write, WriteResult};
 use crate::tasks::{Placer, SyncReply, SyncRequest};
 
 use self::claims::Claims;
@@ -207,14 +207,14 @@
         /// The revision of the read.
         revision: Revision,
         /// The values.
-        stored: Vec<Stored>,
+        stored: Vec<StoredEntry>,
     },
     /// The watch has seen changes.
     Changed {
         /// The revision of the last change.
         revision: Revision,
         /// Values that were put.
-        stored: Vec<Stored>,
+        stored: Vec<StoredEntry>,
         /// Keys that were deleted or whose lease has lapsed.
         deleted: Vec<Key>,
     },
@@ -239,7 +239,7 @@
     /// A peer has sent its summary.
     Heard(Summary),
     /// A peer has sent what it knows of the platform's values.
-    Learned(Vec<Stored>),
+    Learned(Vec<StoredEntry>),
     /// A caller wants an answer.
     Call(CallId, Call),
     /// A peer wants a call run under a contract.
--- a/puffinknot-core/src/node/status.rs
+++ b/puffinknot-core/src/node/status.rs
@@ -155,11 +155,11 @@
         });
         Some(HomeView {
             scope: Scope::Tasks,
-            epoch: work.tenure.epoch.to_string(),
-            settled: work.tenure.settled(),
-            confirmed: work.tenure.confirmed,
-            running: work.placed(),
-            waiting: work.waiting(),
+            epoch: work.term.epoch.to_string(),
+            settled: work.term.settled(),
+            confirmed: work.term.confirmed,
+            running: work.placed_count(),
+            waiting: work.waiting_count(),
             mean_ms: 0,
             targets: targets.collect(),
         })
--- a/puffinknot-core/src/node/view.rs
+++ b/puffinknot-core/src/node/view.rs
@@ -10,7 +10,7 @@
 use crate::config::Config;
 use crate::contract::{Contract, ContractMap, Scope};
 use crate::ids::{DcName, Epoch, Millis, Revision, TargetId, VmId};
-use crate::store::{Key, Member, Stored, Value};
+use crate::store::{Key, Member, StoredEntry, Value};
 use crate::tasks::Progress;
 
 use super::{Action, Listed, Node, Now, Summary, Unread};
@@ -177,22 +177,22 @@
     }
 
     /// Everything that a peer may need, in the form it is stored.
-    pub fn export(&self) -> Vec<Stored> {
+    pub fn export(&self) -> Vec<StoredEntry> {
         let mut all = Vec::new();
         if self.config.revision > 0 {
             let value = Value::Config(self.config_text.clone());
             let revision = self.config.revision;
-            all.push(Stored { key: Key::Config, value, revision });
+            all.push(StoredEntry { key: Key::Config, value, revision });
         }
         for (dc, map) in &self.maps {
-            all.push(Stored {
+            all.push(StoredEntry {
                 key: Key::Contracts(dc.clone()),
                 value: Value::Contracts(map.value.clone()),
                 revision: map.revision,
             });
         }
         for (vm, member) in &self.members {
-            all.push(Stored {
+            all.push(StoredEntry {
                 key: Key::Member(member.dc.clone(), vm.clone()),
                 value: Value::Member(member.clone()),
                 revision: self.revision,
@@ -207,7 +207,7 @@
         &mut self,
         now: Now,
         revision: Revision,
-        stored: Vec<Stored>,
+        stored: Vec<StoredEntry>,
     ) {
         if revision < self.view.revision {
             return;
@@ -223,7 +223,7 @@
         &mut self,
         now: Now,
         revision: Revision,
-        stored: Vec<Stored>,
+        stored: Vec<StoredEntry>,
         deleted: Vec<Key>,
     ) {
         if revision <= self.view.revision {
@@ -241,16 +241,17 @@
 
     /// A peer's knowledge. Members are only taken while the platform has
     /// never been read, since a peer can't tell who has left.
-    pub(super) fn on_learned(&mut self, now: Now, stored: Vec<Stored>) {
+    pub(super) fn on_learned(&mut self, now: Now, stored: Vec<StoredEntry>) {
         let fresh = self.view.revision == 0;
-        let usable = |s: &Stored| fresh || !matches!(s.key, Key::Member(..));
+        let usable =
+            |s: &StoredEntry| fresh || !matches!(s.key, Key::Member(..));
         let stored = stored.into_iter().filter(usable).collect();
         self.adopt(now, stored);
         self.after_change(now);
     }
 
-    fn adopt(&mut self, now: Now, stored: Vec<Stored>) {
-        for Stored { key, value, revision } in stored {
+    fn adopt(&mut self, now: Now, stored: Vec<StoredEntry>) {
+        for StoredEntry { key, value, revision } in stored {
             match (key, value) {
                 (Key::Config, Value::Config(text)) => {
                     self.adopt_config(revision, text);
@@ -312,7 +313,7 @@
             home.configure(&config.policy);
         }
         if let Some(work) = &mut self.work {
-            work.configure(config);
+            work.apply_config(config);
         }
     }
 
--- a/puffinknot-core/src/node/work.rs
+++ b/puffinknot-core/src/node/work.rs
@@ -23,8 +23,8 @@
         }
         let confirmed = self.claims.confirmed_at();
         let Some(work) = &mut self.work else { return };
-        if let Some(at) = confirmed.filter(|_| work.tenure.confirmed) {
-            work.confirm(at);
+        if let Some(at) = confirmed.filter(|_| work.term.confirmed) {
+            work.confirm_contract(at);
         }
         for (target, request) in work.step(now.mono) {
             self.out.push(Action::Sync { target, request });
@@ -38,7 +38,7 @@
         if self.progress_write.is_some() || !answers {
             return;
         }
-        if !work.tenure.confirmed {
+        if !work.term.confirmed {
             return;
         }
         let Some((number, progress)) = work.progress() else { return };
@@ -48,20 +48,20 @@
         self.out.push(Action::Write(Write {
             key: Key::Progress(self.config.dc.clone()),
             value: Value::Progress(value),
-            expect: self.view.progress.revision,
-            expect_config: None,
+            expected_revision: self.view.progress.revision,
+            expected_config_revision: None,
         }));
     }
 
     pub(super) fn progress_written(&mut self, result: WriteResult) {
         let Some(write) = self.progress_write.take() else { return };
-        let WriteResult::Won(revision) = result else { return };
+        let WriteResult::Written(revision) = result else { return };
         if revision > self.view.progress.revision {
             self.view.progress.revision = revision;
             self.view.progress.value = write.value;
         }
         if let Some(work) = &mut self.work {
-            work.progress_kept(write.number);
+            work.progress_saved(write.number);
         }
     }
 
@@ -71,7 +71,7 @@
         let value = &self.view.progress.value;
         match &self.progress_write {
             Some(write) if write.value == *value => {
-                work.progress_kept(write.number);
+                work.progress_saved(write.number);
             }
             _ => work.merge_progress(value),
         }
@@ -94,7 +94,7 @@
         }
         for target in targets {
             let leaving = self.view.is_leaving(target);
-            work.set_leaving(target, leaving);
+            work.set_departing(target, leaving);
         }
     }
 
@@ -115,11 +115,11 @@
                 if reply.info.leaving {
                     self.view.leaving.insert(target.clone());
                 }
-                work.reply(now.mono, &target, reply);
+                work.sync_replied(now.mono, &target, reply);
             }
-            Err(TargetError::Unreachable) => work.failed(&target, seq),
+            Err(TargetError::Unreachable) => work.sync_failed(&target, seq),
             Err(TargetError::Stale(highest)) => {
-                work.failed(&target, seq);
+                work.sync_failed(&target, seq);
                 self.superseded(now, Scope::Tasks, &highest);
             }
         }
--- a/puffinknot-core/src/store.rs
+++ b/puffinknot-core/src/store.rs
@@ -133,7 +133,7 @@
 
 /// A value with the revision at which it was last changed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredEntry {
     /// Its key.
     pub key: Key,
     /// The value.
@@ -151,20 +151,20 @@
     pub value: Value,
     /// The revision of the last change that the writer knows of; zero if
     /// the key has to be absent.
-    pub expect: Revision,
+    pub expected_revision: Revision,
     /// The revision that the operators' file must have, if that matters.
-    pub expect_config: Option<Revision>,
+    pub expected_config_revision: Option<Revision>,
 }
 
 /// How a compare-and-swap ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WriteResult {
     /// The value was written at this revision.
-    Won(Revision),
+    Written(Revision),
     /// Somebody else was faster; nothing was written.
-    Lost,
+    Conflict,
     /// The answer was lost, so the value may have been written.
     Unknown,
     /// The service could not be asked; nothing was written.
-    NotMade,
+    NotSent,
 }
--- a/puffinknot-core/src/tasks/fit.rs
+++ b/puffinknot-core/src/tasks/fit.rs
@@ -29,9 +29,9 @@
     /// What is free of it.
     pub free: Resources,
     /// The number of tasks of the same service in its rack and on itself.
-    pub neighbours: (u32, u32),
+    pub same_service_tasks: (u32, u32),
     /// A number that is as good as random for task and worker.
-    pub lot: u64,
+    pub random_key: u64,
 }
 
 /// How good a candidate is; the lowest is best.
@@ -43,7 +43,7 @@
         match self {
             Fit::Best => best(candidate, need),
             Fit::First => (false, 0, 0, 0),
-            Fit::Random => (false, 0, 0, candidate.lot),
+            Fit::Random => (false, 0, 0, candidate.random_key),
         }
     }
 }
@@ -61,7 +61,7 @@
         let accelerators = share(left.accelerators, whole.accelerators);
         rest += accelerators + accelerators.saturating_sub(cpu.min(memory));
     }
-    let (rack, worker) = candidate.neighbours;
+    let (rack, worker) = candidate.same_service_tasks;
     (wastes, rack, worker, rest)
 }
 
--- a/puffinknot-core/src/tasks/placer/exchange.rs
+++ b/puffinknot-core/src/tasks/placer/exchange.rs
@@ -14,7 +14,12 @@
 
 impl Placer {
     /// A worker answered. `read_at` is when the answer arrived.
-    pub fn reply(&mut self, read_at: Millis, id: &TargetId, reply: SyncReply) {
+    pub fn sync_replied(
+        &mut self,
+        read_at: Millis,
+        id: &TargetId,
+        reply: SyncReply,
+    ) {
         let lease = self.config.lease;
         let Some(state) = self.workers.get_mut(id) else { return };
         if state.outstanding.as_ref().map(|o| o.seq) != Some(reply.seq) {
@@ -35,7 +40,7 @@
         self.largest.cpu_millis = self.largest.cpu_millis.max(has.cpu_millis);
         self.largest.memory_mb = self.largest.memory_mb.max(has.memory_mb);
         state.counter = reply.counter;
-        self.tenure.seen(id);
+        self.term.seen(id);
         self.stirred = true;
         if let Some(tasks) = reply.tasks {
             self.reconcile(read_at, id, reply.seq, &tasks);
@@ -173,7 +178,7 @@
     }
 
     /// A sync was not answered.
-    pub fn failed(&mut self, id: &TargetId, seq: u64) {
+    pub fn sync_failed(&mut self, id: &TargetId, seq: u64) {
         let Some(state) = self.workers.get_mut(id) else { return };
         if state.outstanding.as_ref().map(|o| o.seq) != Some(seq) {
             return;
@@ -215,7 +220,7 @@
         now: Millis,
         id: &TargetId,
     ) -> Option<SyncRequest> {
-        let may_start = self.tenure.may_start();
+        let may_start = self.term.may_start();
         let lease = self.config.lease;
         let state = self.workers.get_mut(id)?;
         state.seq += 1;
@@ -234,7 +239,7 @@
         }
         let state = self.workers.get_mut(id)?;
         Some(SyncRequest {
-            epoch: self.tenure.epoch.clone(),
+            epoch: self.term.epoch.clone(),
             seq,
             until: state.until,
             counter: state.counter,
--- a/puffinknot-core/src/tasks/placer/mod.rs
+++ b/puffinknot-core/src/tasks/placer/mod.rs
@@ -220,7 +220,7 @@
     config: PlacerConfig,
     dc: DcName,
     /// The tenure under which this VM places tasks.
-    pub tenure: Tenure,
+    pub term: Tenure,
     /// Jobs and their number of tasks at the start of the tenure.
     old: BTreeMap<String, u32>,
     /// The platform confirmed at this time that the contract is held.
@@ -269,7 +269,7 @@
         Placer {
             config,
             dc,
-            tenure,
+            term: tenure,
             old: old.unwrap_or_default(),
             confirmed_at: 0,
             room: Room::default(),
@@ -294,7 +294,7 @@
     }
 
     /// A revision of the operators' file is in force.
-    pub fn configure(&mut self, config: &Config) {
+    pub fn apply_config(&mut self, config: &Config) {
         self.config.lease = config.policy.task_lease_ms;
         self.config.max_preemptions = config.policy.max_preemptions;
         self.room = config.room.clone();
@@ -457,7 +457,7 @@
     }
 
     fn refresh(&mut self, worker: &TargetId) {
-        let room = self.room.on(worker);
+        let room = self.room.reserved_on(worker);
         if let Some(state) = self.workers.get_mut(worker) {
             state.refresh(&room);
         }
@@ -470,7 +470,7 @@
 
     /// A worker is gone for good, and its tasks with it.
     pub fn remove_worker(&mut self, id: &TargetId) {
-        self.tenure.seen(id);
+        self.term.seen(id);
         self.end_all(id);
         self.workers.remove(id);
         self.stirred = true;
@@ -482,7 +482,7 @@
     }
 
     /// The VM list says whether the worker is leaving.
-    pub fn set_leaving(&mut self, id: &TargetId, leaving: bool) {
+    pub fn set_departing(&mut self, id: &TargetId, leaving: bool) {
         if let Some(state) = self.workers.get_mut(id) {
             state.leaving = leaving;
         }
@@ -525,7 +525,7 @@
 
     /// The platform confirmed, to a request sent at `sent_at`, that the
     /// contract is held.
-    pub fn confirm(&mut self, sent_at: Millis) {
+    pub fn confirm_contract(&mut self, sent_at: Millis) {
         self.confirmed_at = self.confirmed_at.max(sent_at);
     }
 
@@ -559,7 +559,7 @@
             job.failures > 0 && job.not_before <= now
         };
         let retry = self.pending.iter().any(due);
-        if (self.stirred || retry) && self.tenure.may_start() {
+        if (self.stirred || retry) && self.term.may_start() {
             self.stirred = false;
             self.schedule(now);
         }
@@ -592,7 +592,7 @@
 
     /// The epoch under which this VM places tasks.
     pub fn epoch(&self) -> &Epoch {
-        &self.tenure.epoch
+        &self.term.epoch
     }
 }
 
--- a/puffinknot-core/src/tasks/placer/record.rs
+++ b/puffinknot-core/src/tasks/placer/record.rs
@@ -35,7 +35,7 @@
     }
 
     /// The progress with this number is kept by the platform.
-    pub fn progress_kept(&mut self, number: u64) {
+    pub fn progress_saved(&mut self, number: u64) {
         self.progress_kept = self.progress_kept.max(number);
         let kept = self.progress_kept;
         let unkept = std::mem::take(&mut self.unkept);
--- a/puffinknot-core/src/tasks/placer/schedule.rs
+++ b/puffinknot-core/src/tasks/placer/schedule.rs
@@ -93,10 +93,10 @@
     /// The first waiting task that can't be running elsewhere.
     fn first_startable(&self, name: &str) -> Option<u32> {
         let job = &self.jobs[name];
-        if job.never_repeat() && !self.tenure.confirmed {
+        if job.never_repeat() && !self.term.confirmed {
             return None;
         }
-        if self.tenure.settled() {
+        if self.term.settled() {
             return job.waiting.first().copied();
         }
         // An earlier holder may have started every task that it knew of.
@@ -153,8 +153,8 @@
         let candidate = Candidate {
             capacity: state.capacity,
             free,
-            neighbours: neighbours(id, job, state),
-            lot: self.lot(id, worker),
+            same_service_tasks: neighbours(id, job, state),
+            random_key: self.lot(id, worker),
         };
         Some(self.config.fit.score(&candidate, need))
     }
--- a/puffinknot-core/src/tasks/placer/view.rs
+++ b/puffinknot-core/src/tasks/placer/view.rs
@@ -47,12 +47,12 @@
 
 impl Placer {
     /// The number of tasks that have a place.
-    pub fn placed(&self) -> usize {
+    pub fn placed_count(&self) -> usize {
         self.places.len()
     }
 
     /// The number of tasks that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         let waiting = |name| self.jobs.get(name).map_or(0, count_waiting);
         self.pending.iter().map(waiting).sum()
     }
--- a/puffinknot-measure/src/packing.rs
+++ b/puffinknot-measure/src/packing.rs
@@ -93,7 +93,7 @@
         for (id, request) in syncs {
             let Some(worker) = self.workers.get_mut(&id) else { continue };
             if let Ok(reply) = worker.sync(self.now, &request) {
-                self.placer.reply(self.now, &id, reply);
+                self.placer.sync_replied(self.now, &id, reply);
             }
         }
         took
@@ -104,7 +104,7 @@
         for worker in self.workers.values_mut() {
             worker.tick(self.now);
         }
-        self.placer.confirm(self.now);
+        self.placer.confirm_contract(self.now);
         self.round()
     }
 
@@ -216,7 +216,7 @@
             let (placed, best, idle) = fill(size, fit, &full);
             let some = demand(size, 0.6, seed, 0);
             let mut bench = Bench::new(size, fit);
-            bench.placer.configure(&file(some.clone()));
+            bench.placer.apply_config(&file(some.clone()));
             settle(&mut bench);
             let (busy, _) = bench.used();
             let least = bound(&total(&some));
@@ -242,7 +242,7 @@
 /// though a waiting task wants one.
 fn fill(size: Size, fit: Fit, jobs: &[Job]) -> (f64, f64, u32) {
     let mut bench = Bench::new(size, fit);
-    bench.placer.configure(&file(jobs.to_vec()));
+    bench.placer.apply_config(&file(jobs.to_vec()));
     settle(&mut bench);
     let asked = total(jobs);
     let (_, used) = bench.used();
@@ -290,7 +290,7 @@
             };
             jobs.push(job(n, 8, 60_000 + rng.random_range(0..142_000), need));
         }
-        bench.placer.configure(&file(jobs.clone()));
+        bench.placer.apply_config(&file(jobs.clone()));
         settle(&mut bench);
         let mut times = histogram();
         let mut started = 0;
@@ -303,11 +303,12 @@
                 next.name = format!("next-{at:05}");
                 jobs[at] = next;
             }
-            bench.placer.configure(&file(jobs.clone()));
+            bench.placer.apply_config(&file(jobs.clone()));
             for _ in 0..10 {
-                let before = bench.placer.waiting();
+                let before = bench.placer.waiting_count();
                 let took = bench.pass(100);
-                let placed = before.saturating_sub(bench.placer.waiting());
+                let placed =
+                    before.saturating_sub(bench.placer.waiting_count());
                 started += placed;
                 if placed > 0 {
                     let each = took.as_nanos() as u64 / placed as u64;
@@ -315,8 +316,8 @@
                 }
             }
         }
-        let waiting = bench.placer.waiting();
-        let placed = bench.placer.placed();
+        let waiting = bench.placer.waiting_count();
+        let placed = bench.placer.placed_count();
         let part = placed as f64 * 100.0 / (placed + waiting) as f64;
         report.row(
             name,
@@ -376,7 +377,7 @@
         Resources { cpu_millis: 500, memory_mb: 2_000, accelerators: 0 };
     let jobs: Vec<Job> =
         (0..tasks / 9).map(|n| job(n as usize, 9, 0, need)).collect();
-    bench.placer.configure(&file(jobs.clone()));
+    bench.placer.apply_config(&file(jobs.clone()));
     let start = Instant::now();
     settle(&mut bench);
     let all_at_once = start.elapsed();
@@ -389,7 +390,7 @@
         let need =
             Resources { cpu_millis: cpu, memory_mb: 100, accelerators: 0 };
         jobs.push(job(100_000 + n, 1, 0, need));
-        bench.placer.configure(&file(jobs.clone()));
+        bench.placer.apply_config(&file(jobs.clone()));
         let took = bench.pass(10);
         let _ = times.record(took.as_nanos() as u64);
     }
--- a/puffinknot-measure/src/processes.rs
+++ b/puffinknot-measure/src/processes.rs
@@ -142,10 +142,11 @@
                 let write = Write {
                     key: Key::Config,
                     value,
-                    expect,
-                    expect_config: None,
+                    expected_revision: expect,
+                    expected_config_revision: None,
                 };
-                if let WriteResult::Won(revision) = client.write(&write).await
+                if let WriteResult::Written(revision) =
+                    client.write(&write).await
                 {
                     return revision;
                 }
--- a/src/client/apply.rs
+++ b/src/client/apply.rs
@@ -200,12 +200,12 @@
     let write = Write {
         key: Key::Config,
         value: Value::Config(text.clone()),
-        expect,
-        expect_config: None,
+        expected_revision: expect,
+        expected_config_revision: None,
     };
     let revision = match platform.write(&write).await {
-        WriteResult::Won(revision) => revision,
-        WriteResult::Lost => {
+        WriteResult::Written(revision) => revision,
+        WriteResult::Conflict => {
             return lost(&platform, &before, expect, output).await;
         }
         WriteResult::Unknown => {
@@ -214,7 +214,7 @@
                 None => return lost(&platform, &before, expect, output).await,
             }
         }
-        WriteResult::NotMade => {
+        WriteResult::NotSent => {
             return Err(Error::new(
                 ErrorKind::Platform,
                 "the key-value service could not be asked; nothing changed",
--- a/src/control.rs
+++ b/src/control.rs
@@ -19,7 +19,7 @@
 use puffinknot_core::ids::{CallerId, Epoch, Revision};
 use puffinknot_core::node::{Call, Event, NodeStatus, Summary};
 use puffinknot_core::outcome::Outcome;
-use puffinknot_core::store::Stored;
+use puffinknot_core::store::StoredEntry;
 use tokio::sync::{mpsc, oneshot};
 
 /// What a traffic thread is to do for a call.
@@ -68,7 +68,7 @@
     /// A peer has sent its summary and wants this VM's.
     Summary(Summary, oneshot::Sender<Summary>),
     /// A peer asks for what this VM knows of the platform's values.
-    Export(oneshot::Sender<Vec<Stored>>),
+    Export(oneshot::Sender<Vec<StoredEntry>>),
     /// Begin a planned stop.
     Drain,
     /// Stop at once, as if the process had been killed.
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -14,7 +14,7 @@
 use base64::prelude::{Engine, BASE64_STANDARD};
 use futures_util::StreamExt;
 use puffinknot_core::ids::{Millis, Revision};
-use puffinknot_core::store::{Key, Stored, Value, Write, WriteResult};
+use puffinknot_core::store::{Key, StoredEntry, Value, Write, WriteResult};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
@@ -62,7 +62,7 @@
     /// The revision of the service.
     pub revision: Revision,
     /// The values.
-    pub stored: Vec<Stored>,
+    pub stored: Vec<StoredEntry>,
     /// Values that could not be read, with the reason.
     pub unusable: Vec<String>,
 }
@@ -73,7 +73,7 @@
     /// The revision of the last change.
     pub revision: Revision,
     /// Values that were put.
-    pub stored: Vec<Stored>,
+    pub stored: Vec<StoredEntry>,
     /// Keys that were deleted.
     pub deleted: Vec<Key>,
 }
@@ -237,7 +237,7 @@
     fn stored(
         &self,
         kv: &KvJson,
-    ) -> std::result::Result<Option<Stored>, String> {
+    ) -> std::result::Result<Option<StoredEntry>, String> {
         let Some(key) = self.key(kv) else { return Ok(None) };
         let bytes = BASE64_STANDARD
             .decode(&kv.value)
@@ -245,13 +245,14 @@
         let value = Value::parse(&key, &bytes)
             .map_err(|err| format!("{key:?}: {err}"))?;
         let revision = number(&kv.mod_revision);
-        Ok(Some(Stored { key, value, revision }))
+        Ok(Some(StoredEntry { key, value, revision }))
     }
 
     /// Makes a compare-and-swap.
     pub async fn write(&self, write: &Write) -> WriteResult {
-        let mut compare = vec![self.compare(&write.key, write.expect)];
-        if let Some(revision) = write.expect_config {
+        let mut compare =
+            vec![self.compare(&write.key, write.expected_revision)];
+        if let Some(revision) = write.expected_config_revision {
             compare.push(self.compare(&Key::Config, revision));
         }
         let put = json!({
@@ -264,11 +265,11 @@
         });
         match self.post::<TxnJson>("/v3/kv/txn", &body).await {
             Ok(answer) if answer.succeeded => {
-                WriteResult::Won(number(&answer.header.revision))
+                WriteResult::Written(number(&answer.header.revision))
             }
-            Ok(_) => WriteResult::Lost,
+            Ok(_) => WriteResult::Conflict,
             Err(err) if err.made => WriteResult::Unknown,
-            Err(_) => WriteResult::NotMade,
+            Err(_) => WriteResult::NotSent,
         }
     }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -13,7 +13,7 @@
 use puffinknot_core::keys::KeyMemory;
 use puffinknot_core::node::{Call, Summary};
 use puffinknot_core::outcome::Outcome;
-use puffinknot_core::store::Stored;
+use puffinknot_core::store::StoredEntry;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -91,7 +91,7 @@
     /// The other VM's summary.
     Summary(Summary),
     /// What the other VM knows of the platform's values.
-    Stored(Vec<Stored>),
+    Stored(Vec<StoredEntry>),
     /// The end of a call.
     Ended(Outcome, Option<Answer>),
 }
--- a/tests/cell/mod.rs
+++ b/tests/cell/mod.rs
@@ -19,7 +19,9 @@
     Summary, TargetError, TargetKind,
 };
 use puffinknot_core::outcome::Outcome;
-use puffinknot_core::store::{Key, Member, Stored, Value, Write, WriteResult};
+use puffinknot_core::store::{
+    Key, Member, StoredEntry, Value, Write, WriteResult,
+};
 use puffinknot_core::tasks::{SyncReply, SyncRequest, WorkerInfo};
 use puffinknot_standin::worker::{Refusal, WorkerState};
 
@@ -53,7 +55,7 @@
     /// From peer to peer.
     Summary(VmId, VmId, Summary),
     /// From peer to peer: what is known of the platform's values.
-    Learned(VmId, VmId, Vec<Stored>),
+    Learned(VmId, VmId, Vec<StoredEntry>),
     /// From peer to peer.
     Bequest(VmId, VmId, Scope, Epoch, KeyMemory),
 }
@@ -521,7 +523,7 @@
         let result = if self.platform_answers(&vm) {
             self.platform.write(write)
         } else {
-            WriteResult::NotMade
+            WriteResult::NotSent
         };
         let event = Event::Written { key, result };
         self.net.push(Message::Event(vm, event));
--- a/tests/cell/platform.rs
+++ b/tests/cell/platform.rs
@@ -4,7 +4,9 @@
 
 use puffinknot_core::ids::{DcName, Millis, Revision, VmId};
 use puffinknot_core::node::Event;
-use puffinknot_core::store::{Key, Member, Stored, Value, Write, WriteResult};
+use puffinknot_core::store::{
+    Key, Member, StoredEntry, Value, Write, WriteResult,
+};
 
 /// The platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -34,8 +36,8 @@
 
     pub fn write(&mut self, write: Write) -> WriteResult {
         let config = self.modified(&Key::Config);
-        let same = self.modified(&write.key) == write.expect;
-        let file = write.expect_config.is_none_or(|r| r == config);
+        let same = self.modified(&write.key) == write.expected_revision;
+        let file = write.expected_config_revision.is_none_or(|r| r == config);
         if same && file {
             self.put(write.key, write.value);
         }
@@ -44,16 +46,16 @@
             return WriteResult::Unknown;
         }
         if same && file {
-            WriteResult::Won(self.revision)
+            WriteResult::Written(self.revision)
         } else {
-            WriteResult::Lost
+            WriteResult::Conflict
         }
     }
 
-    pub fn read(&self) -> (Revision, Vec<Stored>) {
+    pub fn read(&self) -> (Revision, Vec<StoredEntry>) {
         let stored = self.values.iter().map(|(key, (revision, value))| {
             let (key, value) = (key.clone(), value.clone());
-            Stored { key, value, revision: *revision }
+            StoredEntry { key, value, revision: *revision }
         });
         (self.revision, stored.collect())
     }
@@ -61,7 +63,7 @@
     /// What was changed after a revision, as a watch tells it.
     pub fn since(&self, seen: Revision) -> Event {
         let (revision, stored) = self.read();
-        let new = |stored: &Stored| stored.revision > seen;
+        let new = |stored: &StoredEntry| stored.revision > seen;
         let deleted = self.deleted.iter().filter(|(_, at)| **at > seen);
         Event::Changed {
             revision,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -8,7 +8,7 @@
 use puffinknot_core::ids::{TargetId, VmId};
 use puffinknot_core::node::{Event, Listed, Unread};
 use puffinknot_core::outcome::{Outcome, Reason};
-use puffinknot_core::store::{Key, Stored, Value};
+use puffinknot_core::store::{Key, StoredEntry, Value};
 
 use crate::cell::{Cell, Message};
 
@@ -554,7 +554,7 @@
     cell.apply(&FILE.replace("tasks = 2", "tasks = 3"));
     cell.run_in_order(500);
     let before = cell.vms[&vms[0]].node.view().config_revision();
-    let old = Stored {
+    let old = StoredEntry {
         key: Key::Config,
         value: Value::Config(FILE.to_string()),
         revision: before - 1,
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -38,7 +38,7 @@
         Some(&old),
         Progress::default(),
     );
-    placer.configure(&old);
+    placer.apply_config(&old);
     for target in targets {
         placer.add_worker(1, target);
     }
@@ -83,7 +83,7 @@
     for _ in 0..20 {
         if let Some(sync) = to(former.step(now), &both[0]) {
             let reply = answer(&mut states[0], now, &sync);
-            former.reply(now, &both[0], reply);
+            former.sync_replied(now, &both[0], reply);
         }
         now += 100;
     }
@@ -93,20 +93,20 @@
     let mut heir = placer(2, false, &both);
     let sync = to(heir.step(now), &both[0]).expect("a sync");
     let reply = answer(&mut states[0], now, &sync);
-    heir.reply(now, &both[0], reply);
+    heir.sync_replied(now, &both[0], reply);
     let heard = now;
     while now < heard + 5_000 {
         now += 100;
         heir.step(now);
     }
     // The platform confirms the claim, and the other worker is reached.
-    heir.tenure.confirmed = true;
+    heir.term.confirmed = true;
     while now < heard + 7_000 {
         now += 100;
-        heir.confirm(now);
+        heir.confirm_contract(now);
         if let Some(sync) = to(heir.step(now), &both[1]) {
             let reply = answer(&mut states[1], now, &sync);
-            heir.reply(now, &both[1], reply);
+            heir.sync_replied(now, &both[1], reply);
         }
         states[0].tick(now);
         let twice = states[1].running().find(|t| ran.contains(t)).cloned();
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -214,7 +214,7 @@
             Some(&config),
             Progress::default(),
         );
-        placer.configure(&config);
+        placer.apply_config(&config);
         for worker in 0..2 {
             placer.add_worker(1, &Tasks::worker(worker));
         }
@@ -272,8 +272,8 @@
                     return next;
                 };
                 match result {
-                    Ok(reply) => placer.reply(next.now, &target, reply),
-                    Err(Refusal::Old) => placer.failed(&target, seq),
+                    Ok(reply) => placer.sync_replied(next.now, &target, reply),
+                    Err(Refusal::Old) => placer.sync_failed(&target, seq),
                     // The node drops a placer that was superseded.
                     Err(Refusal::Stale(_)) => next.holders[holder] = None,
                 }
@@ -288,7 +288,7 @@
         let mut next = self.clone();
         let holder = usize::from(self.taken_over());
         let now = self.now;
-        next.holders[holder].as_mut()?.confirm(now);
+        next.holders[holder].as_mut()?.confirm_contract(now);
         Some(next)
     }
 
--- a/tests/regression.rs
+++ b/tests/regression.rs
@@ -23,8 +23,8 @@
             let write = Write {
                 key: Key::Progress(dc.into()),
                 value: Value::Progress(Default::default()),
-                expect: 0,
-                expect_config: None,
+                expected_revision: 0,
+                expected_config_revision: None,
             };
             client.write(&write).await;
         }
