--- a/puffinknot-core/src/tasks/fit.rs
+++ b/puffinknot-core/src/tasks/fit.rs
@@ -41,24 +41,24 @@
     /// The score of a candidate for a task with this need.
     pub fn score(self, candidate: &Candidate, need: &Resources) -> Score {
         match self {
-            Fit::Best => best(candidate, need),
+            Fit::Best => best_fit_score(candidate, need),
             Fit::First => (false, 0, 0, 0),
             Fit::Random => (false, 0, 0, candidate.random_key),
         }
     }
 }
 
-fn best(candidate: &Candidate, need: &Resources) -> Score {
+fn best_fit_score(candidate: &Candidate, need: &Resources) -> Score {
     let left = candidate.free.minus(need);
     let whole = &candidate.capacity;
     let wastes = need.accelerators == 0 && left.accelerators > 0;
-    let cpu = share(left.cpu_millis, whole.cpu_millis);
-    let memory = share(left.memory_mb, whole.memory_mb);
+    let cpu = per_mille(left.cpu_millis, whole.cpu_millis);
+    let memory = per_mille(left.memory_mb, whole.memory_mb);
     // A worker on which one dimension runs out long before another is hard
     // to fill, so a lopsided rest counts against a candidate.
     let mut rest = cpu + memory + cpu.abs_diff(memory);
     if whole.accelerators > 0 {
-        let accelerators = share(left.accelerators, whole.accelerators);
+        let accelerators = per_mille(left.accelerators, whole.accelerators);
         rest += accelerators + accelerators.saturating_sub(cpu.min(memory));
     }
     let (rack, worker) = candidate.same_service_tasks;
@@ -66,6 +66,6 @@
 }
 
 /// A part of a whole, in thousandths.
-pub(super) fn share(part: u32, whole: u32) -> u64 {
+pub(super) fn per_mille(part: u32, whole: u32) -> u64 {
     u64::from(part) * 1_000 / u64::from(whole.max(1))
 }
--- a/puffinknot-core/src/tasks/placer/mod.rs
+++ b/puffinknot-core/src/tasks/placer/mod.rs
@@ -1,8 +1,8 @@
 /*!
 The state of one data centre's tasks, as its holder sees it.
 
-What is done with the state has modules of its own: `exchange` talks to the
-workers, `schedule` chooses what starts where, `record` keeps what must outlast
+What is done with the state has modules of its own: `sync` talks to the
+workers, `schedule` chooses what starts where, `saved_progress` keeps what must outlast
 this VM, and `view` shows all of it to operators.
 */
 
@@ -16,9 +16,9 @@
 use crate::tasks::progress::Progress;
 use crate::tenure::Tenure;
 
-mod exchange;
-mod record;
+mod saved_progress;
 mod schedule;
+mod sync;
 mod view;
 
 pub use self::view::{JobView, WorkerView};
@@ -42,30 +42,31 @@
 
 impl PlacerConfig {
     /// Clocks may drift apart by one part in this many within a lease.
-    const DRIFT: Millis = 50;
+    const DRIFT_DIVISOR: Millis = 50;
     /// What is added for the grain of clocks.
-    const GRAIN: Millis = 100;
+    const CLOCK_GRANULARITY: Millis = 100;
     /// A worker is synced this often within a lease.
     const SYNCS_PER_LEASE: Millis = 4;
     /// A sync without an answer is given up after this part of a lease.
     const TIMEOUTS_PER_LEASE: Millis = 8;
 
-    fn margin(&self) -> Millis {
-        self.lease / PlacerConfig::DRIFT + PlacerConfig::GRAIN
+    fn clock_margin(&self) -> Millis {
+        self.lease / PlacerConfig::DRIFT_DIVISOR
+            + PlacerConfig::CLOCK_GRANULARITY
     }
 }
 
 /// The delay before a failed task starts again, in milliseconds.
-const FIRST_BACKOFF: Millis = 1_000;
+const INITIAL_BACKOFF: Millis = 1_000;
 /// The delay doubles with each failure, up to this number of times.
-const MAX_DOUBLINGS: u32 = 6;
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 /// Where a task is in its life on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     /// It has a place, but that it may have been started has yet to be
     /// recorded.
-    Intended,
+    Unrecorded,
     /// It is to be started, or its start is not confirmed yet.
     Starting,
     /// The worker has reported it.
@@ -76,31 +77,31 @@
 
 /// A task that has a place.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Placed {
+struct PlacedTask {
     spec: u64,
     need: Resources,
     priority: Priority,
     phase: Phase,
-    since: Millis,
+    started_at: Millis,
     /// The sync that carried the start, if one has been sent.
-    sent: Option<u64>,
+    start_seq: Option<u64>,
     /// The team whose quota it counts against, if it counts.
-    team: Option<String>,
+    charged_team: Option<String>,
 }
 
 /// Whether a worker can be talked to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Contact {
     /// It has not answered in this tenure.
-    Unseen,
+    NeverHeard,
     /// It answers.
-    Ready,
+    Reachable,
     /// It has stopped to answer.
-    Silent,
+    Unresponsive,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Outstanding {
+struct PendingSync {
     seq: u64,
     sent_at: Millis,
 }
@@ -114,31 +115,31 @@
     /// What is free of `capacity`, less what is set aside.
     free: Resources,
     /// The last reading of its clock, and when it was received.
-    clock: Millis,
-    read_at: Millis,
+    last_clock: Millis,
+    clock_read_at: Millis,
     /// The end of its lease, in its clock.
-    until: Millis,
+    lease_until: Millis,
     /// The latest end of a lease that a former holder gave it, in its clock.
     /// It bounds when the worker may be given up, and is never sent: this
     /// holder renews nothing by it.
-    former_until: Millis,
-    seq: u64,
-    counter: u64,
-    outstanding: Option<Outstanding>,
-    last_sync: Millis,
+    former_lease_until: Millis,
+    last_seq: u64,
+    list_version: u64,
+    pending_sync: Option<PendingSync>,
+    last_sync_at: Millis,
     /// What has to be sent without waiting for the next renewal.
-    dirty: bool,
-    leaving: bool,
-    tasks: BTreeMap<TaskId, Placed>,
+    sync_now: bool,
+    departing: bool,
+    tasks: BTreeMap<TaskId, PlacedTask>,
     /// Tasks that wait for others to be stopped here.
-    set_aside: BTreeMap<TaskId, Resources>,
-    ended: BTreeSet<TaskId>,
+    reservations: BTreeMap<TaskId, Resources>,
+    ended_to_ack: BTreeSet<TaskId>,
 }
 
 impl Worker {
     fn new(now: Millis) -> Worker {
         Worker {
-            contact: Contact::Unseen,
+            contact: Contact::NeverHeard,
             info: WorkerInfo {
                 capacity: Resources::default(),
                 rack: String::new(),
@@ -146,45 +147,45 @@
             },
             capacity: Resources::default(),
             free: Resources::default(),
-            clock: 0,
-            read_at: now,
-            until: 0,
-            former_until: 0,
-            seq: 0,
-            counter: 0,
-            outstanding: None,
-            last_sync: 0,
-            dirty: true,
-            leaving: false,
+            last_clock: 0,
+            clock_read_at: now,
+            lease_until: 0,
+            former_lease_until: 0,
+            last_seq: 0,
+            list_version: 0,
+            pending_sync: None,
+            last_sync_at: 0,
+            sync_now: true,
+            departing: false,
             tasks: BTreeMap::new(),
-            set_aside: BTreeMap::new(),
-            ended: BTreeSet::new(),
+            reservations: BTreeMap::new(),
+            ended_to_ack: BTreeSet::new(),
         }
     }
 
-    fn takes_work(&self) -> bool {
-        let leaving = self.leaving || self.info.leaving;
-        self.contact == Contact::Ready && !leaving
+    fn accepts_work(&self) -> bool {
+        let leaving = self.departing || self.info.leaving;
+        self.contact == Contact::Reachable && !leaving
     }
 
-    fn refresh(&mut self, room: &Resources) {
+    fn update_free(&mut self, room: &Resources) {
         self.capacity = self.info.capacity.minus(room);
         let promised = self.tasks.values().map(|task| &task.need);
-        let all = promised.chain(self.set_aside.values());
+        let all = promised.chain(self.reservations.values());
         let sum = all.fold(Resources::default(), |sum, n| sum.plus(n));
         self.free = self.capacity.minus(&sum);
     }
 
     /// The least that its clock can show now.
-    fn clock_now(&self, now: Millis) -> Millis {
-        self.clock + now.saturating_sub(self.read_at)
+    fn min_clock_now(&self, now: Millis) -> Millis {
+        self.last_clock + now.saturating_sub(self.clock_read_at)
     }
 
     /// When every lease of it has certainly lapsed, on the holder's clock.
     fn lapses_at(&self, config: &PlacerConfig) -> Millis {
-        let until = self.until.max(self.former_until);
-        let left = until.saturating_sub(self.clock);
-        self.read_at + left + config.margin()
+        let until = self.lease_until.max(self.former_lease_until);
+        let left = until.saturating_sub(self.last_clock);
+        self.clock_read_at + left + config.clock_margin()
     }
 }
 
@@ -196,7 +197,7 @@
     spec: u64,
     priority: Priority,
     /// A place in line: the revision with which the job became known.
-    order: u64,
+    config_number: u64,
     /// Indexes of tasks that wait for a place.
     waiting: BTreeSet<u32>,
     /// Indexes of tasks that may have run and must not be repeated.
@@ -222,36 +223,36 @@
     /// The tenure under which this VM places tasks.
     pub term: Tenure,
     /// Jobs and their number of tasks at the start of the tenure.
-    old: BTreeMap<String, u32>,
+    former_task_counts: BTreeMap<String, u32>,
     /// The platform confirmed at this time that the contract is held.
     confirmed_at: Millis,
-    room: Room,
+    external_use: Room,
     quotas: BTreeMap<String, Resources>,
-    held: BTreeMap<String, Resources>,
+    team_usage: BTreeMap<String, Resources>,
     jobs: BTreeMap<String, JobState>,
-    next_order: u64,
+    config_number: u64,
     /// Jobs with tasks that wait.
-    pending: BTreeSet<String>,
+    waiting_jobs: BTreeSet<String>,
     workers: BTreeMap<TargetId, Worker>,
-    places: BTreeMap<TaskId, TargetId>,
+    worker_of_task: BTreeMap<TaskId, TargetId>,
     preemptions: BTreeMap<TaskId, u32>,
     progress: Progress,
     /// Changes of `progress`: made, and known to be written.
-    progress_made: u64,
-    progress_kept: u64,
+    progress_version: u64,
+    saved_version: u64,
     /// Ended tasks that may be forgotten once the write is made.
-    unkept: Vec<(u64, TargetId, TaskId)>,
+    unsaved_ends: Vec<(u64, TargetId, TaskId)>,
     /// Tasks that may be started once the write is made.
-    intended: Vec<(u64, TaskId)>,
+    unsaved_starts: Vec<(u64, TaskId)>,
     /// How often room was set aside, so that most placements need not look
     /// for it.
-    asides: u64,
+    reservations_made: u64,
     /// Some tasks run that the file in force does not ask for.
-    unwanted: bool,
+    has_unwanted: bool,
     /// The most that one worker has in each dimension.
-    largest: Resources,
+    largest_worker: Resources,
     /// Something changed that may let a task start.
-    stirred: bool,
+    needs_scheduling: bool,
 }
 
 impl Placer {
@@ -270,26 +271,26 @@
             config,
             dc,
             term: tenure,
-            old: old.unwrap_or_default(),
+            former_task_counts: old.unwrap_or_default(),
             confirmed_at: 0,
-            room: Room::default(),
+            external_use: Room::default(),
             quotas: BTreeMap::new(),
-            held: BTreeMap::new(),
+            team_usage: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            next_order: 0,
-            pending: BTreeSet::new(),
+            config_number: 0,
+            waiting_jobs: BTreeSet::new(),
             workers: BTreeMap::new(),
-            places: BTreeMap::new(),
+            worker_of_task: BTreeMap::new(),
             preemptions: BTreeMap::new(),
             progress,
-            progress_made: 0,
-            progress_kept: 0,
-            unkept: Vec::new(),
-            intended: Vec::new(),
-            asides: 0,
-            unwanted: false,
-            largest: Resources::default(),
-            stirred: true,
+            progress_version: 0,
+            saved_version: 0,
+            unsaved_ends: Vec::new(),
+            unsaved_starts: Vec::new(),
+            reservations_made: 0,
+            has_unwanted: false,
+            largest_worker: Resources::default(),
+            needs_scheduling: true,
         }
     }
 
@@ -297,7 +298,7 @@
     pub fn apply_config(&mut self, config: &Config) {
         self.config.lease = config.policy.task_lease_ms;
         self.config.max_preemptions = config.policy.max_preemptions;
-        self.room = config.room.clone();
+        self.external_use = config.room.clone();
         self.quotas =
             config.teams.iter().map(|t| (t.name.clone(), t.quota)).collect();
         let here = |(job, _): &(&Job, bool)| job.data_centre == self.dc;
@@ -306,44 +307,44 @@
             .filter(here)
             .map(|(job, service)| (job.clone(), service))
             .collect();
-        self.next_order += 1;
-        self.drop_jobs(&jobs);
+        self.config_number += 1;
+        self.remove_missing_jobs(&jobs);
         for (job, service) in jobs {
-            self.set_job(job, service);
+            self.insert_job(job, service);
         }
-        self.drop_asides();
+        self.release_stale_reservations();
         self.stop_unwanted();
-        self.stirred = true;
+        self.needs_scheduling = true;
     }
 
     /// Gives back room set aside for tasks that are no longer asked for.
-    fn drop_asides(&mut self) {
+    fn release_stale_reservations(&mut self) {
         let jobs = &self.jobs;
         let waits = |id: &TaskId| {
             let job = jobs.get(id.job());
             job.is_some_and(|job| job.waiting.contains(&id.index()))
         };
         for state in self.workers.values_mut() {
-            state.set_aside.retain(|id, _| waits(id));
+            state.reservations.retain(|id, _| waits(id));
         }
         let ids: Vec<TargetId> = self.workers.keys().cloned().collect();
         for id in ids {
-            self.refresh(&id);
+            self.update_free(&id);
         }
     }
 
-    fn drop_jobs(&mut self, jobs: &[(Job, bool)]) {
+    fn remove_missing_jobs(&mut self, jobs: &[(Job, bool)]) {
         let names: BTreeSet<&str> =
             jobs.iter().map(|(job, _)| job.name.as_str()).collect();
         self.jobs.retain(|name, _| names.contains(name.as_str()));
-        self.pending.retain(|name| names.contains(name.as_str()));
+        self.waiting_jobs.retain(|name| names.contains(name.as_str()));
     }
 
-    fn set_job(&mut self, job: Job, service: bool) {
+    fn insert_job(&mut self, job: Job, service: bool) {
         let spec = spec_hash(&job);
         let order = match self.jobs.get(&job.name) {
-            Some(known) => known.order,
-            None => self.next_order,
+            Some(known) => known.config_number,
+            None => self.config_number,
         };
         let name = job.name.clone();
         let state = JobState {
@@ -351,7 +352,7 @@
             job,
             service,
             spec,
-            order,
+            config_number: order,
             waiting: BTreeSet::new(),
             unknown: BTreeSet::new(),
             by_rack: BTreeMap::new(),
@@ -359,11 +360,11 @@
             not_before: 0,
         };
         self.jobs.insert(name.clone(), state);
-        self.recount(&name);
+        self.recompute_waiting(&name);
     }
 
     /// Works out anew which tasks of a job wait.
-    fn recount(&mut self, name: &str) {
+    fn recompute_waiting(&mut self, name: &str) {
         let Some(job) = self.jobs.get(name) else { return };
         let tasks = if job.job.enabled { job.job.tasks } else { 0 };
         let mut racks: BTreeMap<String, u32> = BTreeMap::new();
@@ -371,7 +372,7 @@
         let mut unknown = BTreeSet::new();
         for index in 0..tasks {
             let id = TaskId::new(name, index);
-            if let Some(place) = self.places.get(&id) {
+            if let Some(place) = self.worker_of_task.get(&id) {
                 let rack = self.workers[place].info.rack.clone();
                 *racks.entry(rack).or_default() += 1;
             } else if self.progress.is_done(&id, job.spec) {
@@ -386,22 +387,22 @@
         job.by_rack = racks;
         job.waiting = waiting;
         job.unknown = unknown;
-        self.note_pending(name);
+        self.update_waiting_jobs(name);
     }
 
-    fn note_pending(&mut self, name: &str) {
+    fn update_waiting_jobs(&mut self, name: &str) {
         match self.jobs.get(name) {
             Some(job) if !job.waiting.is_empty() => {
-                self.pending.insert(name.to_string());
+                self.waiting_jobs.insert(name.to_string());
             }
             _ => {
-                self.pending.remove(name);
+                self.waiting_jobs.remove(name);
             }
         }
     }
 
     /// Whether the file in force asks for the task, in this form.
-    fn wanted(&self, id: &TaskId, spec: u64) -> bool {
+    fn is_wanted(&self, id: &TaskId, spec: u64) -> bool {
         self.jobs.get(id.job()).is_some_and(|job| {
             job.spec == spec && job.job.enabled && id.index() < job.job.tasks
         })
@@ -411,33 +412,35 @@
         let Some(state) = self.workers.get_mut(worker) else { return };
         let Some(task) = state.tasks.get_mut(id) else { return };
         // A start that was never sent needs no stop.
-        let unsent = task.phase == Phase::Intended
-            || (task.phase == Phase::Starting && task.sent.is_none());
+        let unsent = task.phase == Phase::Unrecorded
+            || (task.phase == Phase::Starting && task.start_seq.is_none());
         task.phase = Phase::Stopping;
-        state.dirty = true;
+        state.sync_now = true;
         if unsent {
-            self.unplace(worker, id);
+            self.remove_placement(worker, id);
         }
     }
 
     /// The task is certainly not at the worker (any more).
-    fn unplace(&mut self, worker: &TargetId, id: &TaskId) {
+    fn remove_placement(&mut self, worker: &TargetId, id: &TaskId) {
         let Some(state) = self.workers.get_mut(worker) else { return };
         let Some(task) = state.tasks.remove(id) else { return };
         let rack = state.info.rack.clone();
-        self.refresh(worker);
-        self.stirred = true;
-        if self.places.get(id) != Some(worker) {
+        self.update_free(worker);
+        self.needs_scheduling = true;
+        if self.worker_of_task.get(id) != Some(worker) {
             return;
         }
-        self.places.remove(id);
-        if let Some(held) = task.team.and_then(|t| self.held.get_mut(&t)) {
+        self.worker_of_task.remove(id);
+        if let Some(held) =
+            task.charged_team.and_then(|t| self.team_usage.get_mut(&t))
+        {
             *held = held.minus(&task.need);
         }
-        self.back_in_line(id, &rack);
+        self.requeue(id, &rack);
     }
 
-    fn back_in_line(&mut self, id: &TaskId, rack: &str) {
+    fn requeue(&mut self, id: &TaskId, rack: &str) {
         let Some(job) = self.jobs.get_mut(id.job()) else { return };
         if let Some(n) = job.by_rack.get_mut(rack) {
             *n = n.saturating_sub(1);
@@ -453,13 +456,13 @@
             return;
         }
         job.waiting.insert(id.index());
-        self.pending.insert(id.job().to_string());
+        self.waiting_jobs.insert(id.job().to_string());
     }
 
-    fn refresh(&mut self, worker: &TargetId) {
-        let room = self.room.reserved_on(worker);
+    fn update_free(&mut self, worker: &TargetId) {
+        let room = self.external_use.reserved_on(worker);
         if let Some(state) = self.workers.get_mut(worker) {
-            state.refresh(&room);
+            state.update_free(&room);
         }
     }
 
@@ -471,9 +474,9 @@
     /// A worker is gone for good, and its tasks with it.
     pub fn remove_worker(&mut self, id: &TargetId) {
         self.term.seen(id);
-        self.end_all(id);
+        self.remove_all_placements(id);
         self.workers.remove(id);
-        self.stirred = true;
+        self.needs_scheduling = true;
     }
 
     /// The workers that are known.
@@ -484,18 +487,18 @@
     /// The VM list says whether the worker is leaving.
     pub fn set_departing(&mut self, id: &TargetId, leaving: bool) {
         if let Some(state) = self.workers.get_mut(id) {
-            state.leaving = leaving;
+            state.departing = leaving;
         }
         if leaving {
-            self.move_away(id);
+            self.stop_movable(id);
         }
     }
 
     /// Stops what runs on a leaving worker, so that it starts elsewhere.
     /// Work that must not be repeated stays and ends by itself.
-    fn move_away(&mut self, id: &TargetId) {
+    fn stop_movable(&mut self, id: &TargetId) {
         let Some(state) = self.workers.get(id) else { return };
-        let movable = |(task, placed): &(&TaskId, &Placed)| {
+        let movable = |(task, placed): &(&TaskId, &PlacedTask)| {
             let job = self.jobs.get(task.job());
             let once = job.is_some_and(JobState::never_repeat);
             placed.phase != Phase::Stopping && !once
@@ -511,16 +514,16 @@
         }
     }
 
-    fn end_all(&mut self, id: &TargetId) {
+    fn remove_all_placements(&mut self, id: &TargetId) {
         let Some(state) = self.workers.get(id) else { return };
         let tasks: Vec<TaskId> = state.tasks.keys().cloned().collect();
         for task in tasks {
-            self.unplace(id, &task);
+            self.remove_placement(id, &task);
         }
         if let Some(state) = self.workers.get_mut(id) {
-            state.set_aside.clear();
+            state.reservations.clear();
         }
-        self.refresh(id);
+        self.update_free(id);
     }
 
     /// The platform confirmed, to a request sent at `sent_at`, that the
@@ -530,63 +533,68 @@
     }
 
     /// A task has a place: it waits no more and counts for its team.
-    fn settle_in(&mut self, id: &TargetId, task: &TaskId, need: &Resources) {
-        self.places.insert(task.clone(), id.clone());
+    fn record_placement(
+        &mut self,
+        id: &TargetId,
+        task: &TaskId,
+        need: &Resources,
+    ) {
+        self.worker_of_task.insert(task.clone(), id.clone());
         let Some(state) = self.workers.get_mut(id) else { return };
         let rack = state.info.rack.clone();
         let team = self.jobs.get(task.job()).map(|job| &job.job.team);
         if let Some(team) = team {
-            let held = self.held.entry(team.clone()).or_default();
+            let held = self.team_usage.entry(team.clone()).or_default();
             *held = held.plus(need);
         }
         if let Some(placed) = state.tasks.get_mut(task) {
-            placed.team = team.cloned();
+            placed.charged_team = team.cloned();
         }
         if let Some(job) = self.jobs.get_mut(task.job()) {
             job.waiting.remove(&task.index());
             job.unknown.remove(&task.index());
             *job.by_rack.entry(rack).or_default() += 1;
         }
-        self.note_pending(task.job());
+        self.update_waiting_jobs(task.job());
     }
 
     /// Lets time pass: gives up on workers whose lease has lapsed, places
     /// what can be placed, and returns the syncs to send.
     pub fn step(&mut self, now: Millis) -> Vec<(TargetId, SyncRequest)> {
-        self.expire(now);
+        self.expire_leases(now);
         let due = |name| {
             let job: &JobState = &self.jobs[name];
             job.failures > 0 && job.not_before <= now
         };
-        let retry = self.pending.iter().any(due);
-        if (self.stirred || retry) && self.term.may_start() {
-            self.stirred = false;
+        let retry = self.waiting_jobs.iter().any(due);
+        if (self.needs_scheduling || retry) && self.term.may_start() {
+            self.needs_scheduling = false;
             self.schedule(now);
         }
-        self.syncs(now)
+        self.due_syncs(now)
     }
 
-    fn expire(&mut self, now: Millis) {
+    fn expire_leases(&mut self, now: Millis) {
         let timeout = self.config.lease / PlacerConfig::TIMEOUTS_PER_LEASE;
         let mut lapsed = Vec::new();
         for (id, state) in &mut self.workers {
-            let late = |o: &Outstanding| o.sent_at + timeout <= now;
-            if state.outstanding.as_ref().is_some_and(late) {
-                state.outstanding = None;
-                state.dirty = true;
-                if state.contact == Contact::Ready {
-                    state.contact = Contact::Silent;
+            let late = |o: &PendingSync| o.sent_at + timeout <= now;
+            if state.pending_sync.as_ref().is_some_and(late) {
+                state.pending_sync = None;
+                state.sync_now = true;
+                if state.contact == Contact::Reachable {
+                    state.contact = Contact::Unresponsive;
                 }
             }
             let lapse = state.lapses_at(&self.config);
             let over = lapse <= now && lapse <= self.confirmed_at;
-            let silent = state.contact == Contact::Silent;
+            let silent = state.contact == Contact::Unresponsive;
             if silent && over && !state.tasks.is_empty() {
                 lapsed.push(id.clone());
             }
         }
         for id in lapsed {
-            self.end_all(&id);
+            self.remove_all_placements(&id);
         }
     }
 
--- a/puffinknot-core/src/tasks/placer/record.rs
+++ b/puffinknot-core/src/tasks/placer/saved_progress.rs
@@ -8,9 +8,9 @@
 use super::{Phase, Placer};
 
 impl Placer {
-    pub(super) fn keep_done(&mut self, id: &TargetId, report: &TaskReport) {
+    pub(super) fn record_done(&mut self, id: &TargetId, report: &TaskReport) {
         if self.progress.set_done(&report.id, report.spec) {
-            self.progress_made += 1;
+            self.progress_version += 1;
         }
         let task = report.id.clone();
         if let Some(job) = self.jobs.get_mut(task.job()) {
@@ -19,50 +19,50 @@
                 job.unknown.remove(&task.index());
             }
         }
-        self.note_pending(task.job());
-        if self.progress_made <= self.progress_kept {
-            self.forget_ended(id, &task);
+        self.update_waiting_jobs(task.job());
+        if self.progress_version <= self.saved_version {
+            self.acknowledge_ended(id, &task);
         } else {
-            self.unkept.push((self.progress_made, id.clone(), task));
+            self.unsaved_ends.push((self.progress_version, id.clone(), task));
         }
     }
 
     /// The progress to write, with a number for [`Placer::progress_kept`],
     /// if there is anything new.
     pub fn progress(&self) -> Option<(u64, &Progress)> {
-        let new = self.progress_made > self.progress_kept;
-        new.then_some((self.progress_made, &self.progress))
+        let new = self.progress_version > self.saved_version;
+        new.then_some((self.progress_version, &self.progress))
     }
 
     /// The progress with this number is kept by the platform.
     pub fn progress_saved(&mut self, number: u64) {
-        self.progress_kept = self.progress_kept.max(number);
-        let kept = self.progress_kept;
-        let unkept = std::mem::take(&mut self.unkept);
+        self.saved_version = self.saved_version.max(number);
+        let kept = self.saved_version;
+        let unkept = std::mem::take(&mut self.unsaved_ends);
         for (number, worker, task) in unkept {
             if number <= kept {
-                self.forget_ended(&worker, &task);
+                self.acknowledge_ended(&worker, &task);
             } else {
-                self.unkept.push((number, worker, task));
+                self.unsaved_ends.push((number, worker, task));
             }
         }
-        let intended = std::mem::take(&mut self.intended);
+        let intended = std::mem::take(&mut self.unsaved_starts);
         for (number, task) in intended {
             if number <= kept {
-                self.start_intended(&task);
+                self.start_recorded(&task);
             } else {
-                self.intended.push((number, task));
+                self.unsaved_starts.push((number, task));
             }
         }
     }
 
-    pub(super) fn start_intended(&mut self, task: &TaskId) {
-        let Some(place) = self.places.get(task) else { return };
+    pub(super) fn start_recorded(&mut self, task: &TaskId) {
+        let Some(place) = self.worker_of_task.get(task) else { return };
         let Some(state) = self.workers.get_mut(place) else { return };
         let Some(placed) = state.tasks.get_mut(task) else { return };
-        if placed.phase == Phase::Intended {
+        if placed.phase == Phase::Unrecorded {
             placed.phase = Phase::Starting;
-            state.dirty = true;
+            state.sync_now = true;
         }
     }
 
@@ -72,21 +72,21 @@
         let jobs = &self.jobs;
         let current = |name: &str| jobs.get(name).map(|job| job.spec);
         self.progress.merge(other, current);
-        self.progress_made += 1;
+        self.progress_version += 1;
         let mut clash = Vec::new();
-        for (id, place) in &self.places {
+        for (id, place) in &self.worker_of_task {
             let placed = &self.workers[place].tasks[id];
             let theirs = other.is_started(id, placed.spec);
-            if placed.phase == Phase::Intended && theirs {
+            if placed.phase == Phase::Unrecorded && theirs {
                 clash.push((place.clone(), id.clone()));
             }
         }
         for (place, id) in clash {
-            self.unplace(&place, &id);
+            self.remove_placement(&place, &id);
         }
         let names: Vec<String> = self.jobs.keys().cloned().collect();
         for name in names {
-            self.recount(&name);
+            self.recompute_waiting(&name);
         }
     }
 }
--- a/puffinknot-core/src/tasks/placer/schedule.rs
+++ b/puffinknot-core/src/tasks/placer/schedule.rs
@@ -6,21 +6,21 @@
 use crate::config::{Priority, Resources};
 use crate::contract::hash;
 use crate::ids::{Millis, TargetId, TaskId};
-use crate::tasks::fit::{share, Candidate, Score};
+use crate::tasks::fit::{per_mille, Candidate, Score};
 
-use super::{JobState, Phase, Placed, Placer, Worker};
+use super::{JobState, Phase, PlacedTask, Placer, Worker};
 
 /// What a task that can be checkpointed loses when it is stopped.
 const CHECKPOINT_COST: Millis = 1_000;
 /// At most one task in this many of a changed job is replaced at a time.
-const ROLLING_PART: u32 = 4;
+const ROLLING_UPDATE_DIVISOR: u32 = 4;
 
 /// A job's place in line; the lowest is first.
 type Rank = (Reverse<Priority>, u64, u64, Reverse<u64>);
 
 /// A worker on which room can be made, and what that costs.
 struct Victims {
-    lost: Millis,
+    lost_work: Millis,
     worker: TargetId,
     tasks: Vec<TaskId>,
 }
@@ -35,10 +35,11 @@
     /// So the ranks are worked out once, and that of the first job is looked
     /// at again before it is believed.
     pub(super) fn schedule(&mut self, now: Millis) {
-        if self.unwanted {
+        if self.has_unwanted {
             self.stop_unwanted();
         }
-        let ranked = self.pending.iter().map(|name| (self.rank(name), name));
+        let ranked =
+            self.waiting_jobs.iter().map(|name| (self.rank(name), name));
         let mut line: BTreeSet<(Rank, String)> =
             ranked.map(|(rank, name)| (rank, name.clone())).collect();
         while let Some((rank, name)) = line.pop_first() {
@@ -47,7 +48,7 @@
                 line.insert((newest, name));
                 continue;
             }
-            if self.start_next(now, &name) {
+            if self.place_next(now, &name) {
                 line.insert((newest, name));
             }
         }
@@ -56,15 +57,15 @@
     fn rank(&self, name: &str) -> Rank {
         let job = &self.jobs[name];
         let size = self.size(&job.job.need);
-        (Reverse(job.priority), self.quota_used(job), job.order, size)
+        (Reverse(job.priority), self.quota_used(job), job.config_number, size)
     }
 
     /// The size of a task: the largest part it takes of a whole worker, in
     /// thousandths. A task with accelerators counts as larger than any other,
     /// since it finds a place on few workers.
     fn size(&self, need: &Resources) -> Reverse<u64> {
-        let cpu = share(need.cpu_millis, self.largest.cpu_millis);
-        let memory = share(need.memory_mb, self.largest.memory_mb);
+        let cpu = per_mille(need.cpu_millis, self.largest_worker.cpu_millis);
+        let memory = per_mille(need.memory_mb, self.largest_worker.memory_mb);
         let rare = if need.accelerators > 0 { 1_000 } else { 0 };
         Reverse(rare + cpu.max(memory))
     }
@@ -72,7 +73,7 @@
     /// Places the next task of a job, or makes room for it. Returns whether
     /// it was placed; if not, the job's other tasks would fare the same,
     /// since they need the same.
-    fn start_next(&mut self, now: Millis, name: &str) -> bool {
+    fn place_next(&mut self, now: Millis, name: &str) -> bool {
         let job = &self.jobs[name];
         if job.not_before > now || !self.within_quota(job) {
             return false;
@@ -80,12 +81,12 @@
         let Some(index) = self.first_startable(name) else { return false };
         let id = TaskId::new(name, index);
         let (need, priority) = (job.job.need, job.priority);
-        if let Some(worker) = self.choose(&id, job) {
-            self.place(now, &id, &worker);
+        if let Some(worker) = self.choose_worker(&id, job) {
+            self.place_task(now, &id, &worker);
             return true;
         }
         if priority > Priority::Batch {
-            self.make_room(now, &id, &need, priority);
+            self.preempt_for(now, &id, &need, priority);
         }
         false
     }
@@ -100,17 +101,17 @@
             return job.waiting.first().copied();
         }
         // An earlier holder may have started every task that it knew of.
-        let old = self.old.get(name).copied().unwrap_or(0);
+        let old = self.former_task_counts.get(name).copied().unwrap_or(0);
         job.waiting.range(old..).next().copied()
     }
 
     /// How much of its quota the job's team holds, in thousandths.
     fn quota_used(&self, job: &JobState) -> u64 {
         let Some(quota) = self.quotas.get(&job.job.team) else { return 0 };
-        let Some(held) = self.held.get(&job.job.team) else { return 0 };
+        let Some(held) = self.team_usage.get(&job.job.team) else { return 0 };
         let part = |held: u32, quota: u32| match quota {
             0 => 0,
-            _ => share(held, quota),
+            _ => per_mille(held, quota),
         };
         part(held.cpu_millis, quota.cpu_millis)
             .max(part(held.memory_mb, quota.memory_mb))
@@ -119,12 +120,12 @@
 
     fn within_quota(&self, job: &JobState) -> bool {
         let team = &job.job.team;
-        let held = self.held.get(team).copied().unwrap_or_default();
+        let held = self.team_usage.get(team).copied().unwrap_or_default();
         let quota = self.quotas.get(team).copied().unwrap_or_default();
         quota.fits(&held.plus(&job.job.need))
     }
 
-    fn choose(&self, id: &TaskId, job: &JobState) -> Option<TargetId> {
+    fn choose_worker(&self, id: &TaskId, job: &JobState) -> Option<TargetId> {
         let mut best: Option<(Score, &TargetId)> = None;
         for (worker, state) in &self.workers {
             let Some(score) = self.score(id, job, worker, state) else {
@@ -145,91 +146,91 @@
         state: &Worker,
     ) -> Option<Score> {
         let need = &job.job.need;
-        let aside = state.set_aside.get(id).copied().unwrap_or_default();
+        let aside = state.reservations.get(id).copied().unwrap_or_default();
         let free = state.free.plus(&aside);
-        if !free.fits(need) || !state.takes_work() {
+        if !free.fits(need) || !state.accepts_work() {
             return None;
         }
         let candidate = Candidate {
             capacity: state.capacity,
             free,
-            same_service_tasks: neighbours(id, job, state),
-            random_key: self.lot(id, worker),
+            same_service_tasks: count_same_service(id, job, state),
+            random_key: self.random_key(id, worker),
         };
         Some(self.config.fit.score(&candidate, need))
     }
 
-    fn lot(&self, id: &TaskId, worker: &TargetId) -> u64 {
+    fn random_key(&self, id: &TaskId, worker: &TargetId) -> u64 {
         match self.config.fit {
             super::Fit::Random => hash(&(id, worker)),
             _ => 0,
         }
     }
 
-    fn place(&mut self, now: Millis, id: &TaskId, worker: &TargetId) {
+    fn place_task(&mut self, now: Millis, id: &TaskId, worker: &TargetId) {
         let Some(job) = self.jobs.get(id.job()) else { return };
         let once = job.never_repeat();
         let (spec, need) = (job.spec, job.job.need);
-        let phase = if once { Phase::Intended } else { Phase::Starting };
-        let placed = Placed {
+        let phase = if once { Phase::Unrecorded } else { Phase::Starting };
+        let placed = PlacedTask {
             spec,
             need,
             priority: job.priority,
             phase,
-            since: now,
-            sent: None,
-            team: None,
+            started_at: now,
+            start_seq: None,
+            charged_team: None,
         };
         if let Some(state) = self.workers.get_mut(worker) {
             state.tasks.insert(id.clone(), placed);
-            state.dirty = true;
+            state.sync_now = true;
         }
-        self.clear_aside(id);
-        self.refresh(worker);
-        self.settle_in(worker, id, &need);
+        self.release_reservation(id);
+        self.update_free(worker);
+        self.record_placement(worker, id, &need);
         if once {
             self.progress.set_started(id, spec);
-            self.progress_made += 1;
-            self.intended.push((self.progress_made, id.clone()));
+            self.progress_version += 1;
+            self.unsaved_starts.push((self.progress_version, id.clone()));
         }
     }
 
     /// Gives back what was set aside for the task.
-    fn clear_aside(&mut self, id: &TaskId) {
-        if self.asides == 0 {
+    fn release_reservation(&mut self, id: &TaskId) {
+        if self.reservations_made == 0 {
             return;
         }
         let holds = |(_, state): &(&TargetId, &Worker)| {
-            state.set_aside.contains_key(id)
+            state.reservations.contains_key(id)
         };
         let found = self.workers.iter().find(holds);
         let Some(worker) = found.map(|(worker, _)| worker.clone()) else {
             return;
         };
         if let Some(state) = self.workers.get_mut(&worker) {
-            state.set_aside.remove(id);
+            state.reservations.remove(id);
         }
-        self.refresh(&worker);
+        self.update_free(&worker);
     }
 
     /// Stops less urgent tasks on one worker, those with the least lost
     /// work, and sets the room aside for the task.
-    fn make_room(
+    fn preempt_for(
         &mut self,
         now: Millis,
         id: &TaskId,
         need: &Resources,
         priority: Priority,
     ) {
-        let waits = |state: &Worker| state.set_aside.contains_key(id);
+        let waits = |state: &Worker| state.reservations.contains_key(id);
         if self.workers.values().any(waits) {
             return;
         }
         let victims = |(worker, state): (&TargetId, &Worker)| {
-            self.victims(now, worker, state, need, priority)
+            self.find_victims(now, worker, state, need, priority)
         };
         let options = self.workers.iter().filter_map(victims);
-        let Some(best) = options.min_by_key(|v| (v.lost, v.tasks.len()))
+        let Some(best) = options.min_by_key(|v| (v.lost_work, v.tasks.len()))
         else {
             return;
         };
@@ -238,13 +239,13 @@
             self.stop(&best.worker, task);
         }
         if let Some(state) = self.workers.get_mut(&best.worker) {
-            state.set_aside.insert(id.clone(), *need);
-            self.asides += 1;
+            state.reservations.insert(id.clone(), *need);
+            self.reservations_made += 1;
         }
-        self.refresh(&best.worker);
+        self.update_free(&best.worker);
     }
 
-    fn victims(
+    fn find_victims(
         &self,
         now: Millis,
         worker: &TargetId,
@@ -252,34 +253,37 @@
         need: &Resources,
         priority: Priority,
     ) -> Option<Victims> {
-        if !state.takes_work() || !state.capacity.fits(need) {
+        if !state.accepts_work() || !state.capacity.fits(need) {
             return None;
         }
         let mut options: Vec<(Millis, &TaskId, &Resources)> = state
             .tasks
             .iter()
-            .filter(|(id, task)| self.may_stop(id, task, priority))
-            .map(|(id, task)| (self.lost(now, id, task), id, &task.need))
+            .filter(|(id, task)| self.is_preemptible(id, task, priority))
+            .map(|(id, task)| (self.lost_work(now, id, task), id, &task.need))
             .collect();
         options.sort();
         let mut free = state.free;
-        let mut victims =
-            Victims { lost: 0, worker: worker.clone(), tasks: Vec::new() };
+        let mut victims = Victims {
+            lost_work: 0,
+            worker: worker.clone(),
+            tasks: Vec::new(),
+        };
         for (lost, id, held) in options {
             if free.fits(need) {
                 break;
             }
             free = free.plus(held);
-            victims.lost += lost;
+            victims.lost_work += lost;
             victims.tasks.push(id.clone());
         }
         (free.fits(need) && !victims.tasks.is_empty()).then_some(victims)
     }
 
-    fn may_stop(
+    fn is_preemptible(
         &self,
         id: &TaskId,
-        task: &Placed,
+        task: &PlacedTask,
         priority: Priority,
     ) -> bool {
         let stopped = self.preemptions.get(id).copied().unwrap_or(0);
@@ -293,10 +297,15 @@
     }
 
     /// The work that is lost when the task is stopped, in milliseconds.
-    fn lost(&self, now: Millis, id: &TaskId, task: &Placed) -> Millis {
+    fn lost_work(
+        &self,
+        now: Millis,
+        id: &TaskId,
+        task: &PlacedTask,
+    ) -> Millis {
         let job = self.jobs.get(id.job());
         let checkpoint = job.is_some_and(|job| job.job.checkpoint);
-        let age = now.saturating_sub(task.since);
+        let age = now.saturating_sub(task.started_at);
         if checkpoint {
             age.min(CHECKPOINT_COST)
         } else {
@@ -312,13 +321,13 @@
         let mut rolling: BTreeMap<&str, u32> = BTreeMap::new();
         for (worker, state) in &self.workers {
             for (id, task) in &state.tasks {
-                if self.wanted(id, task.spec) {
+                if self.is_wanted(id, task.spec) {
                     continue;
                 }
                 // What is left for later, or may come back, is looked at
                 // again.
                 unwanted = true;
-                if let Some(limit) = self.rolling_limit(id) {
+                if let Some(limit) = self.rolling_update_limit(id) {
                     let count = rolling.entry(id.job()).or_default();
                     *count += 1;
                     if *count > limit {
@@ -330,7 +339,7 @@
                 }
             }
         }
-        self.unwanted = unwanted;
+        self.has_unwanted = unwanted;
         for (worker, id) in stops {
             self.stop(&worker, &id);
         }
@@ -338,16 +347,21 @@
 
     /// How many tasks of a changed service may be replaced at a time, if
     /// the task belongs to one.
-    fn rolling_limit(&self, id: &TaskId) -> Option<u32> {
+    fn rolling_update_limit(&self, id: &TaskId) -> Option<u32> {
         let job = self.jobs.get(id.job())?;
         let kept = job.job.enabled && id.index() < job.job.tasks;
-        (job.service && kept).then(|| (job.job.tasks / ROLLING_PART).max(1))
+        (job.service && kept)
+            .then(|| (job.job.tasks / ROLLING_UPDATE_DIVISOR).max(1))
     }
 }
 
 /// The tasks of the same service in the worker's rack and on the worker.
 /// Batch work is not spread.
-fn neighbours(id: &TaskId, job: &JobState, state: &Worker) -> (u32, u32) {
+fn count_same_service(
+    id: &TaskId,
+    job: &JobState,
+    state: &Worker,
+) -> (u32, u32) {
     if !job.service {
         return (0, 0);
     }
--- a/puffinknot-core/src/tasks/placer/exchange.rs
+++ b/puffinknot-core/src/tasks/placer/sync.rs
@@ -8,8 +8,8 @@
 };
 
 use super::{
-    Contact, JobState, Outstanding, Phase, Placed, Placer, PlacerConfig,
-    FIRST_BACKOFF, MAX_DOUBLINGS,
+    Contact, JobState, PendingSync, Phase, PlacedTask, Placer, PlacerConfig,
+    INITIAL_BACKOFF, MAX_BACKOFF_DOUBLINGS,
 };
 
 impl Placer {
@@ -22,32 +22,34 @@
     ) {
         let lease = self.config.lease;
         let Some(state) = self.workers.get_mut(id) else { return };
-        if state.outstanding.as_ref().map(|o| o.seq) != Some(reply.seq) {
+        if state.pending_sync.as_ref().map(|o| o.seq) != Some(reply.seq) {
             return;
         }
-        state.outstanding = None;
-        if state.contact == Contact::Unseen {
+        state.pending_sync = None;
+        if state.contact == Contact::NeverHeard {
             // Its first answer does not show the end of the lease that a
             // former holder gave it. None can be given after that answer,
             // so none ends later than one given with it.
-            state.former_until = reply.clock + lease;
+            state.former_lease_until = reply.clock + lease;
         }
-        state.contact = Contact::Ready;
-        state.clock = reply.clock;
-        state.read_at = read_at;
+        state.contact = Contact::Reachable;
+        state.last_clock = reply.clock;
+        state.clock_read_at = read_at;
         state.info = reply.info;
         let has = &state.info.capacity;
-        self.largest.cpu_millis = self.largest.cpu_millis.max(has.cpu_millis);
-        self.largest.memory_mb = self.largest.memory_mb.max(has.memory_mb);
-        state.counter = reply.counter;
+        self.largest_worker.cpu_millis =
+            self.largest_worker.cpu_millis.max(has.cpu_millis);
+        self.largest_worker.memory_mb =
+            self.largest_worker.memory_mb.max(has.memory_mb);
+        state.list_version = reply.counter;
         self.term.seen(id);
-        self.stirred = true;
+        self.needs_scheduling = true;
         if let Some(tasks) = reply.tasks {
             self.reconcile(read_at, id, reply.seq, &tasks);
         }
-        self.refresh(id);
+        self.update_free(id);
         if self.workers[id].info.leaving {
-            self.move_away(id);
+            self.stop_movable(id);
         }
     }
 
@@ -61,28 +63,28 @@
     ) {
         let listed: BTreeMap<&TaskId, &TaskReport> =
             tasks.iter().map(|task| (&task.id, task)).collect();
-        self.drop_missing(id, seq, &listed);
+        self.remove_missing(id, seq, &listed);
         for report in tasks {
             match report.phase {
-                TaskPhase::Running => self.found(now, id, report),
-                TaskPhase::Done => self.ended(now, id, report, true),
-                TaskPhase::Failed => self.ended(now, id, report, false),
+                TaskPhase::Running => self.handle_running(now, id, report),
+                TaskPhase::Done => self.handle_ended(now, id, report, true),
+                TaskPhase::Failed => self.handle_ended(now, id, report, false),
             }
         }
         if let Some(state) = self.workers.get_mut(id) {
-            state.ended.retain(|task| listed.contains_key(task));
+            state.ended_to_ack.retain(|task| listed.contains_key(task));
         }
     }
 
-    pub(super) fn drop_missing(
+    pub(super) fn remove_missing(
         &mut self,
         id: &TargetId,
         seq: u64,
         listed: &BTreeMap<&TaskId, &TaskReport>,
     ) {
-        let known = |task: &Placed| match task.phase {
-            Phase::Intended => false,
-            Phase::Starting => task.sent.is_some_and(|sent| sent <= seq),
+        let known = |task: &PlacedTask| match task.phase {
+            Phase::Unrecorded => false,
+            Phase::Starting => task.start_seq.is_some_and(|sent| sent <= seq),
             Phase::Running | Phase::Stopping => true,
         };
         let missing: Vec<TaskId> = self.workers[id]
@@ -93,48 +95,48 @@
             .map(|(task, _)| task.clone())
             .collect();
         for task in missing {
-            self.unplace(id, &task);
+            self.remove_placement(id, &task);
         }
     }
 
     /// A task was reported as running.
-    pub(super) fn found(
+    pub(super) fn handle_running(
         &mut self,
         now: Millis,
         id: &TargetId,
         report: &TaskReport,
     ) {
         let task = &report.id;
-        let wanted = self.wanted(task, report.spec);
-        let place = self.places.get(task);
+        let wanted = self.is_wanted(task, report.spec);
+        let place = self.worker_of_task.get(task);
         let elsewhere = place.is_some_and(|place| place != id);
         let Some(state) = self.workers.get_mut(id) else { return };
         let known = state.tasks.get_mut(task);
         if let Some(placed) = known {
-            if placed.phase == Phase::Starting && placed.sent.is_some() {
+            if placed.phase == Phase::Starting && placed.start_seq.is_some() {
                 placed.phase = Phase::Running;
             }
             return;
         }
-        let placed = Placed {
+        let placed = PlacedTask {
             spec: report.spec,
             need: report.need,
             priority: report.priority,
             phase: Phase::Running,
-            since: now.saturating_sub(report.age_ms),
-            sent: None,
-            team: None,
+            started_at: now.saturating_sub(report.age_ms),
+            start_seq: None,
+            charged_team: None,
         };
         state.tasks.insert(task.clone(), placed);
         if wanted && !elsewhere {
-            self.settle_in(id, task, &report.need);
+            self.record_placement(id, task, &report.need);
         } else {
             self.stop(id, task);
         }
     }
 
     /// A task was reported as ended by itself.
-    pub(super) fn ended(
+    pub(super) fn handle_ended(
         &mut self,
         now: Millis,
         id: &TargetId,
@@ -146,51 +148,51 @@
         let batch = job.is_some_and(|job| !job.service);
         let once = job.is_some_and(JobState::never_repeat);
         if batch && (done || once) {
-            self.keep_done(id, report);
+            self.record_done(id, report);
         } else {
-            if self.forget_ended(id, task) {
-                self.back_off(now, task);
+            if self.acknowledge_ended(id, task) {
+                self.delay_next_start(now, task);
             }
         }
-        self.unplace(id, task);
+        self.remove_placement(id, task);
     }
 
     /// Delays the next start of a job whose task ended when it should not
     /// have, longer each time.
-    pub(super) fn back_off(&mut self, now: Millis, task: &TaskId) {
+    pub(super) fn delay_next_start(&mut self, now: Millis, task: &TaskId) {
         let Some(job) = self.jobs.get_mut(task.job()) else { return };
-        let delay = FIRST_BACKOFF << job.failures.min(MAX_DOUBLINGS);
+        let delay = INITIAL_BACKOFF << job.failures.min(MAX_BACKOFF_DOUBLINGS);
         job.failures += 1;
         job.not_before = now + delay;
     }
 
     /// Tells the worker that it need not report the ended task any more.
     /// Returns whether that is new.
-    pub(super) fn forget_ended(
+    pub(super) fn acknowledge_ended(
         &mut self,
         id: &TargetId,
         task: &TaskId,
     ) -> bool {
         let Some(state) = self.workers.get_mut(id) else { return false };
-        let new = state.ended.insert(task.clone());
-        state.dirty |= new;
+        let new = state.ended_to_ack.insert(task.clone());
+        state.sync_now |= new;
         new
     }
 
     /// A sync was not answered.
     pub fn sync_failed(&mut self, id: &TargetId, seq: u64) {
         let Some(state) = self.workers.get_mut(id) else { return };
-        if state.outstanding.as_ref().map(|o| o.seq) != Some(seq) {
+        if state.pending_sync.as_ref().map(|o| o.seq) != Some(seq) {
             return;
         }
-        state.outstanding = None;
-        state.dirty = true;
-        if state.contact == Contact::Ready {
-            state.contact = Contact::Silent;
+        state.pending_sync = None;
+        state.sync_now = true;
+        if state.contact == Contact::Reachable {
+            state.contact = Contact::Unresponsive;
         }
     }
 
-    pub(super) fn syncs(
+    pub(super) fn due_syncs(
         &mut self,
         now: Millis,
     ) -> Vec<(TargetId, SyncRequest)> {
@@ -199,23 +201,24 @@
         let mut due = Vec::new();
         for (id, state) in &self.workers {
             let wait = match state.contact {
-                Contact::Ready if state.dirty => 0,
-                Contact::Ready => every,
-                _ if state.last_sync == 0 => 0,
+                Contact::Reachable if state.sync_now => 0,
+                Contact::Reachable => every,
+                _ if state.last_sync_at == 0 => 0,
                 _ => retry,
             };
-            if state.outstanding.is_none() && state.last_sync + wait <= now {
+            if state.pending_sync.is_none() && state.last_sync_at + wait <= now
+            {
                 due.push(id.clone());
             }
         }
         let sync = |id: TargetId| {
-            let request = self.sync(now, &id)?;
+            let request = self.build_sync(now, &id)?;
             Some((id, request))
         };
         due.into_iter().filter_map(sync).collect()
     }
 
-    pub(super) fn sync(
+    pub(super) fn build_sync(
         &mut self,
         now: Millis,
         id: &TargetId,
@@ -223,33 +226,34 @@
         let may_start = self.term.may_start();
         let lease = self.config.lease;
         let state = self.workers.get_mut(id)?;
-        state.seq += 1;
-        state.dirty = false;
-        state.last_sync = now.max(1);
-        let seq = state.seq;
-        state.outstanding = Some(Outstanding { seq, sent_at: now });
+        state.last_seq += 1;
+        state.sync_now = false;
+        state.last_sync_at = now.max(1);
+        let seq = state.last_seq;
+        state.pending_sync = Some(PendingSync { seq, sent_at: now });
         // A silent worker gets nothing new, and above all no longer lease,
         // so that it can be known when the one it has must have lapsed.
-        let active = state.contact == Contact::Ready && may_start;
+        let active = state.contact == Contact::Reachable && may_start;
         let (mut starts, mut stops) = (Vec::new(), Vec::new());
         if active {
-            state.until = state.until.max(state.clock_now(now) + lease);
-            starts = self.starts(id, seq);
-            stops = self.stops(id);
+            state.lease_until =
+                state.lease_until.max(state.min_clock_now(now) + lease);
+            starts = self.starts_to_send(id, seq);
+            stops = self.stops_to_send(id);
         }
         let state = self.workers.get_mut(id)?;
         Some(SyncRequest {
             epoch: self.term.epoch.clone(),
             seq,
-            until: state.until,
-            counter: state.counter,
+            until: state.lease_until,
+            counter: state.list_version,
             start: starts,
             stop: stops,
-            ack: state.ended.iter().cloned().collect(),
+            ack: state.ended_to_ack.iter().cloned().collect(),
         })
     }
 
-    pub(super) fn starts(
+    pub(super) fn starts_to_send(
         &mut self,
         id: &TargetId,
         seq: u64,
@@ -260,7 +264,7 @@
             if placed.phase != Phase::Starting {
                 continue;
             }
-            placed.sent = Some(seq);
+            placed.start_seq = Some(seq);
             let job = self.jobs.get(task.job());
             starts.push(StartTask {
                 id: task.clone(),
@@ -273,13 +277,13 @@
         starts
     }
 
-    pub(super) fn stops(&self, id: &TargetId) -> Vec<StopTask> {
+    pub(super) fn stops_to_send(&self, id: &TargetId) -> Vec<StopTask> {
         let Some(state) = self.workers.get(id) else { return vec![] };
         let stopping = state
             .tasks
             .iter()
             .filter(|(_, placed)| placed.phase == Phase::Stopping);
-        let stop = |(task, _): (&TaskId, &Placed)| {
+        let stop = |(task, _): (&TaskId, &PlacedTask)| {
             let job = self.jobs.get(task.job());
             let checkpoint = job.is_some_and(|job| job.job.checkpoint);
             StopTask { id: task.clone(), checkpoint }
--- a/puffinknot-core/src/tasks/placer/view.rs
+++ b/puffinknot-core/src/tasks/placer/view.rs
@@ -48,19 +48,19 @@
 impl Placer {
     /// The number of tasks that have a place.
     pub fn placed_count(&self) -> usize {
-        self.places.len()
+        self.worker_of_task.len()
     }
 
     /// The number of tasks that wait.
     pub fn waiting_count(&self) -> usize {
-        let waiting = |name| self.jobs.get(name).map_or(0, count_waiting);
-        self.pending.iter().map(waiting).sum()
+        let waiting = |name| self.jobs.get(name).map_or(0, waiting_tasks);
+        self.waiting_jobs.iter().map(waiting).sum()
     }
 
     /// How each job is doing.
     pub fn jobs(&self) -> Vec<JobView> {
         let mut placed: BTreeMap<&str, u32> = BTreeMap::new();
-        for id in self.places.keys() {
+        for id in self.worker_of_task.keys() {
             *placed.entry(id.job()).or_default() += 1;
         }
         let view = |(name, state): (&String, &JobState)| {
@@ -85,7 +85,7 @@
         let view = |(id, state): (&TargetId, &Worker)| WorkerView {
             id: id.clone(),
             rack: state.info.rack.clone(),
-            ready: state.takes_work(),
+            ready: state.accepts_work(),
             capacity: state.capacity,
             free: state.free,
             tasks: state.tasks.keys().cloned().collect(),
@@ -94,6 +94,6 @@
     }
 }
 
-fn count_waiting(job: &JobState) -> usize {
+fn waiting_tasks(job: &JobState) -> usize {
     job.waiting.len()
 }
