--- a/puffinknot-core/src/tasks/fit.rs
+++ b/puffinknot-core/src/tasks/fit.rs
@@ -1,44 +1,46 @@
 /*!
-Which worker a task goes to.
+The choice of a worker for a task.
 
-Best fit over several dimensions: among the workers that have room, a task
-goes to the one of which the least is left over. Tasks without accelerators
-keep away from workers with free ones, so that none is stranded, and the
-tasks of a service spread over racks first.
+The default is best fit over several resources: among the workers with enough
+free capacity, the one that would have the least left is chosen. Two rules come
+before that. A task that needs no accelerators avoids workers with free ones,
+since it could use up the CPU and memory without which these can't be used.
+Then the tasks of a service are spread over racks, and within these over
+workers.
 */
 
 use crate::config::Resources;
 
-/// How a worker is chosen.
+/// The strategy by which a worker is chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Fit {
-    /// The worker of which the least is left over.
+    /// The worker that would have the least left.
     #[default]
     Best,
-    /// The first worker in the order of names; a baseline.
+    /// The first worker in the order of names. A baseline for comparison.
     First,
-    /// Any worker, by a hash of task and worker; a baseline.
+    /// Any worker, by a hash of task and worker. A baseline for comparison.
     Random,
 }
 
-/// A worker that has room for a task.
+/// A worker with enough free capacity for a task.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// What the worker has, less the room for the old scripts.
+    /// The resources of the worker, less those reserved for legacy scripts.
     pub capacity: Resources,
-    /// What is free of it.
+    /// The unallocated part of `capacity`.
     pub free: Resources,
     /// The number of tasks of the same service in its rack and on itself.
     pub same_service_tasks: (u32, u32),
-    /// A number that is as good as random for task and worker.
+    /// A pseudorandom number for the pair of task and worker.
     pub random_key: u64,
 }
 
-/// How good a candidate is; the lowest is best.
+/// The rank of a candidate; the lowest is best.
 pub type Score = (bool, u32, u32, u64);
 
 impl Fit {
-    /// The score of a candidate for a task with this need.
+    /// The score of a candidate for a task with these needs.
     pub fn score(self, candidate: &Candidate, need: &Resources) -> Score {
         match self {
             Fit::Best => best_fit_score(candidate, need),
@@ -50,22 +52,22 @@
 
 fn best_fit_score(candidate: &Candidate, need: &Resources) -> Score {
     let left = candidate.free.minus(need);
-    let whole = &candidate.capacity;
-    let wastes = need.accelerators == 0 && left.accelerators > 0;
-    let cpu = per_mille(left.cpu_millis, whole.cpu_millis);
-    let memory = per_mille(left.memory_mb, whole.memory_mb);
-    // A worker on which one dimension runs out long before another is hard
-    // to fill, so a lopsided rest counts against a candidate.
-    let mut rest = cpu + memory + cpu.abs_diff(memory);
-    if whole.accelerators > 0 {
-        let accelerators = per_mille(left.accelerators, whole.accelerators);
-        rest += accelerators + accelerators.saturating_sub(cpu.min(memory));
+    let capacity = &candidate.capacity;
+    let strands_accelerators = need.accelerators == 0 && left.accelerators > 0;
+    let cpu = per_mille(left.cpu_millis, capacity.cpu_millis);
+    let memory = per_mille(left.memory_mb, capacity.memory_mb);
+    // A worker on which one resource runs out long before another is hard to
+    // fill, so an unbalanced remainder makes the score worse.
+    let mut unused = cpu + memory + cpu.abs_diff(memory);
+    if capacity.accelerators > 0 {
+        let accelerators = per_mille(left.accelerators, capacity.accelerators);
+        unused += accelerators + accelerators.saturating_sub(cpu.min(memory));
     }
     let (rack, worker) = candidate.same_service_tasks;
-    (wastes, rack, worker, rest)
+    (strands_accelerators, rack, worker, unused)
 }
 
-/// A part of a whole, in thousandths.
+/// `part` as thousandths of `whole`.
 pub(super) fn per_mille(part: u32, whole: u32) -> u64 {
     u64::from(part) * 1_000 / u64::from(whole.max(1))
 }
--- a/puffinknot-core/src/tasks/message.rs
+++ b/puffinknot-core/src/tasks/message.rs
@@ -1,14 +1,15 @@
 /*!
-What the holder of a data centre's tasks and a worker say to each other.
+Messages between the holder of a data centre's task contract and a worker.
 
-There is one exchange, the *sync*. Its first use presents the holder's epoch
-and asks what runs; later ones renew the lease of everything that runs on the
+There is one exchange, the *sync*. The first one presents the holder's epoch
+and asks what runs. Later ones renew the lease of everything that runs on the
 worker, and start and stop tasks.
 
-A lease is given in the *worker's* clock: the holder adds the length of the
-lease to the last reading that the worker sent. However late a message
-arrives, it can't extend the lease beyond that point, and the holder knows
-when the lease has certainly lapsed.
+The end of a lease is a time on the *worker's* clock: the holder takes the
+last reading that the worker sent, adds the time since it received it, and
+adds the length of the lease. However late a message arrives, it can't extend
+the lease beyond that point, and the holder knows when the lease has certainly
+expired.
 */
 
 use serde::{Deserialize, Serialize};
@@ -21,13 +22,13 @@
 pub struct StartTask {
     /// The task.
     pub id: TaskId,
-    /// A hash of what the file says of it.
+    /// The hash of its specification in the operators' file.
     pub spec: u64,
-    /// What it needs.
+    /// The resources that it needs.
     pub need: Resources,
     /// How long it runs, in milliseconds; zero for a service.
     pub run_ms: Millis,
-    /// What comes first.
+    /// Its priority.
     pub priority: Priority,
 }
 
@@ -36,81 +37,84 @@
 pub struct StopTask {
     /// The task.
     pub id: TaskId,
-    /// Whether to save its state first.
+    /// Whether to checkpoint it first.
     pub checkpoint: bool,
 }
 
-/// From the holder to a worker.
+/// A sync, from the holder to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// The holder's epoch. A lower one than the highest seen is refused.
+    /// The holder's epoch. The worker refuses any that is lower than the
+    /// highest that it has seen.
     pub epoch: Epoch,
-    /// Grows with each request of an epoch. A lower or equal one than the
-    /// highest seen is refused, so that messages can't overtake.
+    /// Grows with each request of an epoch. The worker refuses any that is not
+    /// higher than the highest that it has seen, so that a request that is
+    /// overtaken by another has no effect.
     pub seq: u64,
-    /// The end of the lease in the worker's clock. It never moves back.
+    /// The end of the lease on the worker's clock. It never moves back.
     pub until: Millis,
-    /// The last [`SyncReply::counter`] that the holder has seen.
+    /// The last [`SyncReply::counter`] that the holder has received.
     pub counter: u64,
-    /// Tasks to start, if the lease has not ended by the worker's clock.
+    /// Tasks to start, unless the lease has expired by the worker's clock.
     pub start: Vec<StartTask>,
     /// Tasks to stop.
     pub stop: Vec<StopTask>,
-    /// Ended tasks that the worker need not report any more.
+    /// Acknowledged ends: tasks that the worker no longer has to report.
     pub ack: Vec<TaskId>,
 }
 
-/// Where a task is in its life at a worker.
+/// The state of a task on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskPhase {
-    /// It runs.
+    /// It is running.
     Running,
-    /// It has ended by itself, successfully.
+    /// It ended by itself, successfully.
     Done,
-    /// It has ended by itself, in failure.
+    /// It ended by itself with a failure.
     Failed,
 }
 
-/// A worker's word on one of its tasks.
+/// A worker's report on one of its tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TaskReport {
     /// The task.
     pub id: TaskId,
-    /// The hash it was started with.
+    /// The hash of the specification that it was started with.
     pub spec: u64,
-    /// What it needs.
+    /// The resources that it needs.
     pub need: Resources,
-    /// What comes first.
+    /// Its priority.
     pub priority: Priority,
-    /// Where it is in its life.
+    /// Its state.
     pub phase: TaskPhase,
     /// How long it has run, in milliseconds.
     pub age_ms: Millis,
 }
 
-/// What a worker is.
+/// The properties of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WorkerInfo {
-    /// What it has.
+    /// All of its resources.
     pub capacity: Resources,
-    /// The rack it stands in.
+    /// Its rack.
     pub rack: String,
-    /// Whether it takes no new work.
+    /// Whether it is departing and accepts no new work.
     pub leaving: bool,
 }
 
-/// From a worker to the holder.
+/// The reply to a sync, from a worker to the holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SyncReply {
     /// The `seq` of the request.
     pub seq: u64,
-    /// The worker's clock, in milliseconds since some start.
+    /// The reading of the worker's clock, in milliseconds since an arbitrary
+    /// time.
     pub clock: Millis,
-    /// Grows with every change of the list of tasks.
+    /// The version of the task list, which grows with every change.
     pub counter: u64,
-    /// What the worker is.
+    /// The properties of the worker.
     pub info: WorkerInfo,
-    /// The tasks, unless the holder has seen this `counter`.
+    /// The tasks, unless the request carried this `counter`.
     pub tasks: Option<Vec<TaskReport>>,
 }
--- a/puffinknot-core/src/tasks/mod.rs
+++ b/puffinknot-core/src/tasks/mod.rs
@@ -1,17 +1,18 @@
 /*!
-Tasks on workers: one data centre's jobs, quotas, order and placement.
+The placement of tasks on workers: the jobs, quotas and priorities of one data
+centre.
 
-The [`Placer`] is the part of the core that the holder of a data centre's
-task contract runs. It decides from what it has promised and never from what
-workers report as used, so that no worker is given more than it has.
+The holder of a data centre's task contract runs a [`Placer`]. The placer
+counts the resources that it has allocated, not those that workers report as
+used, so that it never allocates more than a worker has.
 
-A task runs in one place only. It is started where it can't be running
-elsewhere: the workers' own lists, read under the holder's epoch, are the
-truth. What ran on a worker that has become silent starts again only when
-the worker's lease has certainly lapsed *and* the platform has confirmed,
-after that, that the holder still held the contract. Without the second
-condition, a holder that was superseded unawares could take a worker for dead
-whose lease its successor renews.
+A task runs on at most one worker. The task lists that workers send under the
+holder's epoch decide where a task runs, and a task is started only if it
+can't be running elsewhere. The tasks of an unresponsive worker start again
+only when the worker's lease has certainly expired *and* the platform has
+confirmed, after that, that the holder still had the contract. Without the
+second condition, a holder that was superseded without knowing it could give
+up a worker whose lease its successor renews.
 */
 
 pub mod fit;
--- a/puffinknot-core/src/tasks/placer/mod.rs
+++ b/puffinknot-core/src/tasks/placer/mod.rs
@@ -1,9 +1,11 @@
 /*!
-The state of one data centre's tasks, as its holder sees it.
+The placer: the state of one data centre's tasks, as known to the holder of its
+task contract.
 
-What is done with the state has modules of its own: `sync` talks to the
-workers, `schedule` chooses what starts where, `saved_progress` keeps what must outlast
-this VM, and `view` shows all of it to operators.
+- `sync` exchanges messages with the workers
+- `schedule` decides which task starts where
+- `saved_progress` tracks the progress that must outlast this VM
+- `view` shows the state to operators
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,14 +25,15 @@
 
 pub use self::view::{JobView, WorkerView};
 
-/// How the placer decides.
+/// The settings of a [`Placer`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PlacerConfig {
-    /// How long a worker runs its tasks without word from the holder.
+    /// How long a worker runs its tasks without a sync from the holder, in
+    /// milliseconds.
     pub lease: Millis,
-    /// How often one task may be stopped to make room.
+    /// How often one task may be preempted.
     pub max_preemptions: u32,
-    /// How workers are chosen.
+    /// The strategy by which workers are chosen.
     pub fit: Fit,
 }
 
@@ -41,41 +44,44 @@
 }
 
 impl PlacerConfig {
-    /// Clocks may drift apart by one part in this many within a lease.
+    /// The clocks of holder and worker may drift apart by this fraction of a
+    /// lease: one part in `DRIFT_DIVISOR`.
     const DRIFT_DIVISOR: Millis = 50;
-    /// What is added for the grain of clocks.
+    /// The allowance for the granularity of clocks.
     const CLOCK_GRANULARITY: Millis = 100;
-    /// A worker is synced this often within a lease.
+    /// The number of syncs with a worker within the length of a lease.
     const SYNCS_PER_LEASE: Millis = 4;
-    /// A sync without an answer is given up after this part of a lease.
+    /// A sync without a reply fails after one part in this many of a lease.
     const TIMEOUTS_PER_LEASE: Millis = 8;
 
+    /// How much longer than it is on the worker's clock a lease may last on
+    /// the holder's.
     fn clock_margin(&self) -> Millis {
         self.lease / PlacerConfig::DRIFT_DIVISOR
             + PlacerConfig::CLOCK_GRANULARITY
     }
 }
 
-/// The delay before a failed task starts again, in milliseconds.
+/// The delay before a task starts again after the first failure.
 const INITIAL_BACKOFF: Millis = 1_000;
 /// The delay doubles with each failure, up to this number of times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// Where a task is in its life on a worker.
+/// The state of a task that is assigned to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// It has a place, but that it may have been started has yet to be
-    /// recorded.
+    /// It must not be repeated, and the platform does not hold the record yet
+    /// that it may have been started.
     Unrecorded,
-    /// It is to be started, or its start is not confirmed yet.
+    /// It is to be started, or the worker has not confirmed the start yet.
     Starting,
-    /// The worker has reported it.
+    /// The worker has reported that it runs.
     Running,
-    /// It is to be stopped, or its stop is not confirmed yet.
+    /// It is to be stopped, or the worker has not confirmed the stop yet.
     Stopping,
 }
 
-/// A task that has a place.
+/// A task that is assigned to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PlacedTask {
     spec: u64,
@@ -83,23 +89,24 @@
     priority: Priority,
     phase: Phase,
     started_at: Millis,
-    /// The sync that carried the start, if one has been sent.
+    /// The `seq` of the last sync that carried the start, if any did.
     start_seq: Option<u64>,
-    /// The team whose quota it counts against, if it counts.
+    /// The team whose quota it counts against, if any.
     charged_team: Option<String>,
 }
 
-/// Whether a worker can be talked to.
+/// Whether a worker replies to syncs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Contact {
-    /// It has not answered in this tenure.
+    /// It has not replied in this term.
     NeverHeard,
-    /// It answers.
+    /// It replied to the last sync.
     Reachable,
-    /// It has stopped to answer.
+    /// It did not reply to the last sync.
     Unresponsive,
 }
 
+/// A sync without a reply so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingSync {
     seq: u64,
@@ -110,29 +117,32 @@
 struct Worker {
     contact: Contact,
     info: WorkerInfo,
-    /// What it has, less the room for the old scripts.
+    /// Its resources, less those reserved for legacy scripts.
     capacity: Resources,
-    /// What is free of `capacity`, less what is set aside.
+    /// The part of `capacity` that is neither allocated nor reserved.
     free: Resources,
-    /// The last reading of its clock, and when it was received.
+    /// The last reading of its clock, and when that was received.
     last_clock: Millis,
     clock_read_at: Millis,
-    /// The end of its lease, in its clock.
+    /// The end of its lease, on its clock.
     lease_until: Millis,
-    /// The latest end of a lease that a former holder gave it, in its clock.
-    /// It bounds when the worker may be given up, and is never sent: this
-    /// holder renews nothing by it.
+    /// The latest time at which a lease from a former holder can end, on its
+    /// clock. The worker is not given up earlier. It is never sent, since this
+    /// holder would otherwise extend the lease.
     former_lease_until: Millis,
     last_seq: u64,
     list_version: u64,
     pending_sync: Option<PendingSync>,
     last_sync_at: Millis,
-    /// What has to be sent without waiting for the next renewal.
+    /// Whether something has to be sent before the next renewal is due.
     sync_now: bool,
     departing: bool,
     tasks: BTreeMap<TaskId, PlacedTask>,
-    /// Tasks that wait for others to be stopped here.
+    /// Resources reserved for tasks that wait until preempted tasks have
+    /// stopped here.
     reservations: BTreeMap<TaskId, Resources>,
+    /// Ends to acknowledge with each sync until the worker no longer lists
+    /// them.
     ended_to_ack: BTreeSet<TaskId>,
 }
 
@@ -164,25 +174,26 @@
     }
 
     fn accepts_work(&self) -> bool {
-        let leaving = self.departing || self.info.leaving;
-        self.contact == Contact::Reachable && !leaving
+        let departing = self.departing || self.info.leaving;
+        self.contact == Contact::Reachable && !departing
     }
 
-    fn update_free(&mut self, room: &Resources) {
-        self.capacity = self.info.capacity.minus(room);
-        let promised = self.tasks.values().map(|task| &task.need);
-        let all = promised.chain(self.reservations.values());
+    fn update_free(&mut self, reserved: &Resources) {
+        self.capacity = self.info.capacity.minus(reserved);
+        let allocated = self.tasks.values().map(|task| &task.need);
+        let all = allocated.chain(self.reservations.values());
         let sum = all.fold(Resources::default(), |sum, n| sum.plus(n));
         self.free = self.capacity.minus(&sum);
     }
 
-    /// The least that its clock can show now.
+    /// The last reading of its clock plus the time since then.
     fn min_clock_now(&self, now: Millis) -> Millis {
         self.last_clock + now.saturating_sub(self.clock_read_at)
     }
 
-    /// When every lease of it has certainly lapsed, on the holder's clock.
-    fn lapses_at(&self, config: &PlacerConfig) -> Millis {
+    /// The time, on the holder's clock, at which all of its leases have
+    /// certainly expired.
+    fn leases_expire_at(&self, config: &PlacerConfig) -> Millis {
         let until = self.lease_until.max(self.former_lease_until);
         let left = until.saturating_sub(self.last_clock);
         self.clock_read_at + left + config.clock_margin()
@@ -196,15 +207,16 @@
     service: bool,
     spec: u64,
     priority: Priority,
-    /// A place in line: the revision with which the job became known.
+    /// The `config_number` of the placer when the job appeared.
     config_number: u64,
-    /// Indexes of tasks that wait for a place.
+    /// Indexes of tasks that are not assigned to a worker yet.
     waiting: BTreeSet<u32>,
     /// Indexes of tasks that may have run and must not be repeated.
     unknown: BTreeSet<u32>,
-    /// How many tasks of a service are in each rack.
+    /// The number of its tasks in each rack.
     by_rack: BTreeMap<String, u32>,
-    /// Failures in a row, and the earliest time of the next start.
+    /// The number of failures since a configuration was last applied, and the
+    /// earliest time of the next start.
     failures: u32,
     not_before: Millis,
 }
@@ -215,21 +227,26 @@
     }
 }
 
-/// The tasks of one data centre.
+/// The scheduler of the tasks of one data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Placer {
     config: PlacerConfig,
     dc: DcName,
-    /// The tenure under which this VM places tasks.
+    /// The contract term under which this VM places tasks.
     pub term: Tenure,
-    /// Jobs and their number of tasks at the start of the tenure.
+    /// The jobs, and their numbers of tasks, of which a holder may have known
+    /// before the term began.
     former_task_counts: BTreeMap<String, u32>,
-    /// The platform confirmed at this time that the contract is held.
+    /// When the latest request was sent to which the platform replied that
+    /// this VM has the contract.
     confirmed_at: Millis,
+    /// Resources reserved for legacy scripts.
     external_use: Room,
     quotas: BTreeMap<String, Resources>,
+    /// The resources allocated to the tasks of each team.
     team_usage: BTreeMap<String, Resources>,
     jobs: BTreeMap<String, JobState>,
+    /// The number of configurations applied so far.
     config_number: u64,
     /// Jobs with tasks that wait.
     waiting_jobs: BTreeSet<String>,
@@ -237,41 +254,43 @@
     worker_of_task: BTreeMap<TaskId, TargetId>,
     preemptions: BTreeMap<TaskId, u32>,
     progress: Progress,
-    /// Changes of `progress`: made, and known to be written.
+    /// The versions of `progress`: the current one, and the latest one that is
+    /// known to be stored.
     progress_version: u64,
     saved_version: u64,
-    /// Ended tasks that may be forgotten once the write is made.
+    /// Ended tasks to acknowledge once that version of `progress` is stored.
     unsaved_ends: Vec<(u64, TargetId, TaskId)>,
-    /// Tasks that may be started once the write is made.
+    /// Tasks to start once that version of `progress` is stored.
     unsaved_starts: Vec<(u64, TaskId)>,
-    /// How often room was set aside, so that most placements need not look
-    /// for it.
+    /// The number of reservations ever made. While it is zero, placements need
+    /// not search the workers for one.
     reservations_made: u64,
-    /// Some tasks run that the file in force does not ask for.
+    /// Whether tasks are placed that the configuration does not ask for.
     has_unwanted: bool,
-    /// The most that one worker has in each dimension.
+    /// The most CPU and memory that any worker has had.
     largest_worker: Resources,
-    /// Something changed that may let a task start.
+    /// Whether something changed that may allow a task to start.
     needs_scheduling: bool,
 }
 
 impl Placer {
-    /// A placer at the start of a tenure. `old` is the file that earlier
-    /// holders may have known; `progress` is what the platform holds.
+    /// A placer at the start of a term. `former_config` is the configuration
+    /// that earlier holders may have known, and `progress` is what the
+    /// platform has stored.
     pub fn new(
         config: PlacerConfig,
         dc: DcName,
-        tenure: Tenure,
-        old: Option<&Config>,
+        term: Tenure,
+        former_config: Option<&Config>,
         progress: Progress,
     ) -> Placer {
         let count = |(job, _): (&Job, bool)| (job.name.clone(), job.tasks);
-        let old = old.map(|c| c.jobs().map(count).collect());
+        let counts = former_config.map(|c| c.jobs().map(count).collect());
         Placer {
             config,
             dc,
-            term: tenure,
-            former_task_counts: old.unwrap_or_default(),
+            term,
+            former_task_counts: counts.unwrap_or_default(),
             confirmed_at: 0,
             external_use: Room::default(),
             quotas: BTreeMap::new(),
@@ -294,17 +313,17 @@
         }
     }
 
-    /// A revision of the operators' file is in force.
+    /// Applies a new revision of the operators' file.
     pub fn apply_config(&mut self, config: &Config) {
         self.config.lease = config.policy.task_lease_ms;
         self.config.max_preemptions = config.policy.max_preemptions;
         self.external_use = config.room.clone();
         self.quotas =
             config.teams.iter().map(|t| (t.name.clone(), t.quota)).collect();
-        let here = |(job, _): &(&Job, bool)| job.data_centre == self.dc;
+        let is_local = |(job, _): &(&Job, bool)| job.data_centre == self.dc;
         let jobs: Vec<(Job, bool)> = config
             .jobs()
-            .filter(here)
+            .filter(is_local)
             .map(|(job, service)| (job.clone(), service))
             .collect();
         self.config_number += 1;
@@ -317,15 +336,15 @@
         self.needs_scheduling = true;
     }
 
-    /// Gives back room set aside for tasks that are no longer asked for.
+    /// Releases the reservations of tasks that no longer wait.
     fn release_stale_reservations(&mut self) {
         let jobs = &self.jobs;
-        let waits = |id: &TaskId| {
+        let is_waiting = |id: &TaskId| {
             let job = jobs.get(id.job());
             job.is_some_and(|job| job.waiting.contains(&id.index()))
         };
         for state in self.workers.values_mut() {
-            state.reservations.retain(|id, _| waits(id));
+            state.reservations.retain(|id, _| is_waiting(id));
         }
         let ids: Vec<TargetId> = self.workers.keys().cloned().collect();
         for id in ids {
@@ -363,7 +382,7 @@
         self.recompute_waiting(&name);
     }
 
-    /// Works out anew which tasks of a job wait.
+    /// Computes again which tasks of a job wait.
     fn recompute_waiting(&mut self, name: &str) {
         let Some(job) = self.jobs.get(name) else { return };
         let tasks = if job.job.enabled { job.job.tasks } else { 0 };
@@ -401,7 +420,7 @@
         }
     }
 
-    /// Whether the file in force asks for the task, in this form.
+    /// Whether the configuration asks for the task with this specification.
     fn is_wanted(&self, id: &TaskId, spec: u64) -> bool {
         self.jobs.get(id.job()).is_some_and(|job| {
             job.spec == spec && job.job.enabled && id.index() < job.job.tasks
@@ -421,7 +440,7 @@
         }
     }
 
-    /// The task is certainly not at the worker (any more).
+    /// Removes a task that is certainly not, or no longer, on the worker.
     fn remove_placement(&mut self, worker: &TargetId, id: &TaskId) {
         let Some(state) = self.workers.get_mut(worker) else { return };
         let Some(task) = state.tasks.remove(id) else { return };
@@ -432,10 +451,10 @@
             return;
         }
         self.worker_of_task.remove(id);
-        if let Some(held) =
+        if let Some(usage) =
             task.charged_team.and_then(|t| self.team_usage.get_mut(&t))
         {
-            *held = held.minus(&task.need);
+            *usage = usage.minus(&task.need);
         }
         self.requeue(id, &rack);
     }
@@ -460,18 +479,18 @@
     }
 
     fn update_free(&mut self, worker: &TargetId) {
-        let room = self.external_use.reserved_on(worker);
+        let reserved = self.external_use.reserved_on(worker);
         if let Some(state) = self.workers.get_mut(worker) {
-            state.update_free(&room);
+            state.update_free(&reserved);
         }
     }
 
-    /// A worker stands in the contract.
+    /// Adds a worker of the contract.
     pub fn add_worker(&mut self, now: Millis, id: &TargetId) {
         self.workers.entry(id.clone()).or_insert_with(|| Worker::new(now));
     }
 
-    /// A worker is gone for good, and its tasks with it.
+    /// Removes a worker that is permanently gone, and its tasks with it.
     pub fn remove_worker(&mut self, id: &TargetId) {
         self.term.seen(id);
         self.remove_all_placements(id);
@@ -479,29 +498,29 @@
         self.needs_scheduling = true;
     }
 
-    /// The workers that are known.
+    /// The names of all workers.
     pub fn worker_ids(&self) -> impl Iterator<Item = &TargetId> {
         self.workers.keys()
     }
 
-    /// The VM list says whether the worker is leaving.
-    pub fn set_departing(&mut self, id: &TargetId, leaving: bool) {
+    /// Sets whether the worker is departing, according to the VM list.
+    pub fn set_departing(&mut self, id: &TargetId, departing: bool) {
         if let Some(state) = self.workers.get_mut(id) {
-            state.departing = leaving;
+            state.departing = departing;
         }
-        if leaving {
+        if departing {
             self.stop_movable(id);
         }
     }
 
-    /// Stops what runs on a leaving worker, so that it starts elsewhere.
-    /// Work that must not be repeated stays and ends by itself.
+    /// Stops the tasks of a departing worker, so that they start elsewhere.
+    /// Tasks that must not be repeated stay and end by themselves.
     fn stop_movable(&mut self, id: &TargetId) {
         let Some(state) = self.workers.get(id) else { return };
         let movable = |(task, placed): &(&TaskId, &PlacedTask)| {
             let job = self.jobs.get(task.job());
-            let once = job.is_some_and(JobState::never_repeat);
-            placed.phase != Phase::Stopping && !once
+            let never_repeat = job.is_some_and(JobState::never_repeat);
+            placed.phase != Phase::Stopping && !never_repeat
         };
         let tasks: Vec<TaskId> = state
             .tasks
@@ -526,13 +545,14 @@
         self.update_free(id);
     }
 
-    /// The platform confirmed, to a request sent at `sent_at`, that the
-    /// contract is held.
+    /// Records that the platform confirmed, in reply to a request sent at
+    /// `sent_at`, that this VM has the contract.
     pub fn confirm_contract(&mut self, sent_at: Millis) {
         self.confirmed_at = self.confirmed_at.max(sent_at);
     }
 
-    /// A task has a place: it waits no more and counts for its team.
+    /// Records that a task is on a worker: it no longer waits and counts
+    /// against the quota of its team.
     fn record_placement(
         &mut self,
         id: &TargetId,
@@ -544,8 +564,8 @@
         let rack = state.info.rack.clone();
         let team = self.jobs.get(task.job()).map(|job| &job.job.team);
         if let Some(team) = team {
-            let held = self.team_usage.entry(team.clone()).or_default();
-            *held = held.plus(need);
+            let usage = self.team_usage.entry(team.clone()).or_default();
+            *usage = usage.plus(need);
         }
         if let Some(placed) = state.tasks.get_mut(task) {
             placed.charged_team = team.cloned();
@@ -558,15 +578,16 @@
         self.update_waiting_jobs(task.job());
     }
 
-    /// Lets time pass: gives up on workers whose lease has lapsed, places
-    /// what can be placed, and returns the syncs to send.
+    /// Advances the time to `now`: gives up the tasks of unresponsive workers
+    /// whose leases have expired, places waiting tasks, and returns the syncs
+    /// to send.
     pub fn step(&mut self, now: Millis) -> Vec<(TargetId, SyncRequest)> {
         self.expire_leases(now);
-        let due = |name| {
+        let retry_is_due = |name| {
             let job: &JobState = &self.jobs[name];
             job.failures > 0 && job.not_before <= now
         };
-        let retry = self.waiting_jobs.iter().any(due);
+        let retry = self.waiting_jobs.iter().any(retry_is_due);
         if (self.needs_scheduling || retry) && self.term.may_start() {
             self.needs_scheduling = false;
             self.schedule(now);
@@ -576,24 +597,24 @@
 
     fn expire_leases(&mut self, now: Millis) {
         let timeout = self.config.lease / PlacerConfig::TIMEOUTS_PER_LEASE;
-        let mut lapsed = Vec::new();
+        let mut expired_workers = Vec::new();
         for (id, state) in &mut self.workers {
-            let late = |o: &PendingSync| o.sent_at + timeout <= now;
-            if state.pending_sync.as_ref().is_some_and(late) {
+            let timed_out = |sync: &PendingSync| sync.sent_at + timeout <= now;
+            if state.pending_sync.as_ref().is_some_and(timed_out) {
                 state.pending_sync = None;
                 state.sync_now = true;
                 if state.contact == Contact::Reachable {
                     state.contact = Contact::Unresponsive;
                 }
             }
-            let lapse = state.lapses_at(&self.config);
-            let over = lapse <= now && lapse <= self.confirmed_at;
-            let silent = state.contact == Contact::Unresponsive;
-            if silent && over && !state.tasks.is_empty() {
-                lapsed.push(id.clone());
+            let expiry = state.leases_expire_at(&self.config);
+            let expired = expiry <= now && expiry <= self.confirmed_at;
+            let unresponsive = state.contact == Contact::Unresponsive;
+            if unresponsive && expired && !state.tasks.is_empty() {
+                expired_workers.push(id.clone());
             }
         }
-        for id in lapsed {
+        for id in expired_workers {
             self.remove_all_placements(&id);
         }
     }
@@ -604,8 +625,9 @@
     }
 }
 
-/// A hash of what a running task depends on. A change of it restarts the
-/// task; a change of quota, order or number does not.
+/// The hash of a job's specification, by which a change of the file restarts
+/// running tasks. The quota, the priority and the number of tasks are not in
+/// it, since a change of these needs no restart.
 pub fn spec_hash(job: &Job) -> u64 {
     hash(&(job.need, job.run_ms, job.checkpoint, job.repeat))
 }
--- a/puffinknot-core/src/tasks/placer/schedule.rs
+++ b/puffinknot-core/src/tasks/placer/schedule.rs
@@ -1,4 +1,4 @@
-//! What starts next, and where.
+//! Scheduling: which task starts next, and on which worker.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,15 +10,19 @@
 
 use super::{JobState, Phase, PlacedTask, Placer, Worker};
 
-/// What a task that can be checkpointed loses when it is stopped.
+/// The most work that a task that can be checkpointed loses when it is
+/// stopped.
 const CHECKPOINT_COST: Millis = 1_000;
-/// At most one task in this many of a changed job is replaced at a time.
+/// Of a changed service, at most one task in this many, but at least one, is
+/// replaced at a time.
 const ROLLING_UPDATE_DIVISOR: u32 = 4;
 
-/// A job's place in line; the lowest is first.
+/// The rank of a job in the order of placement; the lowest comes first. Its
+/// parts are the priority, the use of the team's quota, the `config_number` of
+/// the job, and the size of its tasks.
 type Rank = (Reverse<Priority>, u64, u64, Reverse<u64>);
 
-/// A worker on which room can be made, and what that costs.
+/// The tasks to preempt on a worker, and the work that this loses.
 struct Victims {
     lost_work: Millis,
     worker: TargetId,
@@ -26,30 +30,30 @@
 }
 
 impl Placer {
-    /// Places waiting tasks until none can be placed: the most urgent job
-    /// first, then the team that holds the least of its quota, then the job
-    /// that has been known longest, and of jobs that came together the one
-    /// with the largest tasks, since small ones fit in anywhere.
+    /// Places waiting tasks until none can be placed. Jobs are ordered by
+    /// priority, then by how little of its quota their team uses, then by when
+    /// they appeared. Of jobs that appeared together, the one with the largest
+    /// tasks comes first, since small tasks are easy to place.
     ///
     /// A placement makes the ranks of its team's jobs worse and none better.
-    /// So the ranks are worked out once, and that of the first job is looked
-    /// at again before it is believed.
+    /// So all ranks are computed once, and the rank of the first job is
+    /// computed again before it is used.
     pub(super) fn schedule(&mut self, now: Millis) {
         if self.has_unwanted {
             self.stop_unwanted();
         }
         let ranked =
             self.waiting_jobs.iter().map(|name| (self.rank(name), name));
-        let mut line: BTreeSet<(Rank, String)> =
+        let mut queue: BTreeSet<(Rank, String)> =
             ranked.map(|(rank, name)| (rank, name.clone())).collect();
-        while let Some((rank, name)) = line.pop_first() {
-            let newest = self.rank(&name);
-            if newest > rank {
-                line.insert((newest, name));
+        while let Some((rank, name)) = queue.pop_first() {
+            let current_rank = self.rank(&name);
+            if current_rank > rank {
+                queue.insert((current_rank, name));
                 continue;
             }
             if self.place_next(now, &name) {
-                line.insert((newest, name));
+                queue.insert((current_rank, name));
             }
         }
     }
@@ -60,19 +64,20 @@
         (Reverse(job.priority), self.quota_used(job), job.config_number, size)
     }
 
-    /// The size of a task: the largest part it takes of a whole worker, in
-    /// thousandths. A task with accelerators counts as larger than any other,
-    /// since it finds a place on few workers.
+    /// The size of a task: the larger of the parts of the largest worker's CPU
+    /// and memory that it needs, in thousandths. A task that needs
+    /// accelerators counts as larger than those that don't, since it fits on
+    /// few workers.
     fn size(&self, need: &Resources) -> Reverse<u64> {
         let cpu = per_mille(need.cpu_millis, self.largest_worker.cpu_millis);
         let memory = per_mille(need.memory_mb, self.largest_worker.memory_mb);
-        let rare = if need.accelerators > 0 { 1_000 } else { 0 };
-        Reverse(rare + cpu.max(memory))
+        let accelerators = if need.accelerators > 0 { 1_000 } else { 0 };
+        Reverse(accelerators + cpu.max(memory))
     }
 
-    /// Places the next task of a job, or makes room for it. Returns whether
-    /// it was placed; if not, the job's other tasks would fare the same,
-    /// since they need the same.
+    /// Places the next task of a job, or preempts other tasks for it. Returns
+    /// whether it was placed. If not, no other task of the job can be placed
+    /// either, since all need the same resources.
     fn place_next(&mut self, now: Millis, name: &str) -> bool {
         let job = &self.jobs[name];
         if job.not_before > now || !self.within_quota(job) {
@@ -91,7 +96,7 @@
         false
     }
 
-    /// The first waiting task that can't be running elsewhere.
+    /// The index of the first waiting task that can't be running elsewhere.
     fn first_startable(&self, name: &str) -> Option<u32> {
         let job = &self.jobs[name];
         if job.never_repeat() && !self.term.confirmed {
@@ -101,28 +106,30 @@
             return job.waiting.first().copied();
         }
         // An earlier holder may have started every task that it knew of.
-        let old = self.former_task_counts.get(name).copied().unwrap_or(0);
-        job.waiting.range(old..).next().copied()
+        let former_count =
+            self.former_task_counts.get(name).copied().unwrap_or(0);
+        job.waiting.range(former_count..).next().copied()
     }
 
-    /// How much of its quota the job's team holds, in thousandths.
+    /// The largest part that the job's team uses of its quota of any resource,
+    /// in thousandths.
     fn quota_used(&self, job: &JobState) -> u64 {
         let Some(quota) = self.quotas.get(&job.job.team) else { return 0 };
-        let Some(held) = self.team_usage.get(&job.job.team) else { return 0 };
-        let part = |held: u32, quota: u32| match quota {
+        let Some(used) = self.team_usage.get(&job.job.team) else { return 0 };
+        let part = |used: u32, quota: u32| match quota {
             0 => 0,
-            _ => per_mille(held, quota),
+            _ => per_mille(used, quota),
         };
-        part(held.cpu_millis, quota.cpu_millis)
-            .max(part(held.memory_mb, quota.memory_mb))
-            .max(part(held.accelerators, quota.accelerators))
+        part(used.cpu_millis, quota.cpu_millis)
+            .max(part(used.memory_mb, quota.memory_mb))
+            .max(part(used.accelerators, quota.accelerators))
     }
 
     fn within_quota(&self, job: &JobState) -> bool {
         let team = &job.job.team;
-        let held = self.team_usage.get(team).copied().unwrap_or_default();
+        let used = self.team_usage.get(team).copied().unwrap_or_default();
         let quota = self.quotas.get(team).copied().unwrap_or_default();
-        quota.fits(&held.plus(&job.job.need))
+        quota.fits(&used.plus(&job.job.need))
     }
 
     fn choose_worker(&self, id: &TaskId, job: &JobState) -> Option<TargetId> {
@@ -146,8 +153,8 @@
         state: &Worker,
     ) -> Option<Score> {
         let need = &job.job.need;
-        let aside = state.reservations.get(id).copied().unwrap_or_default();
-        let free = state.free.plus(&aside);
+        let reserved = state.reservations.get(id).copied().unwrap_or_default();
+        let free = state.free.plus(&reserved);
         if !free.fits(need) || !state.accepts_work() {
             return None;
         }
@@ -169,9 +176,10 @@
 
     fn place_task(&mut self, now: Millis, id: &TaskId, worker: &TargetId) {
         let Some(job) = self.jobs.get(id.job()) else { return };
-        let once = job.never_repeat();
+        let never_repeat = job.never_repeat();
         let (spec, need) = (job.spec, job.job.need);
-        let phase = if once { Phase::Unrecorded } else { Phase::Starting };
+        let phase =
+            if never_repeat { Phase::Unrecorded } else { Phase::Starting };
         let placed = PlacedTask {
             spec,
             need,
@@ -188,22 +196,22 @@
         self.release_reservation(id);
         self.update_free(worker);
         self.record_placement(worker, id, &need);
-        if once {
+        if never_repeat {
             self.progress.set_started(id, spec);
             self.progress_version += 1;
             self.unsaved_starts.push((self.progress_version, id.clone()));
         }
     }
 
-    /// Gives back what was set aside for the task.
+    /// Releases the resources reserved for the task.
     fn release_reservation(&mut self, id: &TaskId) {
         if self.reservations_made == 0 {
             return;
         }
-        let holds = |(_, state): &(&TargetId, &Worker)| {
+        let has_reservation = |(_, state): &(&TargetId, &Worker)| {
             state.reservations.contains_key(id)
         };
-        let found = self.workers.iter().find(holds);
+        let found = self.workers.iter().find(has_reservation);
         let Some(worker) = found.map(|(worker, _)| worker.clone()) else {
             return;
         };
@@ -213,8 +221,8 @@
         self.update_free(&worker);
     }
 
-    /// Stops less urgent tasks on one worker, those with the least lost
-    /// work, and sets the room aside for the task.
+    /// Preempts batch tasks on the worker where this loses the least work, and
+    /// reserves the resources of the task there.
     fn preempt_for(
         &mut self,
         now: Millis,
@@ -222,8 +230,9 @@
         need: &Resources,
         priority: Priority,
     ) {
-        let waits = |state: &Worker| state.reservations.contains_key(id);
-        if self.workers.values().any(waits) {
+        let has_reservation =
+            |state: &Worker| state.reservations.contains_key(id);
+        if self.workers.values().any(has_reservation) {
             return;
         }
         let victims = |(worker, state): (&TargetId, &Worker)| {
@@ -286,17 +295,17 @@
         task: &PlacedTask,
         priority: Priority,
     ) -> bool {
-        let stopped = self.preemptions.get(id).copied().unwrap_or(0);
+        let preempted = self.preemptions.get(id).copied().unwrap_or(0);
         let job = self.jobs.get(id.job());
-        let once = job.is_some_and(JobState::never_repeat);
+        let never_repeat = job.is_some_and(JobState::never_repeat);
         task.priority == Priority::Batch
             && task.priority < priority
             && task.phase == Phase::Running
-            && stopped < self.config.max_preemptions
-            && !once
+            && preempted < self.config.max_preemptions
+            && !never_repeat
     }
 
-    /// The work that is lost when the task is stopped, in milliseconds.
+    /// The work that is lost when the task is stopped.
     fn lost_work(
         &self,
         now: Millis,
@@ -313,7 +322,7 @@
         }
     }
 
-    /// Stops what the file in force does not ask for. The tasks of a
+    /// Stops tasks that the configuration does not ask for. The tasks of a
     /// changed service are replaced a few at a time.
     pub(super) fn stop_unwanted(&mut self) {
         let mut unwanted = false;
@@ -324,8 +333,8 @@
                 if self.is_wanted(id, task.spec) {
                     continue;
                 }
-                // What is left for later, or may come back, is looked at
-                // again.
+                // Tasks that are not stopped yet, or whose stop is not
+                // confirmed yet, have to be examined again.
                 unwanted = true;
                 if let Some(limit) = self.rolling_update_limit(id) {
                     let count = rolling.entry(id.job()).or_default();
@@ -349,14 +358,14 @@
     /// the task belongs to one.
     fn rolling_update_limit(&self, id: &TaskId) -> Option<u32> {
         let job = self.jobs.get(id.job())?;
-        let kept = job.job.enabled && id.index() < job.job.tasks;
-        (job.service && kept)
+        let wanted = job.job.enabled && id.index() < job.job.tasks;
+        (job.service && wanted)
             .then(|| (job.job.tasks / ROLLING_UPDATE_DIVISOR).max(1))
     }
 }
 
-/// The tasks of the same service in the worker's rack and on the worker.
-/// Batch work is not spread.
+/// The numbers of tasks of the same service in the worker's rack and on the
+/// worker; zero for batch tasks, which are not spread.
 fn count_same_service(
     id: &TaskId,
     job: &JobState,
@@ -368,6 +377,7 @@
     let rack = job.by_rack.get(&state.info.rack).copied().unwrap_or(0);
     let first = TaskId::new(id.job(), 0);
     let same = state.tasks.range(first..);
-    let here = same.take_while(|(task, _)| task.job() == id.job()).count();
-    (rack, here as u32)
+    let on_worker =
+        same.take_while(|(task, _)| task.job() == id.job()).count();
+    (rack, on_worker as u32)
 }
--- a/puffinknot-core/src/tasks/placer/sync.rs
+++ b/puffinknot-core/src/tasks/placer/sync.rs
@@ -1,4 +1,5 @@
-//! The exchange with the workers: what is sent, and what their answers mean.
+//! The syncs with the workers: the requests to send and the handling of
+//! replies.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +14,7 @@
 };
 
 impl Placer {
-    /// A worker answered. `read_at` is when the answer arrived.
+    /// Handles the reply of a worker, which arrived at `read_at`.
     pub fn sync_replied(
         &mut self,
         read_at: Millis,
@@ -22,25 +23,27 @@
     ) {
         let lease = self.config.lease;
         let Some(state) = self.workers.get_mut(id) else { return };
-        if state.pending_sync.as_ref().map(|o| o.seq) != Some(reply.seq) {
+        if state.pending_sync.as_ref().map(|sync| sync.seq) != Some(reply.seq)
+        {
             return;
         }
         state.pending_sync = None;
         if state.contact == Contact::NeverHeard {
-            // Its first answer does not show the end of the lease that a
-            // former holder gave it. None can be given after that answer,
-            // so none ends later than one given with it.
+            // The first reply does not tell when the lease from a former
+            // holder ends. No former holder can renew the lease after this
+            // reply, so it ends no later than a lease that is renewed at the
+            // same time.
             state.former_lease_until = reply.clock + lease;
         }
         state.contact = Contact::Reachable;
         state.last_clock = reply.clock;
         state.clock_read_at = read_at;
         state.info = reply.info;
-        let has = &state.info.capacity;
+        let capacity = &state.info.capacity;
         self.largest_worker.cpu_millis =
-            self.largest_worker.cpu_millis.max(has.cpu_millis);
+            self.largest_worker.cpu_millis.max(capacity.cpu_millis);
         self.largest_worker.memory_mb =
-            self.largest_worker.memory_mb.max(has.memory_mb);
+            self.largest_worker.memory_mb.max(capacity.memory_mb);
         state.list_version = reply.counter;
         self.term.seen(id);
         self.needs_scheduling = true;
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Compares the worker's list with what was thought to be there.
+    /// Updates the assigned tasks from the task list of a worker.
     pub(super) fn reconcile(
         &mut self,
         now: Millis,
@@ -99,7 +102,7 @@
         }
     }
 
-    /// A task was reported as running.
+    /// Handles the report of a running task.
     pub(super) fn handle_running(
         &mut self,
         now: Millis,
@@ -135,7 +138,7 @@
         }
     }
 
-    /// A task was reported as ended by itself.
+    /// Handles the report of a task that ended by itself.
     pub(super) fn handle_ended(
         &mut self,
         now: Millis,
@@ -146,8 +149,8 @@
         let task = &report.id;
         let job = self.jobs.get(task.job());
         let batch = job.is_some_and(|job| !job.service);
-        let once = job.is_some_and(JobState::never_repeat);
-        if batch && (done || once) {
+        let never_repeat = job.is_some_and(JobState::never_repeat);
+        if batch && (done || never_repeat) {
             self.record_done(id, report);
         } else {
             if self.acknowledge_ended(id, task) {
@@ -157,8 +160,9 @@
         self.remove_placement(id, task);
     }
 
-    /// Delays the next start of a job whose task ended when it should not
-    /// have, longer each time.
+    /// Delays the next start of a job's tasks after one has failed, or has
+    /// ended although it belongs to a service. The delay doubles each time, up
+    /// to a limit.
     pub(super) fn delay_next_start(&mut self, now: Millis, task: &TaskId) {
         let Some(job) = self.jobs.get_mut(task.job()) else { return };
         let delay = INITIAL_BACKOFF << job.failures.min(MAX_BACKOFF_DOUBLINGS);
@@ -166,8 +170,8 @@
         job.not_before = now + delay;
     }
 
-    /// Tells the worker that it need not report the ended task any more.
-    /// Returns whether that is new.
+    /// Acknowledges the end of a task to the worker, which then stops
+    /// reporting it. Returns whether it was not yet acknowledged.
     pub(super) fn acknowledge_ended(
         &mut self,
         id: &TargetId,
@@ -179,10 +183,10 @@
         new
     }
 
-    /// A sync was not answered.
+    /// Handles a sync that got no reply.
     pub fn sync_failed(&mut self, id: &TargetId, seq: u64) {
         let Some(state) = self.workers.get_mut(id) else { return };
-        if state.pending_sync.as_ref().map(|o| o.seq) != Some(seq) {
+        if state.pending_sync.as_ref().map(|sync| sync.seq) != Some(seq) {
             return;
         }
         state.pending_sync = None;
@@ -196,15 +200,17 @@
         &mut self,
         now: Millis,
     ) -> Vec<(TargetId, SyncRequest)> {
-        let every = self.config.lease / PlacerConfig::SYNCS_PER_LEASE;
-        let retry = self.config.lease / PlacerConfig::TIMEOUTS_PER_LEASE;
+        let renewal_interval =
+            self.config.lease / PlacerConfig::SYNCS_PER_LEASE;
+        let retry_interval =
+            self.config.lease / PlacerConfig::TIMEOUTS_PER_LEASE;
         let mut due = Vec::new();
         for (id, state) in &self.workers {
             let wait = match state.contact {
                 Contact::Reachable if state.sync_now => 0,
-                Contact::Reachable => every,
+                Contact::Reachable => renewal_interval,
                 _ if state.last_sync_at == 0 => 0,
-                _ => retry,
+                _ => retry_interval,
             };
             if state.pending_sync.is_none() && state.last_sync_at + wait <= now
             {
@@ -231,8 +237,9 @@
         state.last_sync_at = now.max(1);
         let seq = state.last_seq;
         state.pending_sync = Some(PendingSync { seq, sent_at: now });
-        // A silent worker gets nothing new, and above all no longer lease,
-        // so that it can be known when the one it has must have lapsed.
+        // A worker that does not reply gets no new orders and above all no
+        // lease renewal, so that the time is known at which its lease must
+        // have expired.
         let active = state.contact == Contact::Reachable && may_start;
         let (mut starts, mut stops) = (Vec::new(), Vec::new());
         if active {
--- a/puffinknot-core/src/tasks/placer/view.rs
+++ b/puffinknot-core/src/tasks/placer/view.rs
@@ -1,4 +1,4 @@
-//! How jobs and workers are doing, for operators.
+//! The states of jobs and workers, as shown to operators.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use super::{JobState, Placer, Worker};
 
-/// How a job is doing.
+/// The state of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobView {
     /// Its name.
@@ -18,54 +18,54 @@
     pub service: bool,
     /// The number of its tasks.
     pub tasks: u32,
-    /// How many run.
+    /// The number of its tasks that are assigned to a worker.
     pub running: u32,
-    /// How many wait.
+    /// The number of its tasks that wait.
     pub waiting: u32,
-    /// How many are done.
+    /// The number of its tasks that are done.
     pub done: u32,
-    /// How many may have run and are not repeated.
+    /// The number of its tasks that may have run and are not repeated.
     pub unknown: u32,
 }
 
-/// How a worker is doing.
+/// The state of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerView {
     /// Its name.
     pub id: TargetId,
     /// Its rack.
     pub rack: String,
-    /// Whether it answers under this tenure.
+    /// Whether it replies to syncs in this term and accepts work.
     pub ready: bool,
-    /// What it has, less the room for the old scripts.
+    /// Its resources, less those reserved for legacy scripts.
     pub capacity: Resources,
-    /// What is free.
+    /// The part of `capacity` that is neither allocated nor reserved.
     pub free: Resources,
-    /// The tasks on it.
+    /// The tasks that are assigned to it.
     pub tasks: Vec<TaskId>,
 }
 
 impl Placer {
-    /// The number of tasks that have a place.
+    /// The number of tasks that are assigned to a worker.
     pub fn placed_count(&self) -> usize {
         self.worker_of_task.len()
     }
 
     /// The number of tasks that wait.
     pub fn waiting_count(&self) -> usize {
-        let waiting = |name| self.jobs.get(name).map_or(0, waiting_tasks);
+        let waiting = |name| self.jobs.get(name).map_or(0, count_waiting);
         self.waiting_jobs.iter().map(waiting).sum()
     }
 
-    /// How each job is doing.
+    /// The state of each job.
     pub fn jobs(&self) -> Vec<JobView> {
         let mut placed: BTreeMap<&str, u32> = BTreeMap::new();
         for id in self.worker_of_task.keys() {
             *placed.entry(id.job()).or_default() += 1;
         }
         let view = |(name, state): (&String, &JobState)| {
-            let kept = self.progress.jobs.get(name);
-            let done = kept.filter(|kept| kept.spec == state.spec);
+            let progress = self.progress.jobs.get(name);
+            let current = progress.filter(|job| job.spec == state.spec);
             JobView {
                 name: name.clone(),
                 team: state.job.team.clone(),
@@ -73,14 +73,14 @@
                 tasks: state.job.tasks,
                 running: placed.get(name.as_str()).copied().unwrap_or(0),
                 waiting: state.waiting.len() as u32,
-                done: done.map_or(0, |done| done.done.len()),
+                done: current.map_or(0, |job| job.done.len()),
                 unknown: state.unknown.len() as u32,
             }
         };
         self.jobs.iter().map(view).collect()
     }
 
-    /// How each worker is doing.
+    /// The state of each worker.
     pub fn workers(&self) -> Vec<WorkerView> {
         let view = |(id, state): (&TargetId, &Worker)| WorkerView {
             id: id.clone(),
@@ -94,6 +94,6 @@
     }
 }
 
-fn waiting_tasks(job: &JobState) -> usize {
+fn count_waiting(job: &JobState) -> usize {
     job.waiting.len()
 }
--- a/puffinknot-core/src/tasks/progress.rs
+++ b/puffinknot-core/src/tasks/progress.rs
@@ -1,9 +1,9 @@
 /*!
-What must outlast every VM: which tasks of batch work are done, and which
-tasks that must not be repeated may have been started.
+The durable progress of batch jobs: which tasks are done, and which tasks that
+must not be repeated may have been started.
 
-All jobs of a data centre are one value in the platform's key-value service,
-and many changes go into one write.
+The progress of all jobs of a data centre is one value in the platform's
+key-value service, so that one write stores many changes.
 */
 
 use std::collections::BTreeMap;
@@ -12,13 +12,13 @@
 
 use crate::ids::TaskId;
 
-/// A set of indexes, kept as ranges.
+/// A set of indexes, stored as ranges.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct IndexSet {
-    /// Ranges, first and last index included, in order and not touching.
+    /// Sorted inclusive ranges, of which no two overlap or adjoin.
     ranges: Vec<(u32, u32)>,
 }
 
@@ -69,13 +69,13 @@
     }
 }
 
-/// What is known of one job.
+/// The progress of one job.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize,
 )]
 pub struct JobProgress {
-    /// The hash of what the file says of the job. A changed job begins
-    /// anew.
+    /// The hash of the job's specification. When it changes, the job starts
+    /// over.
     pub spec: u64,
     /// Tasks that are done.
     pub done: IndexSet,
@@ -84,12 +84,12 @@
     pub started: IndexSet,
 }
 
-/// What is known of the jobs of one data centre.
+/// The progress of the jobs of one data centre.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize,
 )]
 pub struct Progress {
-    /// By job.
+    /// The progress of each job, by name.
     pub jobs: BTreeMap<String, JobProgress>,
 }
 
@@ -117,19 +117,20 @@
         job
     }
 
-    /// Records that the task is done. Returns whether that is new.
+    /// Records that the task is done. Returns whether it was not yet recorded.
     pub fn set_done(&mut self, task: &TaskId, spec: u64) -> bool {
         self.job_mut(task, spec).done.insert(task.index())
     }
 
-    /// Records that the task may have been started. Returns whether that is
-    /// new.
+    /// Records that the task may have been started. Returns whether it was not
+    /// yet recorded.
     pub fn set_started(&mut self, task: &TaskId, spec: u64) -> bool {
         self.job_mut(task, spec).started.insert(task.index())
     }
 
-    /// Adds what somebody else has recorded. Where the two speak of
-    /// different versions of a job, `current` says which one counts.
+    /// Adds the progress that another holder has recorded. If the two have
+    /// different specifications of a job, `self` prevails if it has the one
+    /// that `current` returns, and otherwise `other` does.
     pub fn merge(
         &mut self,
         other: &Progress,
