--- a/puffinknot-core/src/config.rs
+++ b/puffinknot-core/src/config.rs
@@ -1,9 +1,9 @@
 /*!
-The operators' file: what it may say, and the check of the whole.
+The operators' file: its format, and the validation of it.
 
-A file is read and checked as one thing. Every error is reported, each with
-the key it is about and the remedy, and a file with any error changes
-nothing.
+A file is parsed and checked as a whole. All errors are reported, each with
+the key that it concerns and a remedy, and a file with any error is not
+applied.
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,7 +13,7 @@
 
 use crate::ids::{CallerId, DcName, Millis, TargetId};
 
-/// An amount of what a worker has.
+/// Amounts of the resources of a worker.
 #[derive(
     Clone,
     Copy,
@@ -29,26 +29,26 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct Resources {
-    /// Processor time, in thousandths of a core.
+    /// CPU time, in thousandths of a core.
     #[serde(default)]
     pub cpu_millis: u32,
     /// Memory, in megabytes.
     #[serde(default)]
     pub memory_mb: u32,
-    /// Accelerators.
+    /// The number of accelerators.
     #[serde(default)]
     pub accelerators: u32,
 }
 
 impl Resources {
-    /// Whether `need` fits into this.
+    /// Whether `need` fits into these resources.
     pub fn fits(&self, need: &Resources) -> bool {
         need.cpu_millis <= self.cpu_millis
             && need.memory_mb <= self.memory_mb
             && need.accelerators <= self.accelerators
     }
 
-    /// The sum.
+    /// The sum of each resource.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.saturating_add(other.cpu_millis),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// What is left without `other`; never below zero.
+    /// The difference of each resource, at least zero.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The lesser of each.
+    /// The minimum of each resource.
     pub fn component_min(&self, other: &Resources) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.min(other.cpu_millis),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// This amount `n` times.
+    /// Each resource, multiplied by `n`.
     pub fn times(&self, n: u32) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.saturating_mul(n),
@@ -85,7 +85,7 @@
     }
 }
 
-/// Whether a call or task may be run again when it is not known to have run.
+/// Whether a call or task may run again when it is unknown whether it ran.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize,
 )]
@@ -98,14 +98,14 @@
     Never,
 }
 
-/// How calls of a class wait.
+/// Whether calls of a class may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClassKind {
-    /// A free slot now, or a refusal at once.
+    /// A call gets a free slot at once or is refused.
     Immediate,
-    /// Calls may wait in a bounded queue, earliest deadline first and
-    /// fairly between callers.
+    /// Calls may wait in a bounded queue, which is ordered by deadline and
+    /// shared fairly between callers.
     Waiting,
 }
 
@@ -115,13 +115,13 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// How its calls wait.
+    /// Whether its calls may wait.
     pub kind: ClassKind,
-    /// Whether its calls may be run again.
+    /// Whether its calls may run again.
     #[serde(default)]
     pub repeat: Repeat,
-    /// The longest deadline of a call, and the one it has if it names none,
-    /// in milliseconds.
+    /// The longest deadline that a call may set, and the default, in
+    /// milliseconds.
     pub deadline_ms: Millis,
     /// Whether a call may run in another data centre.
     #[serde(default)]
@@ -134,17 +134,17 @@
 pub struct Caller {
     /// Its name.
     pub name: CallerId,
-    /// The data centre that is home to its keys.
+    /// The home data centre of its idempotency keys.
     pub data_centre: DcName,
-    /// The SHA-256 of its token, in hexadecimal.
+    /// The SHA-256 hash of its token, in hexadecimal.
     pub token_sha256: String,
-    /// The classes it may use.
+    /// The names of the classes that it may use.
     pub classes: Vec<String>,
-    /// The largest part of the slots its immediate calls may hold at once,
-    /// in percent.
+    /// The largest part of the slots that its immediate calls may occupy at
+    /// once, in percent.
     #[serde(default = "default_share")]
     pub share_percent: u32,
-    /// The number of its calls that may wait in each queue.
+    /// The maximum number of its calls that wait in each queue.
     #[serde(default = "default_queue")]
     pub queue: usize,
 }
@@ -157,17 +157,17 @@
     200
 }
 
-/// A team and what its tasks may use.
+/// A team, and the resources that its tasks may use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
     /// Its name.
     pub name: String,
-    /// The most that its tasks may hold in one data centre.
+    /// The most resources that its tasks may use in one data centre.
     pub quota: Resources,
 }
 
-/// What comes first when there is not room for all.
+/// The priority of a job when capacity does not suffice for all.
 #[derive(
     Clone,
     Copy,
@@ -183,16 +183,16 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Runs when there is room, and is stopped to make room.
+    /// Runs when capacity is free, and may be preempted.
     #[default]
     Batch,
-    /// Runs before batch work.
+    /// Placed before batch jobs.
     Service,
-    /// Runs before all else.
+    /// Placed before all other jobs.
     Urgent,
 }
 
-/// A job: a service that is kept running or batch work that ends.
+/// A job: either a service, which is kept running, or a batch job, which ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Job {
@@ -200,25 +200,27 @@
     pub name: String,
     /// The team whose quota it counts against.
     pub team: String,
-    /// Where it runs.
+    /// The data centre in which it runs.
     pub data_centre: DcName,
     /// The number of its tasks.
     pub tasks: u32,
-    /// What each task needs.
+    /// The resources that each task needs.
     pub need: Resources,
-    /// What comes first. Services have `service` if they name none.
+    /// The priority. The default is `service` for services and `batch` for
+    /// batch jobs.
     pub priority: Option<Priority>,
-    /// Whether a task may be run again.
+    /// Whether a task may run again.
     #[serde(default)]
     pub repeat: Repeat,
     /// Whether a task can be checkpointed before it is stopped.
     #[serde(default)]
     pub checkpoint: bool,
-    /// How long a batch task runs, in milliseconds, as far as is known.
+    /// The expected run time of a batch task, in milliseconds; zero if
+    /// unknown.
     #[serde(default)]
     pub run_ms: Millis,
-    /// `false` only watches the job: the old scripts run it, and its tasks
-    /// are shown by `plan` and `status` but never started.
+    /// Whether the scheduler runs the job. If `false`, legacy scripts run it:
+    /// `plan` and `status` show its tasks, but they are never started.
     #[serde(default = "yes")]
     pub enabled: bool,
 }
@@ -227,47 +229,48 @@
     true
 }
 
-/// What is left to the old scripts.
+/// The resources of workers that are reserved for legacy scripts, which run
+/// work there outside the scheduler's control.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize,
 )]
 #[serde(deny_unknown_fields)]
 pub struct Room {
-    /// On each worker that has no entry of its own.
+    /// Reserved on each worker that has no entry in `worker`.
     #[serde(default)]
     pub default: Resources,
-    /// On single workers.
+    /// Reserved on single workers.
     #[serde(default)]
     pub worker: BTreeMap<TargetId, Resources>,
 }
 
 impl Room {
-    /// What is left to the old scripts on this worker.
+    /// The resources reserved on this worker.
     pub fn reserved_on(&self, worker: &TargetId) -> Resources {
         self.worker.get(worker).copied().unwrap_or(self.default)
     }
 }
 
-/// How the system decides.
+/// Settings of how the system schedules calls and tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// The most slots kept free for immediate calls, in percent. How many
-    /// are kept follows from how many such calls come.
+    /// The largest part of the slots that is reserved for immediate calls, in
+    /// percent. The number reserved depends on the rate of such calls.
     pub reserve_percent: u32,
-    /// The slots kept free in each call contract even if no immediate call
-    /// has come lately.
+    /// The number of slots reserved in each call contract even if there were
+    /// no immediate calls lately.
     pub reserve_least: u32,
-    /// Retries may make up this part of first tries, in percent.
+    /// The maximum number of retries, in percent of first attempts.
     pub retry_percent: u32,
-    /// The number of calls that may wait in each queue, over all callers.
+    /// The maximum number of calls of all callers that wait in each queue.
     pub queue: usize,
-    /// The largest body of a call and of its answer, in bytes.
+    /// The largest body of a call and of its reply, in bytes.
     pub body_bytes: usize,
-    /// How long a worker runs its tasks without word from the holder, in
-    /// milliseconds.
+    /// How long a worker runs its tasks without a lease renewal from the
+    /// holder, in milliseconds.
     pub task_lease_ms: Millis,
-    /// How often one batch task may be stopped to make room.
+    /// How often one batch task may be preempted.
     pub max_preemptions: u32,
 }
 
@@ -285,7 +288,7 @@
     }
 }
 
-/// A file that passed the check.
+/// The contents of a file that passed the validation.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize,
 )]
@@ -308,13 +311,13 @@
     /// The services.
     #[serde(default, rename = "service")]
     pub services: Vec<Job>,
-    /// The batch work.
+    /// The batch jobs.
     #[serde(default, rename = "batch")]
     pub batch: Vec<Job>,
-    /// How the system decides.
+    /// Settings of how the system schedules calls and tasks.
     #[serde(default)]
     pub policy: Policy,
-    /// What is left to the old scripts.
+    /// The resources of workers that are reserved for legacy scripts.
     #[serde(default)]
     pub room: Room,
 }
@@ -323,11 +326,11 @@
     /// The largest file, in bytes. The platform holds values of up to 1 MB.
     pub const MAX_BYTES: usize = 1_000_000;
 
-    /// Reads a file and checks the whole of it.
+    /// Parses and validates a file.
     ///
     /// # Errors
     ///
-    /// Every error that was found, each with its key and remedy.
+    /// Returns all errors that were found, each with its key and a remedy.
     pub fn parse(text: &str) -> Result<Config, ConfigErrors> {
         if text.len() > Config::MAX_BYTES {
             return Err(ConfigErrors::one(
@@ -364,7 +367,7 @@
         self.callers.iter().find(|caller| caller.name == *name)
     }
 
-    /// Every job with whether it is a service.
+    /// All jobs, each with whether it is a service.
     pub fn jobs(&self) -> impl Iterator<Item = (&Job, bool)> {
         let services = self.services.iter().map(|job| (job, true));
         services.chain(self.batch.iter().map(|job| (job, false)))
@@ -372,7 +375,7 @@
 }
 
 impl Job {
-    /// What comes first, with the default for services and batch work.
+    /// The priority, or the default for services or batch jobs.
     pub fn priority(&self, service: bool) -> Priority {
         self.priority.unwrap_or(if service {
             Priority::Service
@@ -382,14 +385,14 @@
     }
 }
 
-/// One thing that is wrong with a file.
+/// One error in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ConfigError {
     /// The key, as in `class.vent-check.kind`.
     pub key: String,
     /// What is wrong.
     pub problem: String,
-    /// What to do.
+    /// How to correct it.
     pub remedy: String,
 }
 
@@ -399,7 +402,7 @@
     }
 }
 
-/// Everything that is wrong with a file.
+/// All errors in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ConfigErrors {
     errors: Vec<ConfigError>,
@@ -411,7 +414,7 @@
         ConfigErrors { errors: vec![ConfigError { key, problem, remedy }] }
     }
 
-    /// The single errors, in the order of the file's parts.
+    /// The errors, in the order of the checks.
     pub fn iter(&self) -> impl Iterator<Item = &ConfigError> {
         self.errors.iter()
     }
@@ -431,7 +434,7 @@
 
 impl std::error::Error for ConfigErrors {}
 
-/// The check of one file.
+/// The validation of one file.
 struct Checker<'a> {
     config: &'a Config,
     errors: Vec<ConfigError>,
@@ -443,80 +446,87 @@
     }
 
     fn run(mut self) -> Vec<ConfigError> {
-        self.top();
-        self.names();
-        self.classes();
-        self.callers();
-        self.jobs();
-        self.policy();
+        self.check_cell();
+        self.check_names();
+        self.check_classes();
+        self.check_callers();
+        self.check_jobs();
+        self.check_policy();
         self.errors
     }
 
-    fn error(&mut self, key: String, problem: &str, remedy: &str) {
+    fn add_error(&mut self, key: String, problem: &str, remedy: &str) {
         let problem = problem.to_string();
         let remedy = remedy.to_string();
         self.errors.push(ConfigError { key, problem, remedy });
     }
 
-    fn top(&mut self) {
+    fn check_cell(&mut self) {
         if self.config.cell.is_empty() {
-            self.error("cell".into(), "is empty", "name the cell");
+            self.add_error("cell".into(), "is empty", "name the cell");
         }
         if self.config.data_centres.is_empty() {
-            self.error(
+            self.add_error(
                 "data_centres".into(),
-                "names no data centre",
+                "lists no data centre",
                 "list at least one, as in data_centres = [\"goya\"]",
             );
         }
     }
 
-    fn names(&mut self) {
+    fn check_names(&mut self) {
         let config = self.config;
         let dcs = config.data_centres.iter().map(|dc| dc.as_str());
-        self.unique("data_centres", dcs);
+        self.check_unique("data_centres", dcs);
         let classes = config.classes.iter().map(|c| c.name.as_str());
-        self.unique("class", classes);
+        self.check_unique("class", classes);
         let callers = config.callers.iter().map(|c| c.name.as_str());
-        self.unique("caller", callers);
-        self.unique("team", config.teams.iter().map(|t| t.name.as_str()));
+        self.check_unique("caller", callers);
+        self.check_unique(
+            "team",
+            config.teams.iter().map(|t| t.name.as_str()),
+        );
         let jobs = config.jobs().map(|(job, _)| job.name.as_str());
-        self.unique("service or batch", jobs);
+        self.check_unique("service or batch", jobs);
     }
 
-    fn unique<'b>(&mut self, key: &str, names: impl Iterator<Item = &'b str>) {
+    fn check_unique<'b>(
+        &mut self,
+        key: &str,
+        names: impl Iterator<Item = &'b str>,
+    ) {
         let mut seen = BTreeSet::new();
         for name in names {
-            if !is_name(name) {
-                self.error(
+            if !is_valid_name(name) {
+                self.add_error(
                     format!("{key}.{name}"),
-                    "is not a name",
+                    "is not a valid name",
                     "use 1 to 63 letters, digits, dots, dashes or \
                      underscores",
                 );
             }
             if !seen.insert(name) {
-                self.error(
+                self.add_error(
                     format!("{key}.{name}"),
-                    "is there twice",
+                    "is defined twice",
                     "rename or remove one",
                 );
             }
         }
     }
 
-    fn classes(&mut self) {
+    fn check_classes(&mut self) {
         for class in &self.config.classes {
             let key = format!("class.{}", class.name);
             if !(1..=86_400_000).contains(&class.deadline_ms) {
-                self.error(
+                self.add_error(
                     format!("{key}.deadline_ms"),
                     "is out of range",
                     "choose 1 to 86400000 (a day)",
                 );
             }
             if class.repeat == Repeat::Never && class.other_data_centres {
-                self.error(
+                self.add_error(
                     format!("{key}.other_data_centres"),
                     "clashes with repeat = \"never\"",
                     "a key has one home data centre: leave it out",
@@ -525,14 +535,14 @@
         }
     }
 
-    fn callers(&mut self) {
+    fn check_callers(&mut self) {
         for caller in &self.config.callers {
             let key = format!("caller.{}", caller.name);
-            self.dc(&key, &caller.data_centre);
+            self.check_dc(&key, &caller.data_centre);
             let token = &caller.token_sha256;
             let hex = token.bytes().all(|b| b.is_ascii_hexdigit());
             if token.len() != 64 || !hex {
-                self.error(
+                self.add_error(
                     format!("{key}.token_sha256"),
                     "is not a SHA-256 in hexadecimal",
                     "write the output of `printf %s TOKEN | sha256sum`",
@@ -540,7 +550,7 @@
             }
             for class in &caller.classes {
                 if self.config.class(class).is_none() {
-                    self.error(
+                    self.add_error(
                         format!("{key}.classes"),
                         &format!("names {class:?}, which is no class"),
                         "add the [[class]] or remove the name",
@@ -548,7 +558,7 @@
                 }
             }
             if !(1..=100).contains(&caller.share_percent) {
-                self.error(
+                self.add_error(
                     format!("{key}.share_percent"),
                     "is out of range",
                     "choose 1 to 100",
@@ -557,9 +567,9 @@
         }
     }
 
-    fn dc(&mut self, key: &str, dc: &DcName) {
+    fn check_dc(&mut self, key: &str, dc: &DcName) {
         if !self.config.data_centres.contains(dc) {
-            self.error(
+            self.add_error(
                 format!("{key}.data_centre"),
                 &format!("names {:?}, which is not listed", dc.as_str()),
                 "add it to data_centres or correct the name",
@@ -567,28 +577,28 @@
         }
     }
 
-    fn jobs(&mut self) {
+    fn check_jobs(&mut self) {
         for (job, service) in self.config.jobs() {
             let kind = if service { "service" } else { "batch" };
             let key = format!("{kind}.{}", job.name);
-            self.dc(&key, &job.data_centre);
-            self.quota(&key, job);
+            self.check_dc(&key, &job.data_centre);
+            self.check_quota(&key, job);
             if !(1..=100_000).contains(&job.tasks) {
-                self.error(
+                self.add_error(
                     format!("{key}.tasks"),
                     "is out of range",
                     "choose 1 to 100000",
                 );
             }
             if job.need == Resources::default() {
-                self.error(
+                self.add_error(
                     format!("{key}.need"),
-                    "is nothing",
+                    "asks for no resources",
                     "give cpu_millis, memory_mb or accelerators",
                 );
             }
             if service && job.repeat == Repeat::Never {
-                self.error(
+                self.add_error(
                     format!("{key}.repeat"),
                     "is \"never\", but a service is kept running",
                     "make it a [[batch]] or leave repeat out",
@@ -597,15 +607,15 @@
         }
     }
 
-    fn quota(&mut self, key: &str, job: &Job) {
+    fn check_quota(&mut self, key: &str, job: &Job) {
         let teams = &self.config.teams;
         match teams.iter().find(|team| team.name == job.team) {
-            None => self.error(
+            None => self.add_error(
                 format!("{key}.team"),
                 &format!("names {:?}, which is no team", job.team),
                 "add the [[team]] or correct the name",
             ),
-            Some(team) if !team.quota.fits(&job.need) => self.error(
+            Some(team) if !team.quota.fits(&job.need) => self.add_error(
                 format!("{key}.need"),
                 "is more than the whole quota of the team",
                 "lower the need or raise the quota",
@@ -614,18 +624,28 @@
         }
     }
 
-    fn policy(&mut self) {
+    fn check_policy(&mut self) {
         let policy = &self.config.policy;
-        self.range("reserve_percent", policy.reserve_percent.into(), 0, 100);
-        self.range("retry_percent", policy.retry_percent.into(), 0, 100);
-        self.range("queue", policy.queue as u64, 0, 1_000_000);
-        self.range("body_bytes", policy.body_bytes as u64, 1, 1 << 24);
-        self.range("task_lease_ms", policy.task_lease_ms, 1_000, 600_000);
+        self.check_range(
+            "reserve_percent",
+            policy.reserve_percent.into(),
+            0,
+            100,
+        );
+        self.check_range("retry_percent", policy.retry_percent.into(), 0, 100);
+        self.check_range("queue", policy.queue as u64, 0, 1_000_000);
+        self.check_range("body_bytes", policy.body_bytes as u64, 1, 1 << 24);
+        self.check_range(
+            "task_lease_ms",
+            policy.task_lease_ms,
+            1_000,
+            600_000,
+        );
     }
 
-    fn range(&mut self, key: &str, value: u64, low: u64, high: u64) {
+    fn check_range(&mut self, key: &str, value: u64, low: u64, high: u64) {
         if !(low..=high).contains(&value) {
-            self.error(
+            self.add_error(
                 format!("policy.{key}"),
                 "is out of range",
                 &format!("choose {low} to {high}"),
@@ -634,8 +654,8 @@
     }
 }
 
-/// Whether a name can stand in paths, headers and listings as it is.
-fn is_name(s: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
-    (1..=63).contains(&s.len()) && s.bytes().all(plain)
+/// Whether a name can be used in paths, headers and listings without escaping.
+fn is_valid_name(s: &str) -> bool {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
+    (1..=63).contains(&s.len()) && s.bytes().all(is_allowed)
 }
--- a/puffinknot-core/src/ids.rs
+++ b/puffinknot-core/src/ids.rs
@@ -1,16 +1,16 @@
 /*!
-Names of the things that the core speaks of.
+Names, times, revisions and epochs.
 
-Each kind of name is a type of its own, so that a caller can't be passed
-where a target is meant.
+Each kind of name is a type of its own, so that the compiler rejects a caller
+where a target is expected.
 */
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time or a span, in milliseconds. Points are on the monotonic
-/// clock of the VM unless a field says otherwise.
+/// A point in time or a duration, in milliseconds. Points in time are on the
+/// monotonic clock of the VM unless documented otherwise.
 pub type Millis = u64;
 
 /// A revision of the platform's key-value service.
@@ -27,7 +27,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// The name as text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -48,8 +48,8 @@
 }
 
 name! {
-    /// One run of the daemon on an entry VM: the VM's name and a suffix
-    /// that differs for each start, so that a restarted VM is a new member.
+    /// One run of the daemon on an entry VM: the VM's name and a suffix that
+    /// differs for each start, so that a restarted daemon is a new member.
     VmId
 }
 name! {
@@ -57,20 +57,20 @@
     DcName
 }
 name! {
-    /// A target: a worker or an executor.
+    /// The name of a target: a worker or an executor.
     TargetId
 }
 name! {
-    /// A caller, as named in the operators' file.
+    /// The name of a caller in the operators' file.
     CallerId
 }
 name! {
-    /// A task: the name of its job and its index, as in `nightly/7`.
+    /// The name of a task: its job and its index, as in `nightly/7`.
     TaskId
 }
 
 impl TaskId {
-    /// The task with this index in a job.
+    /// The name of the task with this index in a job.
     pub fn new(job: &str, index: u32) -> Self {
         Self(format!("{job}/{index}"))
     }
@@ -80,7 +80,7 @@
         self.0.rsplit_once('/').map_or(&self.0, |(job, _)| job)
     }
 
-    /// The index of the task in its job.
+    /// The index of the task in its job; zero if the name has none.
     pub fn index(&self) -> u32 {
         self.0
             .rsplit_once('/')
@@ -89,12 +89,12 @@
     }
 }
 
-/// The generation of a contract. It only ever grows, and a target refuses
-/// work under an epoch lower than the highest it has seen.
+/// The epoch of a contract. It only grows, and a target refuses work under an
+/// epoch lower than the highest that it has seen.
 ///
 /// Two VMs that claim a contract at the same time without the platform may
-/// choose the same number; the name of the claimant then decides, so that
-/// epochs of different claimants are never equal.
+/// choose the same number. Epochs are then ordered by the name of the
+/// claimant, so that epochs of different claimants are never equal.
 #[derive(
     Clone,
     Debug,
@@ -108,9 +108,9 @@
     Deserialize,
 )]
 pub struct Epoch {
-    /// The number; zero means that nobody has held the contract yet.
+    /// The number; zero if no VM has held the contract yet.
     pub number: u64,
-    /// The claimant.
+    /// The VM that claimed the contract.
     pub holder: VmId,
 }
 
--- a/puffinknot-core/src/lib.rs
+++ b/puffinknot-core/src/lib.rs
@@ -1,30 +1,30 @@
 /*!
-The decision core of puffinknot: everything the scheduler *decides*, and
-nothing that it *does*.
-
-The core has no I/O, clock, randomness or async. A caller hands it events
-with the time at which they happened and carries out the actions it gets
-back. The daemon, the stateful fuzzing and the model checking therefore all
-run the same code.
-
-A tour, from the ground up:
-
-* [`ids`] names VMs, data centres, targets, callers and tasks.
-* [`config`] reads and checks the operators' file.
-* [`contract`] says which VM alone may fill which targets, under an epoch
-  that only grows, and who should take a contract over.
-* [`tenure`] is what a new holder has to finish before it may trust what it
-  knows: presenting its epoch to every target of the contract.
+The decision core of puffinknot, a cluster scheduler.
+
+The core is a set of deterministic state machines without I/O, clocks,
+randomness or async code. A driver passes in events with the times at which
+they happened, and carries out the actions that are returned. The daemon, the
+stateful fuzz tests and the model checker therefore run the same code.
+
+The modules, in the order in which they build on each other:
+
+* [`ids`] defines the names of VMs, data centres, targets, callers and tasks.
+* [`config`] parses and checks the operators' file.
+* [`contract`] determines the one VM that may start work on a set of targets,
+  under an epoch that only grows, and which VM should take a contract over.
+* [`tenure`] tracks the takeover of a contract: a new holder knows what runs
+  only after it has presented its epoch to every target of the contract.
 * [`keys`] remembers calls that must not be repeated.
-* [`calls`] hands executor slots to calls, and queues or refuses the rest.
+* [`calls`] assigns executor slots to calls, and queues or refuses the rest.
 * [`tasks`] places tasks on workers under leases.
 * [`jobs`] runs jobs of several steps for a cell that one node leads.
-* [`store`] names what is kept in the platform's key-value service.
-* [`node`] puts these together into the state of one entry VM.
+* [`outcome`] defines how calls end.
+* [`store`] defines what is stored in the platform's key-value service.
+* [`node`] combines these into the state of one entry VM.
 
 # Example
 
-Reading a file reports every error at once, each with its remedy:
+Parsing a file reports all of its errors at once, each with a remedy:
 
 ```
 use puffinknot_core::config::Config;
--- a/puffinknot-core/src/store.rs
+++ b/puffinknot-core/src/store.rs
@@ -1,8 +1,8 @@
 /*!
-What is kept in the platform's key-value service, and under which keys.
+The keys and values that are stored in the platform's key-value service.
 
-Everything of a cell lies under one prefix, so that one read gives the whole
-and one watch sees every change:
+All keys of a cell have one prefix, so that one read returns the whole state
+and one watch reports every change:
 
 | key | value |
 | --- | --- |
@@ -23,15 +23,15 @@
 pub struct Member {
     /// Its data centre.
     pub dc: DcName,
-    /// Where its links listen, as IP address and port.
+    /// The IP address and port at which it accepts links from other VMs.
     pub addr: String,
-    /// Where it answers operators, as IP address and port.
+    /// The IP address and port at which it serves operators.
     pub admin: String,
-    /// Whether it is about to stop.
+    /// Whether it is draining, and about to stop.
     pub draining: bool,
 }
 
-/// The name of a value.
+/// The key of a stored value.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -40,9 +40,9 @@
     Config,
     /// The contracts of a data centre.
     Contracts(DcName),
-    /// The progress of a data centre's batch work.
+    /// The progress of a data centre's batch jobs.
     Progress(DcName),
-    /// A member.
+    /// A member: an entry VM that runs the daemon.
     Member(DcName, VmId),
 }
 
@@ -52,7 +52,7 @@
         format!("puffinknot/{cell}/")
     }
 
-    /// The key as the platform knows it.
+    /// The key as text, as it is stored by the platform.
     pub fn path(&self, cell: &str) -> String {
         let prefix = Key::prefix(cell);
         match self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reads a key of the cell. `None` is a key that is not ours.
+    /// Parses a key of the cell. Returns `None` for a key of another format.
     pub fn parse(cell: &str, path: &str) -> Option<Key> {
         let rest = path.strip_prefix(&Key::prefix(cell))?;
         let mut parts = rest.split('/');
@@ -80,25 +80,25 @@
     }
 }
 
-/// A value with its form.
+/// A stored value.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Value {
     /// The operators' file, as text.
     Config(String),
     /// The contracts of a data centre.
     Contracts(ContractMap),
-    /// The progress of a data centre's batch work.
+    /// The progress of a data centre's batch jobs.
     Progress(Progress),
     /// A member.
     Member(Member),
 }
 
 impl Value {
-    /// Reads the value of a key.
+    /// Parses the value of a key.
     ///
     /// # Errors
     ///
-    /// What is wrong with the bytes.
+    /// Returns a message that says why the bytes are not valid for this key.
     pub fn parse(key: &Key, bytes: &[u8]) -> Result<Value, String> {
         let json = |err: serde_json::Error| err.to_string();
         Ok(match key {
@@ -118,7 +118,7 @@
         })
     }
 
-    /// The bytes to keep.
+    /// The value in the format in which it is stored.
     pub fn to_bytes(&self) -> Vec<u8> {
         let json = match self {
             Value::Config(text) => return text.clone().into_bytes(),
@@ -126,45 +126,45 @@
             Value::Progress(progress) => serde_json::to_vec(progress),
             Value::Member(member) => serde_json::to_vec(member),
         };
-        // These types hold nothing that JSON can't express.
+        // These types have no values that JSON can't represent.
         json.unwrap_or_default()
     }
 }
 
-/// A value with the revision at which it was last changed.
+/// A stored value with its key and the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StoredEntry {
-    /// Its key.
+    /// The key.
     pub key: Key,
     /// The value.
     pub value: Value,
-    /// The revision of its last change.
+    /// The revision of the last change.
     pub revision: Revision,
 }
 
-/// A compare-and-swap to make.
+/// A compare-and-swap request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Write {
     /// The key.
     pub key: Key,
     /// The new value.
     pub value: Value,
-    /// The revision of the last change that the writer knows of; zero if
-    /// the key has to be absent.
+    /// The revision that the last change of the key must have; zero if the key
+    /// must be absent.
     pub expected_revision: Revision,
-    /// The revision that the operators' file must have, if that matters.
+    /// The revision that the operators' file must have, if any is required.
     pub expected_config_revision: Option<Revision>,
 }
 
-/// How a compare-and-swap ended.
+/// The result of a compare-and-swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WriteResult {
     /// The value was written at this revision.
     Written(Revision),
-    /// Somebody else was faster; nothing was written.
+    /// A revision was not the expected one; nothing was written.
     Conflict,
-    /// The answer was lost, so the value may have been written.
+    /// The reply was lost, so the value may have been written.
     Unknown,
-    /// The service could not be asked; nothing was written.
+    /// The request could not be sent; nothing was written.
     NotSent,
 }
--- a/puffinknot-core/src/tasks/placer/mod.rs
+++ b/puffinknot-core/src/tasks/placer/mod.rs
@@ -241,7 +241,7 @@
     /// this VM has the contract.
     confirmed_at: Millis,
     /// Resources reserved for legacy scripts.
-    external_use: Room,
+    legacy_reservation: Room,
     quotas: BTreeMap<String, Resources>,
     /// The resources allocated to the tasks of each team.
     team_usage: BTreeMap<String, Resources>,
@@ -258,9 +258,9 @@
     /// known to be stored.
     progress_version: u64,
     saved_version: u64,
-    /// Ended tasks to acknowledge once that version of `progress` is stored.
+    /// Ended tasks to acknowledge once the given version of `progress` is stored.
     unsaved_ends: Vec<(u64, TargetId, TaskId)>,
-    /// Tasks to start once that version of `progress` is stored.
+    /// Tasks to start once the given version of `progress` is stored.
     unsaved_starts: Vec<(u64, TaskId)>,
     /// The number of reservations ever made. While it is zero, placements need
     /// not search the workers for one.
@@ -292,7 +292,7 @@
             term,
             former_task_counts: counts.unwrap_or_default(),
             confirmed_at: 0,
-            external_use: Room::default(),
+            legacy_reservation: Room::default(),
             quotas: BTreeMap::new(),
             team_usage: BTreeMap::new(),
             jobs: BTreeMap::new(),
@@ -317,7 +317,7 @@
     pub fn apply_config(&mut self, config: &Config) {
         self.config.lease = config.policy.task_lease_ms;
         self.config.max_preemptions = config.policy.max_preemptions;
-        self.external_use = config.room.clone();
+        self.legacy_reservation = config.room.clone();
         self.quotas =
             config.teams.iter().map(|t| (t.name.clone(), t.quota)).collect();
         let is_local = |(job, _): &(&Job, bool)| job.data_centre == self.dc;
@@ -479,7 +479,7 @@
     }
 
     fn update_free(&mut self, worker: &TargetId) {
-        let reserved = self.external_use.reserved_on(worker);
+        let reserved = self.legacy_reservation.reserved_on(worker);
         if let Some(state) = self.workers.get_mut(worker) {
             state.update_free(&reserved);
         }
