--- a/puffinknot-core/src/node/claims.rs
+++ b/puffinknot-core/src/node/claims.rs
@@ -143,7 +143,7 @@
             WriteResult::Written(_) => {}
             WriteResult::Conflict => self.counters.writes_lost += 1,
             WriteResult::Unknown => self.counters.writes_unknown += 1,
-            WriteResult::NotSent => self.counters.writes_not_made += 1,
+            WriteResult::Failed => self.counters.writes_not_made += 1,
         }
         if matches!(key, Key::Progress(_)) {
             self.progress_written(result);
@@ -154,7 +154,7 @@
             // Only a read can tell what the value is now.
             self.read_again();
         }
-        if result == WriteResult::NotSent {
+        if result == WriteResult::Failed {
             self.claims.rest_until = now.mono + REST;
         }
         self.after_change(now);
--- a/puffinknot-core/src/store.rs
+++ b/puffinknot-core/src/store.rs
@@ -165,6 +165,7 @@
     Conflict,
     /// The reply was lost, so the value may have been written.
     Unknown,
-    /// The request could not be sent; nothing was written.
-    NotSent,
+    /// The request could not be sent, or the service rejected it; nothing was
+    /// written.
+    Failed,
 }
--- a/src/client/apply.rs
+++ b/src/client/apply.rs
@@ -214,7 +214,7 @@
                 None => return lost(&platform, &before, expect, output).await,
             }
         }
-        WriteResult::NotSent => {
+        WriteResult::Failed => {
             return Err(Error::new(
                 ErrorKind::Platform,
                 "the key-value service could not be asked; nothing changed",
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -269,7 +269,7 @@
             }
             Ok(_) => WriteResult::Conflict,
             Err(err) if err.made => WriteResult::Unknown,
-            Err(_) => WriteResult::NotSent,
+            Err(_) => WriteResult::Failed,
         }
     }
 
--- a/tests/cell/mod.rs
+++ b/tests/cell/mod.rs
@@ -523,7 +523,7 @@
         let result = if self.platform_answers(&vm) {
             self.platform.write(write)
         } else {
-            WriteResult::NotSent
+            WriteResult::Failed
         };
         let event = Event::Written { key, result };
         self.net.push(Message::Event(vm, event));
