--- a/puffinknot-core/src/tasks/fit.rs
+++ b/puffinknot-core/src/tasks/fit.rs
@@ -28,7 +28,8 @@
 pub struct Candidate {
     /// The resources of the worker, less those reserved for legacy scripts.
     pub capacity: Resources,
-    /// The unallocated part of `capacity`.
+    /// The part of `capacity` that is free for this task, which includes what
+    /// is reserved for it.
     pub free: Resources,
     /// The number of tasks of the same service in its rack and on itself.
     pub same_service_tasks: (u32, u32),
--- a/puffinknot-core/src/tasks/placer/mod.rs
+++ b/puffinknot-core/src/tasks/placer/mod.rs
@@ -28,8 +28,8 @@
 /// The settings of a [`Placer`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PlacerConfig {
-    /// How long a worker runs its tasks without a sync from the holder, in
-    /// milliseconds.
+    /// How long a worker runs its tasks without a lease renewal from the
+    /// holder, in milliseconds.
     pub lease: Millis,
     /// How often one task may be preempted.
     pub max_preemptions: u32,
@@ -186,7 +186,8 @@
         self.free = self.capacity.minus(&sum);
     }
 
-    /// The last reading of its clock plus the time since then.
+    /// The least that its clock can show now: its last reading plus the time
+    /// since that was received.
     fn min_clock_now(&self, now: Millis) -> Millis {
         self.last_clock + now.saturating_sub(self.clock_read_at)
     }
@@ -258,7 +259,8 @@
     /// known to be stored.
     progress_version: u64,
     saved_version: u64,
-    /// Ended tasks to acknowledge once the given version of `progress` is stored.
+    /// Ended tasks to acknowledge once the given version of `progress` is
+    /// stored.
     unsaved_ends: Vec<(u64, TargetId, TaskId)>,
     /// Tasks to start once the given version of `progress` is stored.
     unsaved_starts: Vec<(u64, TaskId)>,
@@ -361,7 +363,7 @@
 
     fn insert_job(&mut self, job: Job, service: bool) {
         let spec = spec_hash(&job);
-        let order = match self.jobs.get(&job.name) {
+        let config_number = match self.jobs.get(&job.name) {
             Some(known) => known.config_number,
             None => self.config_number,
         };
@@ -371,7 +373,7 @@
             job,
             service,
             spec,
-            config_number: order,
+            config_number,
             waiting: BTreeSet::new(),
             unknown: BTreeSet::new(),
             by_rack: BTreeMap::new(),
--- a/puffinknot-core/src/tasks/placer/sync.rs
+++ b/puffinknot-core/src/tasks/placer/sync.rs
@@ -85,7 +85,7 @@
         seq: u64,
         listed: &BTreeMap<&TaskId, &TaskReport>,
     ) {
-        let known = |task: &PlacedTask| match task.phase {
+        let should_be_listed = |task: &PlacedTask| match task.phase {
             Phase::Unrecorded => false,
             Phase::Starting => task.start_seq.is_some_and(|sent| sent <= seq),
             Phase::Running | Phase::Stopping => true,
@@ -94,7 +94,7 @@
             .tasks
             .iter()
             .filter(|(task, _)| !listed.contains_key(task))
-            .filter(|(_, placed)| known(placed))
+            .filter(|(_, placed)| should_be_listed(placed))
             .map(|(task, _)| task.clone())
             .collect();
         for task in missing {
@@ -114,8 +114,8 @@
         let place = self.worker_of_task.get(task);
         let elsewhere = place.is_some_and(|place| place != id);
         let Some(state) = self.workers.get_mut(id) else { return };
-        let known = state.tasks.get_mut(task);
-        if let Some(placed) = known {
+        let assigned = state.tasks.get_mut(task);
+        if let Some(placed) = assigned {
             if placed.phase == Phase::Starting && placed.start_seq.is_some() {
                 placed.phase = Phase::Running;
             }
