--- a/src/cell/channel.rs
+++ b/src/cell/channel.rs
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenError {
     /// The machine answers, but nobody listens there: the process is gone.
-    NobodyListens,
+    ConnectionRefused,
     /// There is no answer in time, or it breaks off.
     Unreachable,
 }
@@ -110,7 +110,7 @@
 async fn connect(peer: SocketAddr) -> Result<(Sender, Receiver), OpenError> {
     let tcp = TcpStream::connect(peer).await.map_err(|err| {
         if err.kind() == std::io::ErrorKind::ConnectionRefused {
-            OpenError::NobodyListens
+            OpenError::ConnectionRefused
         } else {
             OpenError::Unreachable
         }
--- a/src/cell/follow.rs
+++ b/src/cell/follow.rs
@@ -115,7 +115,7 @@
                 biased;
                 changes = store.watch(prefix, revision, wait) => changes,
                 // The watch may never be answered.
-                () = store.regained() => return,
+                () = store.wait_until_recovered() => return,
             };
             match changes {
                 Ok(changes) => {
@@ -195,7 +195,7 @@
             }
         };
         let node = self.shared.settings.borrow().node.clone();
-        let ours = value.life == self.shared.life;
+        let ours = value.life == self.shared.incarnation;
         let leads = self.shared.lead.borrow().is_some();
         if ours && self.shared.claiming.get() {
             // The claim will be answered, or its lease will run out.
@@ -225,7 +225,7 @@
         };
         match claim(&self.shared, expected).await {
             Claimed::Won(revision) => {
-                self.seat = Seat::Taken(revision, self.shared.life);
+                self.seat = Seat::Taken(revision, self.shared.incarnation);
             }
             Claimed::Lost(Some(item)) => self.learn(&item),
             Claimed::Lost(None) => self.seat = Seat::Vacant,
@@ -270,7 +270,7 @@
 /// How much longer than others this node waits before it claims.
 fn deference<P: Platform>(shared: &Shared<P>) -> Millis {
     let cpu = shared.settings.borrow().cpu_millis;
-    if cpu < LARGE_ENOUGH && shared.has(Mechanism::LargerLeader) {
+    if cpu < LARGE_ENOUGH && shared.is_enabled(Mechanism::LargerLeader) {
         DEFERENCE
     } else {
         0
@@ -356,7 +356,7 @@
             shared.count("claims_lost");
             let key = shared.platform.leader_key();
             let item = items.into_iter().find(|item| item.key == key);
-            let _ = store.end(lease).await;
+            let _ = store.revoke(lease).await;
             Claimed::Lost(item)
         }
         Err(error) => {
@@ -375,7 +375,7 @@
     let settings = shared.settings.borrow();
     Leader {
         node: settings.node.clone(),
-        life: shared.life,
+        life: shared.incarnation,
         address: settings.control,
         revision,
     }
@@ -394,7 +394,7 @@
     let settings = shared.settings.borrow();
     let value = LeaderValue {
         node: settings.node.clone(),
-        life: shared.life,
+        life: shared.incarnation,
         address: settings.control,
     };
     let value = serde_json::to_vec(&value).unwrap_or_default();
@@ -402,7 +402,7 @@
         expect: vec![(key.clone(), expected)],
         put: vec![
             (key, value, lease),
-            (head_key(platform.kept_prefix()), head, 0),
+            (head_key(platform.leader_state_prefix()), head, 0),
         ],
         remove: Vec::new(),
     }
--- a/src/cell/ingress.rs
+++ b/src/cell/ingress.rs
@@ -24,7 +24,7 @@
 
 use crate::cell::node::Shared;
 use crate::cell::ports::{Call, ClientAnswer, Platform, Refusal};
-use crate::cell::reach;
+use crate::cell::reachability;
 use crate::clock::{self, Micros};
 use crate::http::{read_body, BodyError};
 
@@ -80,7 +80,7 @@
         let known = request.path() == shared.platform.ready_path();
         let ready = shared.policy().is_some()
             && !shared.draining.get()
-            && reach::is_ready(&shared);
+            && reachability::is_ready(&shared);
         let status = match (known, ready) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
@@ -119,10 +119,11 @@
     serve(listener, move |request: Request| {
         let shared = shared.clone();
         async move {
-            shared.under_way.set(shared.under_way.get() + 1);
+            shared.open_requests.set(shared.open_requests.get() + 1);
             let answer = answer(&shared, request).await;
-            shared.under_way.set(shared.under_way.get() - 1);
-            let close = shared.draining.get() || !reach::is_ready(&shared);
+            shared.open_requests.set(shared.open_requests.get() - 1);
+            let close =
+                shared.draining.get() || !reachability::is_ready(&shared);
             render(answer, close)
         }
     })
@@ -173,7 +174,7 @@
 ) -> bool {
     let keys = shared.keys();
     let known = key.as_ref().is_some_and(|key| keys.find(key).is_some());
-    !known && reach::knows_policy(shared)
+    !known && reachability::knows_policy(shared)
 }
 
 async fn answer<P: Platform>(
@@ -248,7 +249,7 @@
         Call::Cancel(_) => "cancel",
         Call::Pending => "pending",
     };
-    shared.stats.took(kind, clock::mono() - asked_at);
+    shared.stats.record_latency(kind, clock::mono() - asked_at);
     let job = job_of(&call);
     let ms = clock::mono() - asked_at;
     if outcome.is_refusal() {
--- a/src/cell/journal.rs
+++ b/src/cell/journal.rs
@@ -159,7 +159,7 @@
         if pause.is_zero() {
             return;
         }
-        let regained = self.store.regained();
+        let regained = self.store.wait_until_recovered();
         if tokio::time::timeout(pause, regained).await.is_ok() {
             self.pause.set(Duration::ZERO);
         }
@@ -209,7 +209,7 @@
         tokio::select! {
             biased;
             answer = self.store.write(transaction) => Some(answer),
-            () = self.store.regained() => None,
+            () = self.store.wait_until_recovered() => None,
         }
     }
 }
--- a/src/cell/lead.rs
+++ b/src/cell/lead.rs
@@ -37,7 +37,7 @@
 use crate::cell::channel::Sender;
 use crate::cell::decisions;
 use crate::cell::journal::Journal;
-use crate::cell::node::{Shared, UNCONFIRMED};
+use crate::cell::node::{Shared, MAX_UNCONFIRMED_MS};
 use crate::cell::patience::{Bounds, Patience};
 use crate::cell::ports::Platform;
 use crate::cell::relay::{Relay, Relays};
@@ -260,7 +260,7 @@
     let tenure = Tenure {
         journal: Rc::new(Journal::new(
             shared.store.clone(),
-            shared.platform.kept_prefix(),
+            shared.platform.leader_state_prefix(),
             token,
         )),
         ways: Rc::new(Ways::new(shared.clone(), handle.relays.clone(), token)),
@@ -277,7 +277,7 @@
         handed_over: None,
         patience: Rc::new(Patience::new(
             ORDERS.behind(shared.settings.borrow().link_bytes_per_ms),
-            shared.has(Mechanism::OrderPatience),
+            shared.is_enabled(Mechanism::OrderPatience),
         )),
         invited: 0,
         turn: 0,
@@ -292,7 +292,7 @@
         *shared.lead.borrow_mut() = None;
         info!(token, why, "lead_ended");
         shared.leader_changed.notify_waiters();
-        let _ = shared.store.end(lease.get()).await;
+        let _ = shared.store.revoke(lease.get()).await;
     });
 }
 
@@ -403,7 +403,7 @@
                 last_tick = now;
                 let wall = clock::wall() as i64;
                 scheduler.set_wall_offset(wall - now as i64);
-                self.shared.stats.set_leading(scheduler.counters());
+                self.shared.stats.set_leader_counters(scheduler.counters());
                 if now >= accounts_told + TELL_ACCOUNTS {
                     accounts_told = now;
                     self.shared.stats.set_accounts(scheduler.usage());
@@ -445,7 +445,7 @@
     /// Whether the store has not confirmed for too long that nobody else
     /// leads.
     fn is_unconfirmed(&self) -> bool {
-        clock::mono() > self.confirmed.get() + UNCONFIRMED
+        clock::mono() > self.confirmed.get() + MAX_UNCONFIRMED_MS
     }
 
     fn tell_advisors(&self, scheduler: &mut Scheduler) {
--- a/src/cell/lead/lease.rs
+++ b/src/cell/lead/lease.rs
@@ -35,7 +35,7 @@
                 let renewed = tokio::select! {
                     biased;
                     renewed = shared.store.renew(lease.get()) => renewed,
-                    () = shared.store.regained() => continue,
+                    () = shared.store.wait_until_recovered() => continue,
                 };
                 match renewed {
                     Ok(true) => {}
--- a/src/cell/lead/offer.rs
+++ b/src/cell/lead/offer.rs
@@ -31,9 +31,9 @@
     /// Whether the store does not serve this node.
     pub(super) fn turned_away(&self, now: Millis) -> bool {
         let store = &self.shared.store;
-        let silent = now > store.answered() + INVITE_AFTER
+        let silent = now > store.last_answered_at() + INVITE_AFTER
             && now > self.confirmed.get() + INVITE_AFTER;
-        silent || store.failures() >= INVITE_FAILURES
+        silent || store.consecutive_failures() >= INVITE_FAILURES
     }
 
     /// Asks another node to lead in this one's place, one after the other.
@@ -42,7 +42,7 @@
         if now < self.invited + INVITE_AGAIN || self.peers.is_empty() {
             return;
         }
-        if !self.shared.has(Mechanism::OfferedLead) {
+        if !self.shared.is_enabled(Mechanism::OfferedLead) {
             return;
         }
         let Some(leader) = self.shared.leader() else { return };
@@ -69,7 +69,7 @@
         if now < self.invited + MAKE_WAY_AGAIN {
             return;
         }
-        if !self.shared.has(Mechanism::LargerLeader) {
+        if !self.shared.is_enabled(Mechanism::LargerLeader) {
             return;
         }
         let own = self.shared.settings.borrow().cpu_millis;
--- a/src/cell/lead/orders.rs
+++ b/src/cell/lead/orders.rs
@@ -19,7 +19,7 @@
 use super::{Input, LeadHandle, Tenure, PAUSE};
 use crate::cell::decisions;
 use crate::cell::journal::Unwritten;
-use crate::cell::link::{ToNode, ADVICE_WITHIN};
+use crate::cell::link::{ToNode, ADVICE_TIMEOUT_MS};
 use crate::cell::order::{Answer, Order, Reply};
 use crate::cell::patience::Patience;
 use crate::cell::ports::{Platform, Transaction};
@@ -179,7 +179,7 @@
         actix_rt::spawn(async move {
             let sent_at = clock::mono();
             let written = journal.write(changes).await;
-            shared.stats.took("commit", clock::mono() - sent_at);
+            shared.stats.record_latency("commit", clock::mono() - sent_at);
             match written {
                 Ok(()) => {
                     confirmed.set(confirmed.get().max(sent_at));
@@ -212,7 +212,8 @@
         let patience = self.patience.clone();
         let wait = order.wait();
         let within = wait + patience.within();
-        let late = if shared.has(Mechanism::LateAnswers) { LATE } else { 0 };
+        let late =
+            if shared.is_enabled(Mechanism::LateAnswers) { LATE } else { 0 };
         actix_rt::spawn(async move {
             let sent_at = clock::mono();
             let text = text.unwrap_or_else(|| Arc::from(""));
@@ -235,7 +236,7 @@
             };
             let took = clock::mono() - sent_at;
             if matches!(order, Order::Start { .. }) {
-                shared.stats.took("start_order", took);
+                shared.stats.record_latency("start_order", took);
             }
             if wait == 0 {
                 learn(&patience, &answer, took);
@@ -267,7 +268,9 @@
             let alone = now > begun + lease + lease / CLOCK_DRIFT;
             let sure = alone && now < confirmed + lease;
             let answer = if sure {
-                platform.upkeep(&holder, token, &machine, wave).await
+                platform
+                    .start_maintenance(&holder, token, &machine, wave)
+                    .await
             } else {
                 Err(MaintenanceFailure::Refused)
             };
@@ -315,7 +318,7 @@
             }
             _ => {
                 let (platform, handle) = self.outside();
-                let within = Duration::from_millis(ADVICE_WITHIN);
+                let within = Duration::from_millis(ADVICE_TIMEOUT_MS);
                 actix_rt::spawn(async move {
                     let advice = platform.advise(step, &executors);
                     let answer = timeout(within, advice).await;
--- a/src/cell/lead/seat.rs
+++ b/src/cell/lead/seat.rs
@@ -89,7 +89,7 @@
         return Reclaimed::Unknown;
     };
     let head = journal.head();
-    let key = head_key(platform.kept_prefix());
+    let key = head_key(platform.leader_state_prefix());
     let mut transaction =
         follow::claim_transaction(shared, 0, fresh, head_value(token, 0));
     transaction.expect.push((key, head));
--- a/src/cell/lead/takeover.rs
+++ b/src/cell/lead/takeover.rs
@@ -13,7 +13,7 @@
 use super::{Tenure, PAUSE};
 use crate::cell::follow;
 use crate::cell::journal::head_key;
-use crate::cell::node::UNCONFIRMED;
+use crate::cell::node::MAX_UNCONFIRMED_MS;
 use crate::cell::ports::Platform;
 use crate::clock;
 
@@ -53,13 +53,13 @@
 
     /// Whether a takeover that began then has taken too long.
     fn is_too_late(&self, started: Millis) -> bool {
-        clock::mono() > started + UNCONFIRMED || self.handle.is_over()
+        clock::mono() > started + MAX_UNCONFIRMED_MS || self.handle.is_over()
     }
 
     /// Reads what a predecessor has left.
     pub(super) async fn take_over(&self) -> Option<Scheduler> {
         let started = clock::mono();
-        let prefix = self.shared.platform.kept_prefix().to_string();
+        let prefix = self.shared.platform.leader_state_prefix().to_string();
         let listing = loop {
             match self.shared.store.read(&prefix).await {
                 Ok(listing) => break listing,
@@ -90,19 +90,19 @@
         let settings = self.shared.settings.borrow().clone();
         // A predecessor may order for as long as this after it was confirmed
         // last, and what it ordered then may run for a lease.
-        let inherited_for = UNCONFIRMED
+        let inherited_for = MAX_UNCONFIRMED_MS
             + settings.executor_lease
             + settings.executor_lease / 30
             + 200;
         let config = SchedulerConfig {
             token: self.token,
             lease: settings.executor_lease,
-            ended_retention: settings.keep_ended,
+            ended_retention: settings.ended_retention,
             inherited_order_lifetime: inherited_for,
             max_advice_batch: ADVICE_BATCH,
             min_commit_interval: COMMIT_GAP,
             mechanisms: affordable(
-                settings.without,
+                settings.mechanisms,
                 settings.link_bytes_per_ms,
             ),
         };
--- a/src/cell/lead/ways.rs
+++ b/src/cell/lead/ways.rs
@@ -145,7 +145,7 @@
     /// The number of executors in an executor's data centre, if its orders
     /// should go by a relay.
     fn relayed(&self, executor: &ExecutorInfo) -> Option<usize> {
-        if !self.shared.has(Mechanism::Relays) {
+        if !self.shared.is_enabled(Mechanism::Relays) {
             return None;
         }
         let all = self.executors();
--- a/src/cell/search.rs
+++ b/src/cell/leader_search.rs
@@ -10,13 +10,13 @@
 
 /// Which nodes were tried.
 #[derive(Debug, Default)]
-pub struct Search {
+pub struct LeaderSearch {
     /// The leader that was tried last.
     tried: Option<Revision>,
     turn: usize,
 }
 
-impl Search {
+impl LeaderSearch {
     /// The node to be tried next: a leader that was not tried yet; else by
     /// turns the leader and one of the `others`, who may know a newer one.
     pub fn next(
--- a/src/cell/link.rs
+++ b/src/cell/link.rs
@@ -28,13 +28,13 @@
 use crate::cell::channel::{self, OpenError, Receiver, Sender};
 use crate::cell::follow::{accept_lead, replace_leader};
 use crate::cell::lead::LeadHandle;
+use crate::cell::leader_search::LeaderSearch;
 use crate::cell::node::Shared;
 use crate::cell::order::Answer;
 use crate::cell::patience::link_extra;
 use crate::cell::ports::{Leader, Platform};
-use crate::cell::reach;
+use crate::cell::reachability;
 use crate::cell::relay::{self, OrderId, Relayed, Texts};
-use crate::cell::search::Search;
 
 /// How often a node tells the leader that it is there.
 const PING: Duration = Duration::from_millis(250);
@@ -152,7 +152,7 @@
     }
 
     /// Tells the leader which data centres take no new work.
-    pub fn tell_cordons(&self, cordons: Cordons) {
+    pub fn send_cordons(&self, cordons: Cordons) {
         // The next leader is told when the channel to it is made.
         let _ = self.sender.send(&ToLeader::Cordons(cordons));
     }
@@ -172,8 +172,8 @@
 }
 
 /// Keeps a channel to the leader, for ever.
-pub async fn keep<P: Platform>(shared: Rc<Shared<P>>) {
-    let mut search = Search::default();
+pub async fn maintain<P: Platform>(shared: Rc<Shared<P>>) {
+    let mut search = LeaderSearch::default();
     loop {
         if shared.lead.borrow().is_some() {
             let _ = timeout(PAUSE, shared.leader_changed.notified()).await;
@@ -189,7 +189,7 @@
 /// The node to be tried next on the way to the leader.
 fn target<P: Platform>(
     shared: &Shared<P>,
-    search: &mut Search,
+    search: &mut LeaderSearch,
 ) -> Option<SocketAddr> {
     let own = shared.settings.borrow().control;
     let leader = shared.leader().filter(|leader| leader.address != own);
@@ -229,11 +229,11 @@
         // must not hold up the way to it.
         () = elsewhere(shared, address) => return,
         // What was tried while the node was cut off may never succeed.
-        () = shared.reach.regained() => return,
+        () = shared.reachability.wait_until_reconnected() => return,
     };
     let (sender, mut receiver) = match opened {
         Ok(channel) => channel,
-        Err(OpenError::NobodyListens) => {
+        Err(OpenError::ConnectionRefused) => {
             return nobody_listens(shared, address)
         }
         Err(OpenError::Unreachable) => return,
@@ -242,7 +242,7 @@
         let settings = shared.settings.borrow();
         ToLeader::Hello {
             node: settings.node.clone(),
-            life: shared.life,
+            life: shared.incarnation,
             address: settings.control,
             dc: settings.dc.clone(),
             cpu_millis: settings.cpu_millis,
@@ -262,13 +262,13 @@
             shared.learn_leader(leader);
             info!(%address, "leader_linked");
             let link = LinkHandle::new(sender);
-            link.tell_cordons(shared.cordons());
+            link.send_cordons(shared.cordons());
             *shared.link.borrow_mut() = Some(link.clone());
-            shared.reach.heard(true);
+            shared.reachability.record_leader_message(true);
             shared.leader_changed.notify_waiters();
             follow(shared, &link, receiver).await;
             *shared.link.borrow_mut() = None;
-            shared.reach.lost();
+            shared.reachability.clear_leader();
             link.sender.close();
             link.give_up();
             shared.count("links_lost");
@@ -314,7 +314,7 @@
                 let policy = shared.policy().map(|policy| policy.version);
                 let now = crate::clock::mono();
                 let store_silent =
-                    now.saturating_sub(shared.store.answered());
+                    now.saturating_sub(shared.store.last_answered_at());
                 let ping = ToLeader::Ping { policy, store_silent };
                 let sent = link.sender.send(&ping);
                 if !sent || heard.elapsed() > silence {
@@ -343,7 +343,7 @@
                 let answer = timeout(ADVICE, advice).await;
                 let answer = answer.unwrap_or(Err(AdviceFailure::Unknown));
                 let took = crate::clock::mono() - asked_at;
-                shared.stats.took("advice", took);
+                shared.stats.record_latency("advice", took);
                 sender.send(&ToLeader::Advised(call, answer));
             });
         }
@@ -376,9 +376,9 @@
             }
         }
         ToNode::Pong { sure, policy } => {
-            shared.reach.heard(sure);
+            shared.reachability.record_leader_message(sure);
             if sure {
-                shared.reach.heard_policy(policy);
+                shared.reachability.set_leader_policy(policy);
             }
         }
         ToNode::Welcome(..) | ToNode::NotLeading(_) => {}
@@ -449,10 +449,10 @@
             ToLeader::Advised(call, answer) => lead.advised(call, answer),
             ToLeader::Ping { policy: version, store_silent } => {
                 lead.store_silent(peer, store_silent);
-                let sure = reach::is_sure(lead.confirmed());
+                let sure = reachability::is_confirmed(lead.confirmed());
                 let ours = shared.policy().map(|policy| policy.version);
                 sender.send(&ToNode::Pong { sure, policy: ours });
-                if version > ours && shared.asks_for_policy() {
+                if version > ours && shared.may_request_policy() {
                     sender.send(&ToNode::PolicyWanted);
                 }
                 if version >= ours {
@@ -474,4 +474,4 @@
 }
 
 /// How long a leader waits for the advice that a node asks for.
-pub const ADVICE_WITHIN: Millis = ADVICE.as_millis() as Millis;
+pub const ADVICE_TIMEOUT_MS: Millis = ADVICE.as_millis() as Millis;
--- a/src/cell/logs.rs
+++ b/src/cell/logging.rs
@@ -22,21 +22,21 @@
 use tracing_subscriber::Layer;
 
 /// Lines of one kind in a second, at the most.
-pub const BUDGET: u32 = 400;
+pub const MAX_LINES_PER_SECOND: u32 = 400;
 /// Lines that wait to be written, at the most.
 const QUEUE: usize = 4_096;
 /// How often it is said what was dropped.
-pub const REPORT_EVERY: Duration = Duration::from_secs(1);
+pub const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What was let through of each kind of line in this second.
 #[derive(Default)]
-pub struct Budget {
+pub struct LineBudget {
     since: Option<Instant>,
     lines: HashMap<Identifier, u32>,
     dropped: u64,
 }
 
-impl Budget {
+impl LineBudget {
     /// Whether one more line of this kind may be written now.
     pub fn admits(&mut self, kind: Identifier, now: Instant) -> bool {
         let second = Duration::from_secs(1);
@@ -46,7 +46,7 @@
         }
         let lines = self.lines.entry(kind).or_default();
         *lines += 1;
-        let admitted = *lines <= BUDGET;
+        let admitted = *lines <= MAX_LINES_PER_SECOND;
         self.dropped += u64::from(!admitted);
         admitted
     }
@@ -58,7 +58,7 @@
 }
 
 thread_local! {
-    static LINES: RefCell<Budget> = RefCell::default();
+    static LINES: RefCell<LineBudget> = RefCell::default();
 }
 
 fn admits(metadata: &Metadata<'_>) -> bool {
@@ -79,7 +79,7 @@
 }
 
 /// Begins to write lines to standard output.
-pub fn begin() -> Logs {
+pub fn init() -> Logs {
     let (writer, guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(QUEUE)
         .lossy(true)
@@ -100,7 +100,7 @@
     pub async fn report(&self) {
         let mut reported = 0;
         loop {
-            tokio::time::sleep(REPORT_EVERY).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
             let over = LINES.with(|l| l.borrow_mut().take_dropped());
             let queue = self.queue.dropped_lines();
             if over > 0 || queue > reported {
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -16,13 +16,13 @@
 * [`order`] is what executors are told, and [`relay`] how orders reach them
   by other nodes.
 * [`link`] carries requests to the leader; [`channel`] is what it uses.
-* [`reach`] knows whether this node can serve clients, and [`search`] whom to
+* [`reachability`] knows whether this node can serve clients, and [`leader_search`] whom to
   try on the way to the leader.
-* [`logs`] and [`stats`] are what on-call engineers look at.
+* [`logging`] and [`stats`] are what on-call engineers look at.
 * [`decisions`] logs what the leader decides, and from what; [`turn`] measures
   how long that takes, and how long inputs wait for it.
 * [`ingress`] answers clients, and whoever asks whether the node is ready;
-  [`stop`] ends the node so that all are answered.
+  [`shutdown`] ends the node so that all are answered.
 */
 
 pub mod backlog;
@@ -32,18 +32,18 @@
 pub mod ingress;
 pub mod journal;
 pub mod lead;
+pub mod leader_search;
 pub mod link;
-pub mod logs;
+pub mod logging;
 pub mod node;
 pub mod order;
 pub mod patience;
 pub mod ports;
-pub mod reach;
+pub mod reachability;
 pub mod relay;
-pub mod search;
+pub mod shutdown;
 pub mod stats;
-pub mod stop;
 pub mod store;
 pub mod turn;
 
-pub use self::node::{run, NodeSettings, Orders};
+pub use self::node::{run, NodeSettings, NodeSignals};
--- a/src/cell/node.rs
+++ b/src/cell/node.rs
@@ -27,10 +27,10 @@
 use crate::cell::lead::{self, LeadHandle};
 use crate::cell::link::{self, LinkHandle};
 use crate::cell::ports::{Leader, Platform};
-use crate::cell::reach::{self, Reach};
+use crate::cell::reachability::{self, Reachability};
 use crate::cell::relay::Relayed;
+use crate::cell::shutdown::{self, Closing};
 use crate::cell::stats::Stats;
-use crate::cell::stop::{self, Closing};
 use crate::cell::store::{self, Store};
 use crate::cell::{follow, ingress};
 use crate::clock;
@@ -58,16 +58,16 @@
     /// The lease of the leader where reading takes no time, in milliseconds.
     pub leader_lease: Millis,
     /// How long ended jobs stay known, in milliseconds.
-    pub keep_ended: Millis,
+    pub ended_retention: Millis,
     /// The time for a planned stop, in milliseconds.
-    pub stop_within: Millis,
+    pub shutdown_timeout: Millis,
     /// The processor time that its machine gives it, in thousandths of a
     /// core. A larger machine is preferred to lead.
     pub cpu_millis: u32,
     /// What its machine's own link carries, in bytes a millisecond.
     pub link_bytes_per_ms: u32,
     /// The mechanisms that are switched off.
-    pub without: Mechanisms,
+    pub mechanisms: Mechanisms,
 }
 
 impl NodeSettings {
@@ -80,7 +80,7 @@
 }
 
 /// How long a leader may order without the store having confirmed it.
-pub const UNCONFIRMED: Millis = 6_000;
+pub const MAX_UNCONFIRMED_MS: Millis = 6_000;
 /// A request must be answered by the leader within this time.
 const ASK_TIMEOUT: Duration = Duration::from_millis(2_600);
 /// If nobody leads, this long is waited for a leader.
@@ -104,7 +104,7 @@
     /// The settings.
     pub settings: RefCell<NodeSettings>,
     /// A number that differs for each start of the node.
-    pub life: u64,
+    pub incarnation: u64,
     policy: RefCell<Option<Arc<Policy>>>,
     router: RefCell<Rc<Router>>,
     keys: RefCell<Rc<KeyRing>>,
@@ -126,7 +126,7 @@
     /// The way to the leader, while another node leads.
     pub link: RefCell<Option<LinkHandle>>,
     /// Whether the leader and the store can be reached.
-    pub reach: Reach,
+    pub reachability: Reachability,
     /// Where other nodes have been seen.
     pub peers: RefCell<BTreeSet<SocketAddr>>,
     /// Whether the node is about to stop.
@@ -134,7 +134,7 @@
     /// Whether its time for that is nearly over.
     pub closing: Closing,
     /// The number of client requests under way.
-    pub under_way: Cell<usize>,
+    pub open_requests: Cell<usize>,
     /// Counters and latencies.
     pub stats: Stats,
 }
@@ -145,11 +145,11 @@
         Shared {
             store: Rc::new(Store::new(
                 platform.clone(),
-                &settings.without,
+                &settings.mechanisms,
                 settings.link_bytes_per_ms,
             )),
             platform,
-            life: rand::random(),
+            incarnation: rand::random(),
             policy: RefCell::default(),
             router: RefCell::default(),
             keys: RefCell::default(),
@@ -163,19 +163,19 @@
             replaces_from: Cell::new(0),
             lead: RefCell::default(),
             link: RefCell::default(),
-            reach: Reach::default(),
+            reachability: Reachability::default(),
             peers: RefCell::new(settings.seeds.iter().copied().collect()),
             draining: Cell::new(false),
             closing: Closing::default(),
-            under_way: Cell::new(0),
+            open_requests: Cell::new(0),
             stats: Stats::default(),
             settings: RefCell::new(settings),
         }
     }
 
     /// Whether a mechanism is on.
-    pub fn has(&self, mechanism: Mechanism) -> bool {
-        self.settings.borrow().without.enabled(mechanism)
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        self.settings.borrow().mechanisms.enabled(mechanism)
     }
 
     /// Counts an event.
@@ -310,7 +310,7 @@
         if let Some(lead) = self.lead.borrow().as_ref() {
             lead.cordons(cordons);
         } else if let Some(link) = self.link.borrow().as_ref() {
-            link.tell_cordons(cordons);
+            link.send_cordons(cordons);
         }
     }
 
@@ -341,7 +341,7 @@
         }
         info!(node = leader.node, revision = leader.revision, "leader_known");
         if let Some(lead) = self.lead.borrow().as_ref() {
-            if leader.life != self.life {
+            if leader.life != self.incarnation {
                 lead.depose(leader.revision);
             }
         }
@@ -353,7 +353,7 @@
     /// leader is gone is asked again of the next one: asking twice does what
     /// asking once does. A node that is cut off answers at once.
     pub async fn ask(&self, caller: Caller, request: Request) -> Outcome {
-        if self.reach.is_cut_off() {
+        if self.reachability.is_isolated() {
             self.count("refused_cut_off");
             return Outcome::Refused(NO_LEADER);
         }
@@ -365,7 +365,7 @@
         tokio::select! {
             biased;
             outcome = self.ask_leader(caller, request, &sent) => outcome,
-            () = self.reach.cut_off() => {
+            () = self.reachability.wait_until_isolated() => {
                 self.count("given_up_cut_off");
                 self.give_up(sent.get())
             }
@@ -417,7 +417,7 @@
     pub fn may_replace_leader(&self) -> bool {
         let now = clock::mono();
         let may = now >= self.replaces_from.get()
-            && self.has(Mechanism::ReplacedLeader);
+            && self.is_enabled(Mechanism::ReplacedLeader);
         if may {
             self.replaces_from.set(now + REPLACE_AGAIN);
         }
@@ -426,7 +426,7 @@
 
     /// Whether another node is to be asked for its newer policy. One at a
     /// time: all at once would fill a narrow link.
-    pub fn asks_for_policy(&self) -> bool {
+    pub fn may_request_policy(&self) -> bool {
         let now = clock::mono();
         let asks = now >= self.asks_policy_from.get();
         if asks {
@@ -493,7 +493,7 @@
 
 /// What a running node is told from outside.
 #[derive(Default)]
-pub struct Orders {
+pub struct NodeSignals {
     /// Stop as planned.
     pub stop: Notify,
     /// Take over the settings in `settings`.
@@ -504,7 +504,7 @@
 
 /// Takes over new settings, for ever. Addresses that are listened on stay
 /// as they are until the node starts again.
-async fn reload<P: Platform>(shared: Rc<Shared<P>>, orders: Rc<Orders>) {
+async fn reload<P: Platform>(shared: Rc<Shared<P>>, orders: Rc<NodeSignals>) {
     loop {
         orders.reload.notified().await;
         let Some(fresh) = orders.settings.borrow_mut().take() else {
@@ -515,8 +515,8 @@
         settings.seeds = fresh.seeds;
         settings.executor_lease = fresh.executor_lease;
         settings.leader_lease = fresh.leader_lease;
-        settings.keep_ended = fresh.keep_ended;
-        settings.stop_within = fresh.stop_within;
+        settings.ended_retention = fresh.ended_retention;
+        settings.shutdown_timeout = fresh.shutdown_timeout;
         settings.cpu_millis = fresh.cpu_millis;
         settings.link_bytes_per_ms = fresh.link_bytes_per_ms;
         info!(seeds = settings.seeds.len(), "settings_reloaded");
@@ -531,7 +531,7 @@
 pub async fn run<P: Platform>(
     platform: P,
     settings: NodeSettings,
-    orders: Rc<Orders>,
+    orders: Rc<NodeSignals>,
 ) -> Result<()> {
     let front = listen("front", settings.front).await?;
     let ready = listen("ready", settings.ready).await?;
@@ -543,7 +543,7 @@
     let shared = Rc::new(Shared::new(platform, settings));
     info!(
         node = shared.settings.borrow().node,
-        life = shared.life,
+        life = shared.incarnation,
         "node_started"
     );
     actix_rt::spawn(ingress::serve_ready(ready, shared.clone()));
@@ -552,9 +552,9 @@
     }
     actix_rt::spawn(ingress::serve_front(front, shared.clone()));
     actix_rt::spawn(link::serve(control, shared.clone()));
-    actix_rt::spawn(link::keep(shared.clone()));
+    actix_rt::spawn(link::maintain(shared.clone()));
     actix_rt::spawn(follow::run(shared.clone()));
-    actix_rt::spawn(reach::watch(shared.clone()));
+    actix_rt::spawn(reachability::watch(shared.clone()));
     let reload = reload(shared.clone(), orders.clone());
     actix_rt::spawn(reload);
     orders.stop.notified().await;
@@ -562,7 +562,7 @@
     let stopped_at = Instant::now();
     shared.draining.set(true);
     lead::hand_over(&shared).await;
-    stop::drain(&shared, stopped_at).await;
+    shutdown::drain(&shared, stopped_at).await;
     info!("node_stopped");
     Ok(())
 }
--- a/src/cell/order.rs
+++ b/src/cell/order.rs
@@ -12,7 +12,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::cell::ports::{Hold, Platform, Start};
+use crate::cell::ports::{LeaseRenewal, Platform, Start};
 
 /// What an executor is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -116,13 +116,14 @@
     ) -> Answer {
         match self {
             Order::Hold { due, last_seen, known, wait } => {
-                let hold = Hold {
+                let hold = LeaseRenewal {
                     due: *due,
                     last_seen: *last_seen,
                     wait: *wait,
                     within,
                 };
-                let mut account = platform.hold(executor, token, hold).await?;
+                let mut account =
+                    platform.renew_executor(executor, token, hold).await?;
                 // Another life numbers its ends anew.
                 if account.born == executor.born {
                     account.ended.retain(|end| end.number > *known);
@@ -149,7 +150,7 @@
             }
             Order::Pace { task, run, percent } => {
                 let paced =
-                    platform.pace(executor, token, *task, *run, *percent);
+                    platform.throttle(executor, token, *task, *run, *percent);
                 paced.await.map(|()| Reply::Done)
             }
         }
--- a/src/cell/ports.rs
+++ b/src/cell/ports.rs
@@ -118,7 +118,7 @@
 
 /// A request for an executor's account, which extends its lease.
 #[derive(Clone, Copy, Debug)]
-pub struct Hold {
+pub struct LeaseRenewal {
     /// The end of the lease, on the executor's clock.
     pub due: Option<Millis>,
     /// Ends up to this one may be forgotten.
@@ -183,7 +183,7 @@
     /// The key of the leader.
     fn leader_key(&self) -> &str;
     /// Keys of what the leader keeps begin so.
-    fn kept_prefix(&self) -> &str;
+    fn leader_state_prefix(&self) -> &str;
     /// Keys of executors' entries begin so.
     fn executors_prefix(&self) -> &str;
 
@@ -254,18 +254,18 @@
     /// # Errors
     ///
     /// If there is no usable answer.
-    async fn end(&self, lease: u64) -> Result<(), ReadError>;
+    async fn revoke(&self, lease: u64) -> Result<(), ReadError>;
 
     /// Extends the lease of an executor and asks for its account.
     ///
     /// # Errors
     ///
     /// If there is no account.
-    async fn hold(
+    async fn renew_executor(
         &self,
         executor: &ExecutorInfo,
         token: u64,
-        hold: Hold,
+        renewal: LeaseRenewal,
     ) -> Result<ExecutorReport, OrderFailure>;
     /// Starts a task. Returns what the executor's clock showed, as far as the
     /// answer says.
@@ -298,7 +298,7 @@
     /// # Errors
     ///
     /// If that is not known to be so.
-    async fn pace(
+    async fn throttle(
         &self,
         executor: &ExecutorInfo,
         token: u64,
@@ -328,7 +328,7 @@
     /// # Errors
     ///
     /// If it is not known to be carried out.
-    async fn upkeep(
+    async fn start_maintenance(
         &self,
         holder: &str,
         token: u64,
--- a/src/cell/reach.rs
+++ b/src/cell/reachability.rs
@@ -38,7 +38,7 @@
 
 /// What a node knows of its way to the leader.
 #[derive(Default)]
-pub struct Reach {
+pub struct Reachability {
     /// When a leader was heard last that was sure to lead.
     heard: Cell<Option<Millis>>,
     /// The version of the policy that the leader had then.
@@ -47,39 +47,39 @@
     changed: Notify,
 }
 
-impl Reach {
+impl Reachability {
     /// The leader was heard, and whether it is sure to lead.
-    pub fn heard(&self, sure: bool) {
+    pub fn record_leader_message(&self, sure: bool) {
         if sure {
             self.heard.set(Some(clock::mono()));
-            self.set_cut_off(false);
+            self.set_isolated(false);
         }
     }
 
     /// A leader that is sure to lead has this version of the policy.
-    pub fn heard_policy(&self, version: Option<u64>) {
+    pub fn set_leader_policy(&self, version: Option<u64>) {
         self.leader_policy.set(version);
     }
 
     /// The way to the leader is gone.
-    pub fn lost(&self) {
+    pub fn clear_leader(&self) {
         self.heard.set(None);
         self.leader_policy.set(None);
     }
 
     /// Whether a sure leader was heard lately.
-    fn hears(&self) -> bool {
+    fn heard_recently(&self) -> bool {
         let heard = self.heard.get();
         heard.is_some_and(|at| clock::mono() <= at + QUIET)
     }
 
     /// Whether neither a leader nor the store can be reached.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         self.cut_off.get()
     }
 
     /// Waits until neither a leader nor the store can be reached.
-    pub async fn cut_off(&self) {
+    pub async fn wait_until_isolated(&self) {
         loop {
             let changed = self.changed.notified();
             if self.cut_off.get() {
@@ -90,7 +90,7 @@
     }
 
     /// Waits until the node is cut off no longer, if it is.
-    pub async fn regained(&self) {
+    pub async fn wait_until_reconnected(&self) {
         while !self.cut_off.get() {
             self.changed.notified().await;
         }
@@ -99,7 +99,7 @@
         }
     }
 
-    fn set_cut_off(&self, cut_off: bool) {
+    fn set_isolated(&self, cut_off: bool) {
         if self.cut_off.replace(cut_off) == cut_off {
             return;
         }
@@ -113,20 +113,20 @@
 }
 
 /// Whether a leader that the store confirmed at that time is sure to lead.
-pub fn is_sure(confirmed: Millis) -> bool {
+pub fn is_confirmed(confirmed: Millis) -> bool {
     clock::mono() <= confirmed + SURE_FOR
 }
 
 /// Whether a node is to say that it is ready.
 pub fn is_ready<P: Platform>(shared: &Shared<P>) -> bool {
-    serves(shared) || !shared.has(Mechanism::Readiness)
+    serves(shared) || !shared.is_enabled(Mechanism::Readiness)
 }
 
 /// Whether this node knows the policy as well as the leader does. If not, a
 /// key that it does not know may be a new one.
 pub fn knows_policy<P: Platform>(shared: &Shared<P>) -> bool {
     let Some(policy) = shared.policy() else { return false };
-    let leader = shared.reach.leader_policy.get();
+    let leader = shared.reachability.leader_policy.get();
     let as_leader = leader.is_some_and(|leader| leader <= policy.version);
     serves(shared) && (as_leader || shared.lead.borrow().is_some())
 }
@@ -134,8 +134,8 @@
 /// Whether requests that come to this node can be served.
 fn serves<P: Platform>(shared: &Shared<P>) -> bool {
     match shared.lead.borrow().as_ref() {
-        Some(lead) => is_sure(lead.confirmed()),
-        None => shared.reach.hears(),
+        Some(lead) => is_confirmed(lead.confirmed()),
+        None => shared.reachability.heard_recently(),
     }
 }
 
@@ -144,19 +144,20 @@
 /// answered, so that its return is noticed at once; so it is if any other call
 /// of this node is answered first.
 pub async fn watch<P: Platform>(shared: Rc<Shared<P>>) {
-    let listens = shared.has(Mechanism::AfterOutage);
+    let listens = shared.is_enabled(Mechanism::AfterOutage);
     loop {
         tokio::select! {
             () = sleep(LOOK_EVERY) => {}
-            () = shared.store.regained(), if listens => {
-                shared.reach.set_cut_off(false);
+            () = shared.store.wait_until_recovered(), if listens => {
+                shared.reachability.set_isolated(false);
                 continue;
             }
         }
-        let lately = shared.store.answered() + ANSWERED;
-        let answers = clock::mono() <= lately && shared.store.failures() == 0;
+        let lately = shared.store.last_answered_at() + ANSWERED;
+        let answers = clock::mono() <= lately
+            && shared.store.consecutive_failures() == 0;
         if answers || serves(&shared) {
-            shared.reach.set_cut_off(false);
+            shared.reachability.set_isolated(false);
             continue;
         }
         shared.count("looks_for_store");
@@ -167,11 +168,12 @@
 async fn look_for_store<P: Platform>(shared: Rc<Shared<P>>) {
     let asked_at = clock::mono();
     let answer = shared.store.get(shared.platform.leader_key()).await;
-    let answered = answer.is_ok() || shared.store.answered() > asked_at;
-    let answers_at_once = shared.has(Mechanism::CutOffAnswers);
+    let answered =
+        answer.is_ok() || shared.store.last_answered_at() > asked_at;
+    let answers_at_once = shared.is_enabled(Mechanism::CutOffAnswers);
     let cut_off = answers_at_once && !answered && !serves(&shared);
-    if cut_off && !shared.reach.is_cut_off() {
+    if cut_off && !shared.reachability.is_isolated() {
         shared.count("cut_off");
     }
-    shared.reach.set_cut_off(cut_off);
+    shared.reachability.set_isolated(cut_off);
 }
--- a/src/cell/stop.rs
+++ b/src/cell/shutdown.rs
@@ -59,14 +59,14 @@
 /// Waits until clients have gone elsewhere and all are answered, at the most
 /// for what the settings give a stop, counted from `started`.
 pub(super) async fn drain<P: Platform>(shared: &Shared<P>, started: Instant) {
-    let within = shared.settings.borrow().stop_within;
+    let within = shared.settings.borrow().shutdown_timeout;
     let least = Duration::from_millis((within as f64 * DRAIN_PART) as u64);
     let most = Duration::from_millis(within.saturating_sub(SPARE));
     let closes = most.saturating_sub(Duration::from_millis(CLOSING));
     loop {
         tokio::time::sleep(STEP).await;
         let past = started.elapsed();
-        let idle = shared.under_way.get() == 0;
+        let idle = shared.open_requests.get() == 0;
         if past >= most || (idle && past >= least) {
             return;
         }
--- a/src/cell/stats.rs
+++ b/src/cell/stats.rs
@@ -111,7 +111,7 @@
     }
 
     /// Takes over the counters of the scheduler.
-    pub fn set_leading(&self, counters: &BTreeMap<&'static str, u64>) {
+    pub fn set_leader_counters(&self, counters: &BTreeMap<&'static str, u64>) {
         self.leading.borrow_mut().clone_from(counters);
     }
 
@@ -135,17 +135,17 @@
     }
 
     /// Takes in how long something took.
-    pub fn took(&self, name: &'static str, time: Millis) {
+    pub fn record_latency(&self, name: &'static str, time: Millis) {
         record(&self.latencies, name, time, LONGEST);
     }
 
     /// Takes in how long something short took.
-    pub fn took_micros(&self, name: &'static str, time: Micros) {
+    pub fn record_duration(&self, name: &'static str, time: Micros) {
         record(&self.times, name, time, LONGEST * 1_000);
     }
 
     /// Takes in how many there were of something at one time.
-    pub fn saw(&self, name: &'static str, count: u64) {
+    pub fn record_size(&self, name: &'static str, count: u64) {
         record(&self.sizes, name, count, LARGEST);
     }
 
--- a/src/cell/store.rs
+++ b/src/cell/store.rs
@@ -116,18 +116,18 @@
     }
 
     /// When a call was answered last, on the monotonic clock.
-    pub fn answered(&self) -> Millis {
+    pub fn last_answered_at(&self) -> Millis {
         self.answered.get()
     }
 
     /// How many calls in a row have had no usable answer.
-    pub fn failures(&self) -> u32 {
+    pub fn consecutive_failures(&self) -> u32 {
         self.failures.get()
     }
 
     /// Waits until the store answers after it was away. A call that was
     /// made before may never be answered; it is better made again.
-    pub async fn regained(&self) {
+    pub async fn wait_until_recovered(&self) {
         self.regained.notified().await;
     }
 
@@ -276,13 +276,13 @@
         self.reading(0, self.platform.renew(lease)).await
     }
 
-    /// See [`Platform::end`].
+    /// See [`Platform::revoke`].
     ///
     /// # Errors
     ///
     /// If there is no usable answer.
-    pub async fn end(&self, lease: u64) -> Result<(), ReadError> {
-        self.reading(0, self.platform.end(lease)).await
+    pub async fn revoke(&self, lease: u64) -> Result<(), ReadError> {
+        self.reading(0, self.platform.revoke(lease)).await
     }
 
     /// See [`Platform::write`].
--- a/src/cell/turn.rs
+++ b/src/cell/turn.rs
@@ -168,7 +168,7 @@
     ) {
         self.finish_input(stats, now);
         let waited = now.saturating_sub(sent_at);
-        stats.took(kind.wait(), waited / 1_000);
+        stats.record_latency(kind.wait(), waited / 1_000);
         if waited >= self.oldest.0 {
             self.oldest = (waited, kind);
         }
@@ -179,14 +179,14 @@
     /// The current input, if there is one, has been handled.
     pub fn finish_input(&mut self, stats: &Stats, now: Micros) {
         if let Some((kind, since)) = self.current.take() {
-            stats.took_micros(kind.handling(), now.saturating_sub(since));
+            stats.record_duration(kind.handling(), now.saturating_sub(since));
         }
     }
 
     /// What has become possible was done, from `since` until now.
     pub fn advanced(&mut self, stats: &Stats, since: Micros, now: Micros) {
         self.advance = now.saturating_sub(since);
-        stats.took_micros("advance", self.advance);
+        stats.record_duration("advance", self.advance);
     }
 
     /// The turn ends.
@@ -205,12 +205,12 @@
             oldest: self.oldest,
             looked: looked.since(&self.looked),
         };
-        stats.took_micros("turn", took.turn);
-        stats.took_micros("turn_cpu", took.cpu);
-        stats.saw("turn_inputs", took.inputs);
+        stats.record_duration("turn", took.turn);
+        stats.record_duration("turn_cpu", took.cpu);
+        stats.record_size("turn_inputs", took.inputs);
         if took.looked.rounds > took.looked.deferred {
-            stats.saw("round_steps", took.looked.steps);
-            stats.saw("round_executors", took.looked.executors);
+            stats.record_size("round_steps", took.looked.steps);
+            stats.record_size("round_executors", took.looked.executors);
         }
         took
     }
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
+use puffinknot::cell::leader_search::LeaderSearch;
 use puffinknot::cell::ports::Leader;
-use puffinknot::cell::search::Search;
 
 fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 1))
@@ -19,7 +19,7 @@
 #[test]
 fn a_leader_that_was_just_heard_of_is_tried_first() {
     for earlier in 0..4 {
-        let mut search = Search::default();
+        let mut search = LeaderSearch::default();
         for _ in 0..earlier {
             search.next(None, &[address(8), address(9)]);
         }
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_leader_that_does_not_answer_does_not_hide_a_newer_one() {
-    let mut search = Search::default();
+    let mut search = LeaderSearch::default();
     let old = leader(1, 5);
     let others = [address(8), address(9)];
     let tried: Vec<_> =
@@ -45,5 +45,5 @@
 
 #[test]
 fn nobody_is_tried_if_nobody_is_known() {
-    assert_eq!(Search::default().next(None, &[]), None);
+    assert_eq!(LeaderSearch::default().next(None, &[]), None);
 }
