--- a/src/cell/channel.rs
+++ b/src/cell/channel.rs
@@ -1,8 +1,8 @@
 /*!
-Messages between two nodes: one HTTP/2 stream each way.
+Message channels between two nodes, over one bidirectional HTTP/2 stream.
 
-A message is encoded with `bincode` and preceded by its length. Messages that
-are sent within one turn of the event loop leave together.
+Each message is encoded with `bincode` and prefixed with its length. Messages
+sent within one iteration of the event loop leave together.
 */
 
 use std::cell::RefCell;
@@ -20,14 +20,14 @@
 
 use crate::wire;
 
-/// A connection must be made within this time.
+/// The timeout for opening a channel, and for each step of accepting one.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// The flow-control window of a stream and of a connection, in bytes.
-const WINDOW: u32 = 4 << 20;
-/// The bytes of a message's length.
-const LENGTH: usize = 4;
+/// The initial flow-control window of a stream and of a connection.
+const WINDOW_BYTES: u32 = 4 << 20;
+/// The size of the length prefix of a message.
+const PREFIX_BYTES: usize = 4;
 
-/// The sending side of a channel. Clones send on the same channel.
+/// The sending half of a channel. Clones send on the same channel.
 #[derive(Clone)]
 pub struct Sender {
     stream: Rc<RefCell<SendStream<Bytes>>>,
@@ -38,24 +38,25 @@
         Sender { stream: Rc::new(RefCell::new(stream)) }
     }
 
-    /// Sends a message. Returns whether the channel is still open.
+    /// Queues a message. Returns `false` if it cannot be sent, usually because
+    /// the channel is closed.
     pub fn send<T: Serialize>(&self, message: &T) -> bool {
         let Ok(bytes) = wire::encode(message) else { return false };
-        let mut frame = BytesMut::with_capacity(LENGTH + bytes.len());
+        let mut frame = BytesMut::with_capacity(PREFIX_BYTES + bytes.len());
         frame.put_u32(bytes.len() as u32);
         frame.extend_from_slice(&bytes);
         let mut stream = self.stream.borrow_mut();
         stream.send_data(frame.freeze(), false).is_ok()
     }
 
-    /// Ends the channel.
+    /// Resets the stream, which closes the channel in both directions.
     pub fn close(&self) {
         let mut stream = self.stream.borrow_mut();
         stream.send_reset(h2::Reason::CANCEL);
     }
 }
 
-/// The receiving side of a channel.
+/// The receiving half of a channel.
 pub struct Receiver {
     stream: RecvStream,
     buffer: BytesMut,
@@ -66,16 +67,17 @@
         Receiver { stream, buffer: BytesMut::new() }
     }
 
-    /// The next message, or `None` if the channel has ended.
+    /// Waits for the next message. Returns `None` if the channel is closed, or
+    /// the message is too long or can't be decoded.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Option<T> {
         loop {
-            if self.buffer.len() >= LENGTH {
-                let length = (&self.buffer[..LENGTH]).get_u32() as usize;
+            if self.buffer.len() >= PREFIX_BYTES {
+                let length = (&self.buffer[..PREFIX_BYTES]).get_u32() as usize;
                 if length > wire::MAX_MESSAGE {
                     return None;
                 }
-                if self.buffer.len() >= LENGTH + length {
-                    self.buffer.advance(LENGTH);
+                if self.buffer.len() >= PREFIX_BYTES + length {
+                    self.buffer.advance(PREFIX_BYTES);
                     let message = self.buffer.split_to(length);
                     return wire::decode(&message).ok();
                 }
@@ -88,12 +90,12 @@
     }
 }
 
-/// Why a channel can't be opened.
+/// Why a channel could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// The machine answers, but nobody listens there: the process is gone.
+    /// The machine answers, but no process listens on the port.
     ConnectionRefused,
-    /// There is no answer in time, or it breaks off.
+    /// The peer did not answer in time, or the connection failed.
     Unreachable,
 }
 
@@ -101,7 +103,7 @@
 ///
 /// # Errors
 ///
-/// Why it can't be opened.
+/// Fails if the peer refuses the connection or can't be reached.
 pub async fn open(peer: SocketAddr) -> Result<(Sender, Receiver), OpenError> {
     let opened = timeout(CONNECT_TIMEOUT, connect(peer)).await;
     opened.unwrap_or(Err(OpenError::Unreachable))
@@ -125,13 +127,13 @@
     let text = |err: &dyn std::fmt::Display| err.to_string();
     tcp.set_nodelay(true).map_err(|e| text(&e))?;
     let (client, connection) = h2::client::Builder::new()
-        .initial_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW)
+        .initial_window_size(WINDOW_BYTES)
+        .initial_connection_window_size(WINDOW_BYTES)
         .handshake(tcp)
         .await
         .map_err(|e| text(&e))?;
     actix_rt::spawn(async move {
-        // Whoever uses the channel sees its end.
+        // The user of the channel notices that the connection has ended.
         let _ = connection.await;
     });
     let mut client = client.ready().await.map_err(|e| text(&e))?;
@@ -144,8 +146,8 @@
     Ok((Sender::new(stream), receiver))
 }
 
-/// Accepts a channel on a connection, and drives the connection until it
-/// ends. `serve` is given the channel.
+/// Accepts a channel on a connection, passes it to `serve`, and drives the
+/// connection until it ends.
 pub async fn accept<F, Fut>(tcp: TcpStream, serve: F)
 where
     F: FnOnce(Sender, Receiver) -> Fut,
@@ -153,8 +155,8 @@
 {
     let _ = tcp.set_nodelay(true);
     let builder = h2::server::Builder::new()
-        .initial_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW)
+        .initial_window_size(WINDOW_BYTES)
+        .initial_connection_window_size(WINDOW_BYTES)
         .max_concurrent_streams(1)
         .handshake(tcp);
     let Ok(Ok(mut connection)) = timeout(CONNECT_TIMEOUT, builder).await
@@ -167,6 +169,6 @@
     let Ok(stream) = respond.send_response(head, false) else { return };
     let receiver = Receiver::new(request.into_body());
     actix_rt::spawn(serve(Sender::new(stream), receiver));
-    // The channel sees the end of the connection.
+    // The user of the channel notices that the connection has ended.
     while let Some(Ok(_)) = connection.accept().await {}
 }
--- a/src/cell/logging.rs
+++ b/src/cell/logging.rs
@@ -1,10 +1,11 @@
 /*!
-Structured logs on standard output: one JSON object a line.
+Structured logs on standard output, one JSON object per line.
 
-Writing never holds up a decision: lines go through a bounded queue to a
-thread of their own, and what does not fit is dropped. Each kind of line has
-a budget for each second, so that one kind can't push out the others. What
-was dropped for either reason is counted, and a line says so.
+Writing never blocks the event loop: lines go through a bounded queue to a
+separate thread, and lines that don't fit are dropped. Each kind of line, that
+is, each call site, has a budget per second, so that one kind can't crowd out
+the others. Lines dropped for either reason are counted, and the counts are
+logged.
 */
 
 use std::cell::RefCell;
@@ -21,23 +22,24 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-/// Lines of one kind in a second, at the most.
+/// The budget of each kind of line.
 pub const MAX_LINES_PER_SECOND: u32 = 400;
-/// Lines that wait to be written, at the most.
-const QUEUE: usize = 4_096;
-/// How often it is said what was dropped.
+/// The maximum number of lines that wait to be written.
+const QUEUE_LINES: usize = 4_096;
+/// How often dropped lines are reported.
 pub const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What was let through of each kind of line in this second.
+/// Counts the lines of each kind in the current second.
 #[derive(Default)]
 pub struct LineBudget {
+    /// When the current second began.
     since: Option<Instant>,
     lines: HashMap<Identifier, u32>,
     dropped: u64,
 }
 
 impl LineBudget {
-    /// Whether one more line of this kind may be written now.
+    /// Counts a line of this kind, and returns whether it may be written.
     pub fn admits(&mut self, kind: Identifier, now: Instant) -> bool {
         let second = Duration::from_secs(1);
         if self.since.is_none_or(|since| now >= since + second) {
@@ -51,40 +53,40 @@
         admitted
     }
 
-    /// How many lines were dropped since the last time.
+    /// Returns how many lines were dropped since the last call.
     pub fn take_dropped(&mut self) -> u64 {
         std::mem::take(&mut self.dropped)
     }
 }
 
 thread_local! {
-    static LINES: RefCell<LineBudget> = RefCell::default();
+    static LINE_BUDGET: RefCell<LineBudget> = RefCell::default();
 }
 
 fn admits(metadata: &Metadata<'_>) -> bool {
     if *metadata.level() > Level::INFO {
         return false;
     }
-    // A line that is written while another is decided on passes.
-    LINES.with(|lines| match lines.try_borrow_mut() {
-        Ok(mut lines) => lines.admits(metadata.callsite(), Instant::now()),
+    // A line logged during the check of another one passes unchecked.
+    LINE_BUDGET.with(|budget| match budget.try_borrow_mut() {
+        Ok(mut budget) => budget.admits(metadata.callsite(), Instant::now()),
         Err(_) => true,
     })
 }
 
-/// What must be kept for lines to be written.
+/// Keeps the writer thread running. Lines are lost once this is dropped.
 pub struct Logs {
     _guard: WorkerGuard,
-    queue: ErrorCounter,
+    queue_errors: ErrorCounter,
 }
 
-/// Begins to write lines to standard output.
+/// Installs the subscriber that writes lines to standard output.
 pub fn init() -> Logs {
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(QUEUE)
+        .buffered_lines_limit(QUEUE_LINES)
         .lossy(true)
         .finish(std::io::stdout());
-    let queue = writer.error_counter();
+    let queue_errors = writer.error_counter();
     let lines = tracing_subscriber::fmt::layer()
         .json()
         .flatten_event(true)
@@ -92,21 +94,26 @@
         .with_writer(writer)
         .with_filter(filter_fn(admits).with_max_level_hint(Level::INFO));
     tracing_subscriber::registry().with(lines).init();
-    Logs { _guard: guard, queue }
+    Logs { _guard: guard, queue_errors }
 }
 
 impl Logs {
-    /// Says from time to time what was dropped, for ever.
+    /// Logs the number of dropped lines periodically. Never returns.
     pub async fn report(&self) {
         let mut reported = 0;
         loop {
             tokio::time::sleep(REPORT_INTERVAL).await;
-            let over = LINES.with(|l| l.borrow_mut().take_dropped());
-            let queue = self.queue.dropped_lines();
-            if over > 0 || queue > reported {
-                let full = queue - reported;
-                reported = queue;
-                warn!(over_budget = over, queue_full = full, "lines_dropped");
+            let over_budget =
+                LINE_BUDGET.with(|b| b.borrow_mut().take_dropped());
+            let queue_dropped = self.queue_errors.dropped_lines();
+            if over_budget > 0 || queue_dropped > reported {
+                let queue_full = queue_dropped - reported;
+                reported = queue_dropped;
+                warn!(
+                    over_budget = over_budget,
+                    queue_full = queue_full,
+                    "lines_dropped"
+                );
             }
         }
     }
--- a/src/cell/shutdown.rs
+++ b/src/cell/shutdown.rs
@@ -1,12 +1,13 @@
 /*!
-A planned stop.
+Graceful shutdown.
 
-The node says that it is not ready, passes the lead on, and goes on answering:
-clients keep the connections that they have. It ends once it has nothing to
-answer, after the time that others need to send clients elsewhere. Where
-answers don't come, its time runs out first. Some while before that it closes:
-what is open is given up and answered, and what still comes is refused at
-once, so that no request is cut off by the end of the process.
+The node reports that it is not ready, hands the leadership over, and keeps
+answering requests, since clients keep the connections that they have. Load
+balancers need some time to send clients to other nodes; after that the
+process exits as soon as no request is open, or at the latest when the
+shutdown timeout expires. Shortly before the timeout the node enters the
+closing phase: it gives up open requests and answers them, and refuses new
+ones at once, so that no request is cut off by the exit of the process.
 */
 
 use std::cell::Cell;
@@ -19,58 +20,63 @@
 use crate::cell::node::Shared;
 use crate::cell::ports::Platform;
 
-/// Requests are taken for at least this part of the time for a stop.
-const DRAIN_PART: f64 = 0.6;
-/// The process ends so long before its time is over, in milliseconds.
-const SPARE: Millis = 700;
-/// The node closes so long before that, in milliseconds, for the answers to
-/// what is open. Chosen, not measured.
-const CLOSING: Millis = 400;
-/// How often it is looked whether all are answered.
-const STEP: Duration = Duration::from_millis(50);
+/// The node accepts requests for at least this part of the shutdown timeout.
+const MIN_DRAIN_FRACTION: f64 = 0.6;
+/// The process exits this long before the shutdown timeout expires.
+const EXIT_MARGIN_MS: Millis = 700;
+/// The closing phase starts this long before the exit, so that the answers to
+/// open requests can be sent.
+const CLOSING_MS: Millis = 400;
+/// How often the number of open requests is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether the node takes no more requests, and gives up those it has.
+/// The closing phase, in which the node refuses new requests and gives up
+/// open ones.
 #[derive(Default)]
 pub struct Closing {
     begun: Cell<bool>,
-    told: Notify,
+    started: Notify,
 }
 
 impl Closing {
-    /// Whether it has begun.
+    /// Whether the closing phase has begun.
     pub fn has_begun(&self) -> bool {
         self.begun.get()
     }
 
-    /// Waits until it begins.
+    /// Waits until the closing phase begins.
     pub async fn begun(&self) {
-        let told = self.told.notified();
+        let started = self.started.notified();
         if !self.begun.get() {
-            told.await;
+            started.await;
         }
     }
 
     fn begin(&self) {
         self.begun.set(true);
-        self.told.notify_waiters();
+        self.started.notify_waiters();
     }
 }
 
-/// Waits until clients have gone elsewhere and all are answered, at the most
-/// for what the settings give a stop, counted from `started`.
+/// Waits until clients have had time to switch to other nodes and no request
+/// is open, or until the shutdown timeout, counted from `started`, is nearly
+/// over.
 pub(super) async fn drain<P: Platform>(shared: &Shared<P>, started: Instant) {
-    let within = shared.settings.borrow().shutdown_timeout;
-    let least = Duration::from_millis((within as f64 * DRAIN_PART) as u64);
-    let most = Duration::from_millis(within.saturating_sub(SPARE));
-    let closes = most.saturating_sub(Duration::from_millis(CLOSING));
+    let shutdown_timeout = shared.settings.borrow().shutdown_timeout;
+    let min = Duration::from_millis(
+        (shutdown_timeout as f64 * MIN_DRAIN_FRACTION) as u64,
+    );
+    let max =
+        Duration::from_millis(shutdown_timeout.saturating_sub(EXIT_MARGIN_MS));
+    let closing_at = max.saturating_sub(Duration::from_millis(CLOSING_MS));
     loop {
-        tokio::time::sleep(STEP).await;
-        let past = started.elapsed();
+        tokio::time::sleep(POLL_INTERVAL).await;
+        let elapsed = started.elapsed();
         let idle = shared.open_requests.get() == 0;
-        if past >= most || (idle && past >= least) {
+        if elapsed >= max || (idle && elapsed >= min) {
             return;
         }
-        if past >= closes && !shared.closing.has_begun() {
+        if elapsed >= closing_at && !shared.closing.has_begun() {
             shared.closing.begin();
         }
     }
--- a/src/cell/stats.rs
+++ b/src/cell/stats.rs
@@ -1,8 +1,9 @@
 /*!
-Counters and latency histograms, as text in the Prometheus exposition form.
+Counters and histograms in the Prometheus text exposition format.
 
-`cadence` pushes to a StatsD server; here the figures are fetched, so that
-they are kept in the process (`hdrhistogram`) and rendered when asked for.
+Metrics are scraped here, while `cadence` pushes to a StatsD server. The
+process therefore keeps the values, distributions with `hdrhistogram`, and
+renders them on request.
 */
 
 use std::cell::{Cell, RefCell};
@@ -16,48 +17,47 @@
 
 use crate::clock::Micros;
 
-/// The digits of a latency that are kept.
-const DIGITS: u8 = 2;
-/// The longest latency that is told from longer ones, in milliseconds.
-const LONGEST: Millis = 60_000;
-/// The largest size that is told from larger ones.
-const LARGEST: u64 = 10_000_000;
-/// The accounts that are shown at the most: more would make a page that
-/// nobody reads and a series for each that somebody keeps.
-const MOST_ACCOUNTS: usize = 64;
-/// The quantiles that are shown.
+/// The significant digits that histograms keep of a value.
+const SIGNIFICANT_DIGITS: u8 = 2;
+/// Longer latencies are recorded as this value.
+const MAX_LATENCY_MS: Millis = 60_000;
+/// Larger sizes are recorded as this value.
+const MAX_SIZE: u64 = 10_000_000;
+/// The maximum number of client accounts on the page. Each one adds time
+/// series that the scraper has to keep, and a longer page is not read.
+const MAX_ACCOUNTS: usize = 64;
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
 
-/// The figures of one process.
+/// The metrics of one process.
 #[derive(Default)]
 pub struct Stats {
     counters: RefCell<BTreeMap<&'static str, u64>>,
-    /// Counters of the scheduler, while this node leads.
-    leading: RefCell<BTreeMap<&'static str, u64>>,
+    /// Counters of the scheduler, set while this node leads.
+    leader_counters: RefCell<BTreeMap<&'static str, u64>>,
     latencies: RefCell<Family>,
-    /// What is too short for milliseconds.
-    times: RefCell<Family>,
+    /// Durations that need microsecond resolution.
+    durations: RefCell<Family>,
     sizes: RefCell<Family>,
-    /// How long the process's loop has not waited, in microseconds.
-    busy: Cell<Micros>,
-    /// What client accounts have running, while this node leads.
+    /// How long the event loop has been busy in total.
+    busy_time: Cell<Micros>,
+    /// The usage of client accounts, set while this node leads.
     accounts: RefCell<Vec<AccountUsage>>,
     cordons: RefCell<Cordons>,
 }
 
-/// Distributions of one unit, by their names.
+/// Distributions of values in one unit, by name.
 type Family = BTreeMap<&'static str, Distribution>;
 
-/// How a figure is distributed, and its sum: the mean of a time is the sum's
-/// growth divided by that of the count.
+/// A histogram and the sum of its values. The mean over an interval is the
+/// increase of the sum divided by the increase of the count.
 struct Distribution {
     histogram: Histogram<u64>,
     sum: u64,
 }
 
 impl Distribution {
-    fn new(most: u64) -> Distribution {
-        let histogram = Histogram::new_with_max(most, DIGITS)
+    fn new(max: u64) -> Distribution {
+        let histogram = Histogram::new_with_max(max, SIGNIFICANT_DIGITS)
             .unwrap_or_else(|_| unreachable!("the bounds are constant"));
         Distribution { histogram, sum: 0 }
     }
@@ -86,18 +86,14 @@
     }
 }
 
-fn record(
-    family: &RefCell<Family>,
-    name: &'static str,
-    value: u64,
-    most: u64,
-) {
+fn record(family: &RefCell<Family>, name: &'static str, value: u64, max: u64) {
     let mut family = family.borrow_mut();
     let distribution = family.entry(name);
-    distribution.or_insert_with(|| Distribution::new(most)).record(value);
+    distribution.or_insert_with(|| Distribution::new(max)).record(value);
 }
 
-/// What a client account has running, and may have, in thousandths of a core.
+/// The processor time that the running tasks of a client account use, and its
+/// limit, in thousandths of a core.
 struct AccountUsage {
     account: String,
     cpu_millis: u32,
@@ -105,23 +101,23 @@
 }
 
 impl Stats {
-    /// Counts an event.
+    /// Increments the counter of an event.
     pub fn count(&self, name: &'static str) {
         *self.counters.borrow_mut().entry(name).or_default() += 1;
     }
 
-    /// Takes over the counters of the scheduler.
+    /// Replaces the counters of the scheduler.
     pub fn set_leader_counters(&self, counters: &BTreeMap<&'static str, u64>) {
-        self.leading.borrow_mut().clone_from(counters);
+        self.leader_counters.borrow_mut().clone_from(counters);
     }
 
-    /// Takes over what client accounts have running: those with the most, up
-    /// to a bound.
-    pub fn set_accounts<'a>(&self, all: impl Iterator<Item = Usage<'a>>) {
-        let mut all: Vec<Usage> = all.collect();
-        all.sort_by_key(|usage| u32::MAX - usage.used.cpu_millis);
-        all.truncate(MOST_ACCOUNTS);
-        let rows = all.into_iter().map(|usage| AccountUsage {
+    /// Replaces the usage of client accounts. Only those that use the most
+    /// processor time are kept, up to a fixed number.
+    pub fn set_accounts<'a>(&self, usages: impl Iterator<Item = Usage<'a>>) {
+        let mut usages: Vec<Usage> = usages.collect();
+        usages.sort_by_key(|usage| u32::MAX - usage.used.cpu_millis);
+        usages.truncate(MAX_ACCOUNTS);
+        let rows = usages.into_iter().map(|usage| AccountUsage {
             account: usage.account.to_string(),
             cpu_millis: usage.used.cpu_millis,
             limit: usage.limit.cpu_millis,
@@ -129,32 +125,32 @@
         *self.accounts.borrow_mut() = rows.collect();
     }
 
-    /// Takes over which data centres take no new work.
+    /// Replaces the set of cordoned data centres.
     pub fn set_cordons(&self, cordons: &Cordons) {
         self.cordons.borrow_mut().clone_from(cordons);
     }
 
-    /// Takes in how long something took.
-    pub fn record_latency(&self, name: &'static str, time: Millis) {
-        record(&self.latencies, name, time, LONGEST);
+    /// Adds a value to a histogram of latencies, in milliseconds.
+    pub fn record_latency(&self, name: &'static str, latency: Millis) {
+        record(&self.latencies, name, latency, MAX_LATENCY_MS);
     }
 
-    /// Takes in how long something short took.
-    pub fn record_duration(&self, name: &'static str, time: Micros) {
-        record(&self.times, name, time, LONGEST * 1_000);
+    /// Adds a value to a histogram of durations, in microseconds.
+    pub fn record_duration(&self, name: &'static str, duration: Micros) {
+        record(&self.durations, name, duration, MAX_LATENCY_MS * 1_000);
     }
 
-    /// Takes in how many there were of something at one time.
-    pub fn record_size(&self, name: &'static str, count: u64) {
-        record(&self.sizes, name, count, LARGEST);
+    /// Adds a value to a histogram of sizes.
+    pub fn record_size(&self, name: &'static str, size: u64) {
+        record(&self.sizes, name, size, MAX_SIZE);
     }
 
-    /// Takes over for how long the process's loop has not waited.
-    pub fn set_busy(&self, busy: Micros) {
-        self.busy.set(busy);
+    /// Sets how long the event loop has been busy since the process started.
+    pub fn set_busy(&self, busy_time: Micros) {
+        self.busy_time.set(busy_time);
     }
 
-    /// All figures as text.
+    /// All metrics in the Prometheus text exposition format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let mut counter = |kind: &str, name: &str, value: u64| {
@@ -166,7 +162,7 @@
         for (name, value) in self.counters.borrow().iter() {
             counter("node", name, *value);
         }
-        for (name, value) in self.leading.borrow().iter() {
+        for (name, value) in self.leader_counters.borrow().iter() {
             counter("leader", name, *value);
         }
         for row in self.accounts.borrow().iter() {
@@ -186,14 +182,18 @@
                  {revision}"
             );
         }
-        let _ = writeln!(text, "puffinknot_busy_us_total {}", self.busy.get());
+        let _ = writeln!(
+            text,
+            "puffinknot_busy_us_total {}",
+            self.busy_time.get()
+        );
         let families = [
             ("latency_ms", &self.latencies),
-            ("time_us", &self.times),
+            ("time_us", &self.durations),
             ("size", &self.sizes),
         ];
-        for (family, all) in families {
-            for (name, distribution) in all.borrow().iter() {
+        for (family, distributions) in families {
+            for (name, distribution) in distributions.borrow().iter() {
                 distribution.render(&mut text, family, name);
             }
         }
