--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -1,13 +1,13 @@
 /*!
 A node of a cell that runs batch jobs.
 
-All nodes are alike. Each takes requests from clients; one of them at a time
-leads the cell and decides. What lasts is in a store that somebody else runs,
-and what the store, executors and clients speak is behind [`ports`], so that
-nothing here knows any platform's names.
+All nodes are alike. Each accepts client requests; one at a time leads the
+cell and makes the decisions. Durable state is in an external store. The
+protocols of the store, of executors and of clients are behind [`ports`], so
+that nothing here depends on the names of a platform.
 
-* [`ports`] is what a platform has to provide.
-* [`node`] puts a node together and runs it.
+* [`ports`] is the interface that a platform implements.
+* [`node`] assembles a node and runs it.
 * [`follow`] learns the operators' policy and who leads.
 * [`lead`] runs the scheduler while this node leads.
 * [`store`] makes calls to the store with as much [`patience`] as it needs.
@@ -15,14 +15,14 @@
 * [`backlog`] knows whether the store may have more changes than it has told.
 * [`order`] is what executors are told, and [`relay`] how orders reach them
   by other nodes.
-* [`link`] carries requests to the leader; [`channel`] is what it uses.
-* [`reachability`] knows whether this node can serve clients, and [`leader_search`] whom to
-  try on the way to the leader.
-* [`logging`] and [`stats`] are what on-call engineers look at.
+* [`link`] connects each node to the leader, over a [`channel`].
+* [`reachability`] tracks whether this node can serve clients, and
+  [`leader_search`] chooses the nodes to try to find the leader.
+* [`logging`] and [`stats`] provide logs and metrics for on-call engineers.
 * [`decisions`] logs what the leader decides, and from what; [`turn`] measures
   how long that takes, and how long inputs wait for it.
-* [`ingress`] answers clients, and whoever asks whether the node is ready;
-  [`shutdown`] ends the node so that all are answered.
+* [`ingress`] answers client requests, readiness checks and metrics scrapes;
+  [`shutdown`] stops the node after all requests are answered.
 */
 
 pub mod backlog;
