--- a/src/cell/ingress.rs
+++ b/src/cell/ingress.rs
@@ -170,8 +170,8 @@
     Some(KeyDigest::of(key.as_bytes()))
 }
 
-/// Whether the key is missing, or certainly unknown. If the policy of this node
-/// may be outdated, the key may be a new one and the leader decides.
+/// Whether the key is missing, or certainly unknown. If the policy of this
+/// node may be outdated, the key may be a new one and the leader decides.
 fn is_certainly_unknown<P: Platform>(
     shared: &Shared<P>,
     key: &Option<KeyDigest>,
--- a/src/cell/link.rs
+++ b/src/cell/link.rs
@@ -223,8 +223,8 @@
     }
 }
 
-/// Handles a refused connection. If the address is the leader's, its process is
-/// gone while its lease has not expired, and this node may replace it.
+/// Handles a refused connection. If the address is the leader's, its process
+/// is gone while its lease has not expired, and this node may replace it.
 fn handle_refused<P: Platform>(shared: &Rc<Shared<P>>, address: SocketAddr) {
     let Some(leader) = shared.leader() else { return };
     if leader.address == address {
@@ -403,7 +403,7 @@
         match listener.accept().await {
             Ok((tcp, _)) => {
                 let shared = shared.clone();
-                actix_rt::spawn(accept(tcp, shared));
+                actix_rt::spawn(accept_peer(tcp, shared));
             }
             Err(error) => {
                 warn!(%error, "accept_failed");
@@ -413,7 +413,7 @@
     }
 }
 
-async fn accept<P: Platform>(tcp: TcpStream, shared: Rc<Shared<P>>) {
+async fn accept_peer<P: Platform>(tcp: TcpStream, shared: Rc<Shared<P>>) {
     channel::accept(tcp, |sender, receiver| async move {
         serve_peer(shared, &sender, receiver).await;
         sender.close();
@@ -472,8 +472,8 @@
                 if version >= own_version {
                     policy_outdated = false;
                 } else if std::mem::replace(&mut policy_outdated, true) {
-                    // The node was outdated at the previous ping already, so it
-                    // has had time to read the policy from the store.
+                    // The node was outdated at the previous ping already, so
+                    // it has had time to read the policy from the store.
                     if let Some(value) = shared.raw_policy() {
                         sender.send(&ToNode::Policy(value.to_vec()));
                     }
--- a/src/cell/node.rs
+++ b/src/cell/node.rs
@@ -73,9 +73,9 @@
 }
 
 impl NodeSettings {
-    /// The lease of the leader key, in milliseconds. On a narrow link, renewals
-    /// queue behind the data that a takeover reads; with a shorter lease, the
-    /// key would expire before the takeover is complete.
+    /// The lease of the leader key, in milliseconds. On a narrow link,
+    /// renewals queue behind the data that a takeover reads; with a shorter
+    /// lease, the key would expire before the takeover is complete.
     pub fn key_lease(&self) -> Millis {
         self.leader_lease + store::takeover_time(self.link_bytes_per_ms)
     }
@@ -84,9 +84,10 @@
 /// How long a leader may send orders after the store has last confirmed its
 /// lease.
 pub const MAX_UNCONFIRMED_MS: Millis = 6_000;
-/// The timeout for the leader's answer to a request.
+/// The timeout for a request to the leader, retries included.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// How long a request waits for a leader while none is known.
+/// How long a request that was not sent yet waits for a connection to a
+/// leader.
 const LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The delay before a request is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -208,8 +209,8 @@
     }
 
     /// Puts a policy into effect and passes it to the leader on this node.
-    /// Ignores it if the policy in effect is at least as new, or if it can't be
-    /// parsed.
+    /// Ignores it if the policy in effect is at least as new, or if it can't
+    /// be parsed.
     pub fn learn_policy(&self, value: &[u8]) {
         let known = self.raw_policy.borrow();
         if known.as_ref().is_some_and(|known| known.as_slice() == value) {
@@ -245,8 +246,8 @@
         }
     }
 
-    /// Stores a maintenance wave and passes it to the leader on this node if it
-    /// is new or has changed.
+    /// Stores a maintenance wave, and passes it to the leader on this node if
+    /// it is new or has changed.
     pub fn learn_wave(&self, value: &[u8]) {
         let wave = match self.platform.wave(value) {
             Ok(wave) => wave,
@@ -293,7 +294,7 @@
     }
 
     /// Stores the cordons, unless those known are at least as new, and reports
-    /// them to the leader, which the store may not answer.
+    /// them to the leader, since the store may not answer the leader.
     pub fn learn_cordons(&self, cordons: Cordons) {
         if cordons.since() <= self.cordons_since() {
             return;
@@ -322,9 +323,9 @@
     }
 
     /// Whether this node refuses to carry out a relayed order. It refuses to
-    /// start tasks if its data centre was cordoned after the state of the
-    /// cordons that the leader knew. The leader receives the cordons on the same
-    /// channel before it receives the answer.
+    /// start a task if its data centre is cordoned and the cordons it knows
+    /// are newer than those that the leader knew. The leader receives the
+    /// cordons on the same channel before it receives the answer.
     pub fn withholds(&self, relayed: &Relayed) -> bool {
         let withholds = relayed.order.is_start()
             && self.cordons_since() > relayed.cordons_since
@@ -358,9 +359,9 @@
     }
 
     /// Forwards a request to the leader and returns the outcome. If the leader
-    /// is lost before it answers, the request is sent again to the next leader,
-    /// which is safe because requests are idempotent. An isolated node answers
-    /// at once.
+    /// is lost before it answers, the request is sent again to the next
+    /// leader, which is safe because requests are idempotent. An isolated node
+    /// answers at once.
     pub async fn ask(&self, caller: Caller, request: Request) -> Outcome {
         if self.reachability.is_isolated() {
             self.count("refused_cut_off");
@@ -426,8 +427,8 @@
     }
 
     /// Whether this node may replace a leader whose lease has not expired. If
-    /// so, it may not do so again for [`REPLACE_INTERVAL_MS`], since the leader's
-    /// address may refuse connections only on the path from this node.
+    /// so, it may not do so again for a while, since the address of the leader
+    /// may refuse connections only on the path from this node.
     pub fn may_replace_leader(&self) -> bool {
         let now = clock::mono();
         let allowed = now >= self.replacement_allowed_at.get()
@@ -438,9 +439,9 @@
         allowed
     }
 
-    /// Whether this node may ask another one for its newer policy. If so, it may
-    /// not ask again for [`POLICY_REQUEST_INTERVAL_MS`]: the answers of all nodes
-    /// at once would fill a narrow link.
+    /// Whether this node may ask another one for its newer policy. If so, it
+    /// may not ask again for a while: the answers of all nodes at once would
+    /// fill a narrow link.
     pub fn may_request_policy(&self) -> bool {
         let now = clock::mono();
         let allowed = now >= self.policy_request_allowed_at.get();
@@ -451,8 +452,8 @@
         allowed
     }
 
-    /// The outcome of a request that is given up. It is unknown if a leader may
-    /// have accepted the request.
+    /// The outcome of a request that is given up. It is unknown if a leader
+    /// may have accepted the request.
     fn give_up(&self, sent: bool) -> Outcome {
         if sent {
             self.count("unknown_no_answer");
--- a/src/cell/reachability.rs
+++ b/src/cell/reachability.rs
@@ -25,13 +25,13 @@
 
 /// A leader that has sent nothing for this long may be unreachable. It answers
 /// every ping, and one answer may be late.
-const LEADER_TIMEOUT_MS: Millis = 600;
+const LEADER_MESSAGE_TTL_MS: Millis = 600;
 /// How long a leader counts as confirmed after the store has confirmed it. The
 /// leader asks for a confirmation twice a second, and a slow store takes a
 /// quarter of a second to answer.
 const CONFIRMATION_TTL_MS: Millis = 1_200;
 /// How often a node checks whether it can serve clients. Less than half of
-/// [`LEADER_TIMEOUT_MS`], so that the check adds little to that timeout.
+/// [`LEADER_MESSAGE_TTL_MS`], so that the check adds little to that timeout.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// A store that has answered within this time is not probed.
 const STORE_ANSWER_TTL_MS: Millis = 500;
@@ -71,7 +71,8 @@
     /// Whether a confirmed leader has sent a message recently.
     fn heard_recently(&self) -> bool {
         let last_heard_at = self.last_heard_at.get();
-        last_heard_at.is_some_and(|at| clock::mono() <= at + LEADER_TIMEOUT_MS)
+        last_heard_at
+            .is_some_and(|at| clock::mono() <= at + LEADER_MESSAGE_TTL_MS)
     }
 
     /// Whether neither a confirmed leader nor the store can be reached.
--- a/src/cell/shutdown.rs
+++ b/src/cell/shutdown.rs
@@ -35,7 +35,7 @@
 #[derive(Default)]
 pub struct Closing {
     begun: Cell<bool>,
-    started: Notify,
+    changed: Notify,
 }
 
 impl Closing {
@@ -46,15 +46,15 @@
 
     /// Waits until the closing phase begins.
     pub async fn begun(&self) {
-        let started = self.started.notified();
+        let changed = self.changed.notified();
         if !self.begun.get() {
-            started.await;
+            changed.await;
         }
     }
 
     fn begin(&self) {
         self.begun.set(true);
-        self.started.notify_waiters();
+        self.changed.notify_waiters();
     }
 }
 
--- a/src/cell/store.rs
+++ b/src/cell/store.rs
@@ -39,11 +39,11 @@
 /// A link that carries more bytes per millisecond counts as carrying this many
 /// when the timeout of a write is extended.
 const MAX_WRITE_BYTES_PER_MS: usize = 1_000;
-/// The initial timeout for reading a page of a range, mechanisms the time that
+/// The initial timeout for reading a page of a range, without the time that
 /// the link needs. Each page has its own timeout, so that reading the entries
 /// of all executors of a fleet, which takes long, is not started over.
 const INITIAL_PAGE_TIMEOUT_MS: Millis = 900;
-/// The maximum timeout for reading a page, mechanisms the time that the link
+/// The maximum timeout for reading a page, without the time that the link
 /// needs.
 const MAX_PAGE_TIMEOUT_MS: Millis = 4_000;
 /// Both page timeouts are extended by the time that the link needs for this
@@ -57,9 +57,9 @@
 /// The maximum time that is added for a takeover: if the leader falls silent,
 /// there is no leader for that much longer.
 const MAX_TAKEOVER_MS: Millis = 4_000;
-/// A store that answers after it has answered nothing for longer than this was
-/// unavailable. Less than the minimum timeout of a read, and more than the time
-/// between two calls of a leader.
+/// A store that answers after it has answered nothing for longer than this
+/// was unavailable. Less than the minimum timeout of a read, and more than the
+/// time between two calls of a leader.
 const MIN_OUTAGE_MS: Millis = 400;
 
 /// The time that is allowed for a takeover on a machine whose link carries
@@ -97,7 +97,7 @@
         link_bytes_per_ms: u32,
     ) -> Store<P> {
         let adaptive = mechanisms.enabled(StorePatience);
-        let timeout = |bounds: Bounds| {
+        let adaptive_timeout = |bounds: Bounds| {
             Patience::new(bounds.behind(link_bytes_per_ms), adaptive)
         };
         let link = link_bytes_per_ms.max(1);
@@ -105,8 +105,8 @@
         let page_link_time = Millis::from(RANGE_BYTES / link);
         Store {
             platform,
-            writes: timeout(WRITE_TIMEOUT),
-            reads: timeout(READ_TIMEOUT),
+            writes: adaptive_timeout(WRITE_TIMEOUT),
+            reads: adaptive_timeout(READ_TIMEOUT),
             page_timeout: Cell::new(INITIAL_PAGE_TIMEOUT_MS + page_link_time),
             page_link_time,
             write_bytes_per_ms: (carried / WRITE_SIZE_FACTOR).max(1),
