--- a/src/cell/channel.rs
+++ b/src/cell/channel.rs
@@ -93,7 +93,8 @@
 /// Why a channel could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// The machine answers, but no process listens on the port.
+    /// The machine answers, but nothing listens on the port: the process is
+    /// gone.
     ConnectionRefused,
     /// The peer did not answer in time, or the connection failed.
     Unreachable,
--- a/src/cell/ports.rs
+++ b/src/cell/ports.rs
@@ -106,7 +106,7 @@
     pub task: TaskKey,
     /// The number of the run.
     pub run: u64,
-    /// The spec of the task, passed to the executor as it is.
+    /// The spec of the task.
     pub spec: &'a str,
     /// When the executor's lease ends, on the executor's clock.
     pub due: Millis,
@@ -123,8 +123,8 @@
 pub struct LeaseRenewal {
     /// When the executor's lease ends, on the executor's clock.
     pub due: Option<Millis>,
-    /// The last event that the leader has acknowledged. The executor may
-    /// forget the ends of runs up to this one.
+    /// Ends of runs up to this number are acknowledged. The executor may
+    /// forget them.
     pub last_seen: u64,
     /// How long the executor may wait for a run to end before it answers, in
     /// milliseconds.
@@ -300,8 +300,7 @@
         within: Millis,
     ) -> Result<(), OrderFailure>;
 
-    /// Throttles a run to a percentage of the time. At 100 it is not
-    /// throttled.
+    /// Throttles a run to a share of the time, in percent.
     ///
     /// # Errors
     ///
