--- a/tests/jobs/world/cordons.rs
+++ b/tests/jobs/world/cordons.rs
@@ -1,9 +1,9 @@
-//! Data centres that operators empty, and what must hold then.
+//! Data centres that operators cordon, and the checks that apply then.
 
 use super::*;
 
 impl World {
-    /// Executors that lie in two data centres by turns.
+    /// Executors that alternate between two data centres.
     pub fn in_two_dcs(executors: usize) -> World {
         let mut world = World::new(executors);
         for (at, executor) in world.executors.iter_mut().enumerate() {
@@ -13,8 +13,8 @@
         world
     }
 
-    /// A data centre takes no new work from now on, or does again. All nodes
-    /// that lead, or think so, are told at once.
+    /// Cordons or uncordons a data centre. All nodes that lead, or think that
+    /// they do, are told at once.
     pub fn set_cordoned(&mut self, dc: &str, cordoned: bool) {
         let cordon = Cordon { dc: dc.into(), by: CordonSource::Platform };
         let revision = self.cordons.since() + 1;
@@ -33,8 +33,8 @@
         self.event(Event::Tick);
     }
 
-    /// A task has begun on an order that was not held up. Those that were
-    /// under way when the cordon came may arrive yet.
+    /// Checks a task that has started on an order that was not delayed. Orders
+    /// that were in flight when the cordon came may still arrive.
     pub(super) fn check_cordon(&mut self, at: usize, task: TaskKey, run: u64) {
         let dc = &self.executors[at].info.dc;
         let Some(since) = self.cordoned_at.get(dc) else { return };
--- a/tests/jobs/world/lives.rs
+++ b/tests/jobs/world/lives.rs
@@ -1,10 +1,11 @@
-//! Executors that die, crash and start again, and those that follow them.
+//! Executors that die, crash and restart, and the incarnations that replace
+//! them.
 
 use super::*;
 
 impl World {
-    /// The room of an executor changes while it runs. Its entry, which says
-    /// so, is not told yet.
+    /// Changes the capacity of an executor while it runs. The leader is not
+    /// told of its new entry yet.
     pub fn resize(&mut self, at: usize, capacity: Resources) {
         let now = self.now;
         let there = &mut self.executors[at];
@@ -12,14 +13,14 @@
         there.info.capacity = capacity;
     }
 
-    /// An executor dies without a word.
+    /// Makes an executor die silently.
     pub fn die(&mut self, at: usize) {
         self.note_crash(at);
         self.executors[at].dead = true;
         self.executors[at].running.clear();
     }
 
-    /// Takes down what runs on an executor that crashes.
+    /// Records the crash of an executor for each task that runs there.
     pub(super) fn note_crash(&mut self, at: usize) {
         let running = self.executors[at].running.keys();
         let counted: BTreeSet<TaskKey> = running
@@ -36,8 +37,9 @@
         }
     }
 
-    /// The process of an executor is gone, and its host says so. What waits
-    /// there is broken off, and another life begins after a while.
+    /// Crashes the process of an executor; unless `dark`, its host says so.
+    /// Renewals that wait there are aborted, and the next incarnation starts
+    /// after a delay.
     pub fn crash_by_itself(&mut self, at: usize, dark: bool) {
         if self.executors[at].dead {
             return;
@@ -74,7 +76,8 @@
         }
     }
 
-    /// Executors that have crashed are back, under other names.
+    /// Starts the next incarnations of executors that have crashed, under
+    /// other names unless the world keeps names.
     pub(super) fn begin_lives(&mut self) {
         let now = self.now;
         let (due, later) = std::mem::take(&mut self.coming_back)
@@ -101,15 +104,15 @@
         }
     }
 
-    /// An executor starts again at once, under its own name and at its own
-    /// address: what ran there is lost, and it knows nothing of before. Its
-    /// clock shows this. What waits there is broken off; with `silent`, it
-    /// goes unanswered instead. Its entry is not told yet.
+    /// Restarts an executor at once, under its own name and at its own
+    /// address: its runs are lost, and it remembers nothing. Its clock shows
+    /// `clock`. Renewals that wait there are aborted; with `silent`, they go
+    /// unanswered instead. The leader is not told of its entry yet.
     pub fn restart_untold(&mut self, at: usize, clock: Millis, silent: bool) {
         let waiting = self.take_waiting_holds(at);
         self.note_crash(at);
         self.next_life(at, clock);
-        // A reset does not pass a cut either.
+        // A reset does not get through to an isolated leader either.
         let silent = silent || self.executors[at].cut;
         for (due, executor, sent_at, token) in waiting {
             let given_up = due + HOLD_SLACK - self.now;
@@ -120,7 +123,8 @@
         }
     }
 
-    /// Lets an executor live anew under its name, with the faults that it had.
+    /// Begins the next incarnation of an executor under its name, with the
+    /// faults that it had.
     pub(super) fn next_life(&mut self, at: usize, clock: Millis) {
         self.drop_sealed_orders(at);
         let id = self.executors[at].info.id.clone();
@@ -129,7 +133,7 @@
         let there = &mut self.executors[at];
         next.info = there.info.clone();
         self.births += 1;
-        // Wall time may jump: a later birth is not a greater number.
+        // Wall time may jump, so a later birth time is not a greater number.
         next.info.born = Some(FIRST_BIRTH - self.births);
         next.lives = there.lives + 1;
         next.clock_from = (self.now, clock);
@@ -142,9 +146,9 @@
         *there = next;
     }
 
-    /// A late order that was sealed comes no more once the life that knew the
-    /// seal is over: its task may have started elsewhere since, and nobody can
-    /// tell the next life in time.
+    /// Drops the delayed orders that were sealed, since the incarnation that
+    /// knows the seals is over. Their tasks may have started elsewhere since,
+    /// and nobody can tell the next incarnation in time.
     pub(super) fn drop_sealed_orders(&mut self, at: usize) {
         let sealed = &self.executors[at].sealed;
         self.queue.retain(|_, pending| match pending {
@@ -160,8 +164,8 @@
         });
     }
 
-    /// The executor that lived last at an address starts there again under its
-    /// name, and tells its entry.
+    /// Restarts the last executor at an address under its name, and tells the
+    /// leader of its entry.
     pub(super) fn live_on(&mut self, address: &str) {
         let mut all = self.executors.iter();
         let at = all.rposition(|e| e.info.address == address);
@@ -170,13 +174,13 @@
         self.tell_entry(at);
     }
 
-    /// The same, and its entry is told.
+    /// Restarts an executor at once, and tells the leader of its entry.
     pub fn restart(&mut self, at: usize, clock: Millis) {
         self.restart_untold(at, clock, false);
         self.tell_entry(at);
     }
 
-    /// The executors that orders to start tasks are on their way to.
+    /// The executors to which start orders are in flight.
     pub fn starts_under_way(&self) -> Vec<usize> {
         let orders = self.queue.values().filter_map(|pending| match pending {
             Pending::Order(at, action, ..)
@@ -189,8 +193,8 @@
         orders.collect()
     }
 
-    /// Takes away the holds that wait at an executor, with the times until
-    /// which they do.
+    /// Removes the renewals that wait at an executor, and returns them with
+    /// the times until which they wait.
     pub(super) fn take_waiting_holds(
         &mut self,
         at: usize,
@@ -206,14 +210,14 @@
         waiting
     }
 
-    /// An executor dies; another life takes its address.
+    /// Makes an executor die and another incarnation take its address.
     pub fn crash(&mut self, at: usize, id: &str) {
         let next = self.crash_untold(at, id);
         self.tell_entry(next);
     }
 
-    /// The same, but the entry of the other life is not told yet. Returns
-    /// that life.
+    /// Like [`World::crash`], but the leader is not told of the entry of the
+    /// other incarnation yet. Returns that incarnation.
     pub fn crash_untold(&mut self, at: usize, id: &str) -> usize {
         self.die(at);
         let address = self.executors[at].info.address.clone();
@@ -223,7 +227,7 @@
         last
     }
 
-    /// The life that listens at the address of one that is dead.
+    /// The incarnation that listens at the address of a dead executor.
     pub(super) fn life_in_place_of(&self, at: usize) -> Option<usize> {
         let former = &self.executors[at];
         let mut lives = self.executors.iter();
@@ -233,14 +237,15 @@
         life.filter(|_| former.dead)
     }
 
-    /// An executor dies and is followed under another name, but it is not
-    /// told by the answers of that one that it is over.
+    /// Makes an executor die and be replaced under another name. The answers
+    /// of the replacement don't show that the former one is over.
     pub fn cut_off_and_follow(&mut self, at: usize, id: &str) {
         let address = self.executors[at].info.address.clone();
         self.die(at);
         self.add_executor(id);
         let last = self.executors.len() - 1;
-        // It listens elsewhere, as far as orders to the former one go.
+        // As far as orders to the former one go, the replacement listens
+        // elsewhere.
         self.executors[last].info.address = address;
         self.executors[at].info.address = String::new();
         self.left_out.insert(String::new());
--- a/tests/jobs/world/machines.rs
+++ b/tests/jobs/world/machines.rs
@@ -1,9 +1,9 @@
-//! The machines that executors live on: their list, and their upkeep.
+//! The machines that host executors: their list, and their maintenance.
 
 use super::*;
 
 impl World {
-    /// The machines: each is named as the address of its executors.
+    /// The list of machines. Each is named like the address of its executors.
     pub(super) fn machines(&self) -> Vec<MachineInfo> {
         let mut machines = BTreeMap::new();
         for executor in &self.executors {
@@ -31,8 +31,8 @@
         machines.into_values().collect()
     }
 
-    /// Takes a machine down for two seconds, unless the wave has done so
-    /// before.
+    /// Takes a machine down for two seconds, unless the wave has already done
+    /// so.
     pub(super) fn upkeep(
         &mut self,
         wave: u64,
@@ -61,7 +61,8 @@
         Ok(())
     }
 
-    /// Machines come back from their upkeep with new executors.
+    /// Brings machines back from maintenance, with new executors unless the
+    /// world keeps names.
     pub(super) fn come_back(&mut self) {
         let now = self.now;
         let back: Vec<String> = self
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -1,6 +1,6 @@
-//! A small world around the scheduler, in virtual time: a store, executors
-//! and a leader that may be replaced. Faults are switched on from outside,
-//! and an oracle watches what executors do.
+//! A simulation of a cell in virtual time: a store, executors and a leader
+//! that may be replaced. Tests inject faults, and an oracle checks what the
+//! executors do.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -32,52 +32,53 @@
 
 /// The longest lease of an executor.
 pub const LEASE: Millis = 6_000;
-/// A leader that nobody confirms orders for as long as this.
+/// How long a leader may give orders without its leadership being confirmed.
 pub const UNCONFIRMED: Millis = 6_000;
-/// What a predecessor ordered has lapsed after this time.
+/// After this time the orders of a former leader have expired.
 pub const INHERITED: Millis = 12_400;
-/// The time that a stop takes.
+/// The time that a run takes to stop.
 const STOP: Millis = 200;
-/// A member of a gang waits this long for the others.
+/// How long a member of a gang waits for the others.
 const GANG_WAIT: Millis = 3_000;
-/// The way to an executor or to the store, and back.
+/// The one-way latency to an executor or to the store.
 const WAY: Millis = 3;
-/// An order without answer is given up after this time.
+/// An order without an answer times out after this time.
 const ORDER_TIMEOUT: Millis = 300;
-/// A hold without answer is given up this long after its wait.
+/// A renewal without an answer times out this long after its wait.
 const HOLD_SLACK: Millis = 700;
 
-/// A commit that is declined is made again after this time.
+/// The time after which the leader learns that a commit was declined.
 const DECLINED: Millis = 20;
 
-/// How long a machine is down for its upkeep.
+/// How long maintenance takes a machine down.
 const UPKEEP: Millis = 2_000;
-/// How late a call for upkeep may be carried out.
+/// The delay of a maintenance call that is carried out late.
 const UPKEEP_LATE: Millis = 1_500;
-/// How long a task works on an executor that fails all.
+/// How long a task runs on an executor that fails everything.
 const FAILS_AFTER: Millis = 20;
-/// An executor that a task has crashed is back after this time.
+/// How long an executor that has crashed takes to restart.
 pub const BACK_AFTER: Millis = 2_500;
-/// After so many crashes under it, a task that crashes executors may be
-/// started at most [`MOST_MORE`] times more.
+/// After this many crashes of executors, a task that crashes them may be
+/// started [`MAX_EXTRA_STARTS`] more times at most.
 const CRASHES: usize = 3;
-/// See [`CRASHES`].
+/// See [`CRASH_THRESHOLD`].
 const MOST_MORE: u32 = 2;
-/// A task under which so many executors have crashed may be given up.
+/// A task may be given up once this many executors have crashed while it ran
+/// there.
 const MAY_GIVE_UP: usize = 2;
-/// Room that has shrunk binds after this time: until then the leader may not
-/// have read it.
+/// Reduced capacity binds after this time. Until then the leader may not have
+/// read it.
 const SHRUNK_AFTER: Millis = 4_000;
-/// The most ends that an account lists.
+/// The most run ends in one report.
 const ENDS_AT_ONCE: usize = 500;
-/// Births count down from this.
+/// The first birth time of a restarted executor. Later ones are lower.
 const FIRST_BIRTH: u64 = 1_000_000;
-/// How long each task works.
+/// How long each task runs.
 pub const WORK: Millis = 500;
 
 struct RunThere {
     run: u64,
-    /// The members of its gang, or none.
+    /// The size of its gang, if it is in one.
     gang: Option<u32>,
     work: Millis,
     since: Millis,
@@ -86,7 +87,7 @@
     need: Resources,
 }
 
-/// An executor as it really is.
+/// The true state of an executor.
 pub struct Executor {
     pub info: ExecutorInfo,
     token: u64,
@@ -95,36 +96,37 @@
     sealed: BTreeMap<TaskKey, u64>,
     ended: Vec<EndReport>,
     numbers: u64,
-    /// Neither orders nor answers pass.
+    /// Neither orders nor answers get through.
     pub cut: bool,
-    /// The same for the leader with this token only.
+    /// Like `isolated`, but for the leader with this token only.
     pub cut_from: Option<u64>,
-    /// The next orders are carried out, but not answered.
+    /// The number of orders that will be carried out but not answered.
     pub mute: u32,
-    /// The next orders are carried out this much later, unanswered.
+    /// If set, orders are carried out after this delay and not answered.
     pub late: Option<Millis>,
-    /// Orders arrive, and their answers come so much later than they are
-    /// waited for.
+    /// If set, orders arrive, but their answers come this long after the
+    /// leader has stopped waiting for them.
     pub held_up: Option<Millis>,
-    /// What comes of holds there is taken in so much later.
+    /// The leader processes the outcome of renewals this much later.
     pub told_late: Millis,
     pub dead: bool,
-    /// It is dead, and its host says so: connections are reset or refused.
+    /// The executor is dead and its host says so: connections are reset or
+    /// refused.
     pub resets: bool,
-    /// It answers at once that it can't give an account, but for those that
-    /// are under way.
+    /// Answers new renewals at once with the error that it is unhealthy.
+    /// Renewals that already wait there are not affected.
     pub unhealthy: bool,
-    /// All that it starts fails.
+    /// Every run that starts here fails.
     pub fails: bool,
     /// How much its clock loses, in thousandths.
     pub slow: u64,
-    /// How long tasks take there, in percent of what they should.
+    /// The duration of runs here, in percent of their normal duration.
     pub takes: Millis,
-    /// How often it has started again under its name.
+    /// How often it has restarted under its name.
     lives: u64,
-    /// When its life began, and what its clock showed then.
+    /// When its incarnation began, and the reading of its clock at that time.
     clock_from: (Millis, Millis),
-    /// The capacities that it had, and until when.
+    /// Its former capacities, each with the time until which it had it.
     capacities: Vec<(Millis, Resources)>,
 }
 
@@ -134,8 +136,8 @@
         self.cut || self.dead || self.cut_from == Some(token)
     }
 
-    /// Whether a start may bring it to this. Room that has shrunk lately may
-    /// still be used.
+    /// Whether a start may raise the resources in use to `used`. Capacity that
+    /// was reduced recently may still be used.
     fn may_hold(&self, used: &Resources, now: Millis) -> bool {
         let lately = self.capacities.iter();
         let lately = lately.filter(|(until, _)| now < until + SHRUNK_AFTER);
@@ -143,26 +145,27 @@
         self.info.capacity.fits(used) || had.any(|room| room.fits(used))
     }
 
-    /// What its clock says.
+    /// The reading of its clock.
     fn clock(&self, now: Millis) -> Millis {
         let (began, shown) = self.clock_from;
         let lived = now - began;
         shown + lived - lived * self.slow / 1_000
     }
 
-    /// It goes, and all that runs there dies. Its entry stays for longer.
+    /// Makes the executor leave, which ends all its runs. Its entry remains
+    /// for some time.
     pub fn leave(&mut self) {
         self.dead = true;
         self.resets = true;
         self.running.clear();
     }
 
-    /// How many runs have ended there.
+    /// The number of runs that have ended here.
     pub fn ends(&self) -> u64 {
         self.numbers
     }
 
-    /// Whether a task runs there.
+    /// Whether a task runs here.
     pub fn runs(&self, task: &TaskKey) -> bool {
         self.running.contains_key(task)
     }
@@ -171,45 +174,46 @@
 /// How a task crashes executors.
 #[derive(Clone, Copy, Debug)]
 pub struct Crashes {
-    /// How long after its start.
+    /// The time from its start to the crash.
     pub after: Millis,
-    /// Nobody says so: what is sent there goes unanswered.
+    /// Nothing reports the crash: calls to the executor go unanswered.
     pub dark: bool,
 }
 
 enum Pending {
     Tell(u64, Event),
     Order(usize, Box<Action>, u64, Option<u64>),
-    /// The same, delayed, and for which life it was meant.
+    /// A delayed order, with the restart count of the executor at the time it
+    /// was sent.
     LateOrder(usize, Box<Action>, u64, u64),
     HoldDue(usize, ExecutorIndex, Millis, u64, u64),
     Written(u64),
     Upkeep(u64, String),
 }
 
-/// The world.
+/// A simulated cell.
 pub struct World {
     pub now: Millis,
     pub scheduler: Scheduler,
     pub token: u64,
-    /// The leader takes in what it is told so much later.
+    /// The leader receives events this much later.
     pub behind: Millis,
-    /// Nothing is told before, so that news stay in their order.
+    /// No event is delivered before this time, so that events stay in order.
     told_until: Millis,
-    /// The leader stands still until then: it takes in nothing.
+    /// The leader is stalled until this time and processes nothing.
     still_until: Millis,
-    /// Predecessors that do not know yet that they lead no more, and until
-    /// when they may order.
+    /// Former leaders that don't know yet that they are superseded, each with
+    /// the time until which it may give orders.
     former: BTreeMap<u64, (Scheduler, Millis)>,
     policy: Arc<Policy>,
     pub store: BTreeMap<String, Vec<u8>>,
-    /// Commits are neither made nor answered.
+    /// Commits are neither written nor answered.
     pub store_down: bool,
-    /// Commits are declined at once: nothing of them is done.
+    /// Commits are declined at once, and nothing of them is written.
     pub store_declines: bool,
     stuck: Vec<(u64, Vec<Change>)>,
     pub executors: Vec<Executor>,
-    /// How often executors have started again under their own names.
+    /// How often executors have restarted under their own names.
     births: u64,
     queue: BTreeMap<(Millis, u64), Pending>,
     order: u64,
@@ -220,11 +224,11 @@
     jobs: BTreeMap<JobId, Job>,
     acknowledged: BTreeSet<JobId>,
     refused: BTreeSet<JobId>,
-    /// Ends that were taken note of.
+    /// Run ends that were acknowledged to their executors.
     noted: BTreeSet<(TaskKey, u64)>,
     done: BTreeMap<TaskKey, BTreeSet<u64>>,
     gangs_done: BTreeSet<StepKey>,
-    /// All that ever ended so, whether it was taken note of or not.
+    /// All tasks that were ever done, acknowledged or not.
     ever_done: BTreeSet<TaskKey>,
     failures: BTreeMap<TaskKey, BTreeSet<u64>>,
     noted_failures: BTreeMap<TaskKey, BTreeSet<u64>>,
@@ -232,94 +236,94 @@
     /// Whether any start was ordered, arrived or not.
     any_ordered: bool,
     pub broken: Vec<String>,
-    /// The executors that leaders took for over, and by what.
+    /// The incarnations that leaders considered over, with the reason.
     pub lives_over: Vec<(String, IncarnationEnd)>,
-    /// Tasks that take longer than the guess says, in percent of it.
+    /// Run times that differ from the estimate, in percent of it.
     pub takes: BTreeMap<TaskKey, Millis>,
-    /// Tasks that fail, this many times each.
+    /// Tasks that fail, with the number of failures to come.
     pub failing: BTreeMap<TaskKey, u32>,
     /// Tasks that crash each executor that starts them.
     pub crashing: BTreeMap<TaskKey, Crashes>,
-    /// The executors that have crashed by each of them.
+    /// The executors that each of these tasks has crashed.
     pub crashed: BTreeMap<TaskKey, Vec<String>>,
-    /// Those of these crashes that no leader can know of: it was replaced
-    /// before it had found the executor gone.
+    /// Those of these crashes that no leader can know of, because the leader
+    /// was replaced before it found the executor gone.
     unknowable: BTreeSet<String>,
     /// The executors on which a leader has suspected a task.
     suspected_on: BTreeSet<String>,
-    /// How many executors have crashed while each task ran there; a gang
-    /// counts as its first.
+    /// The number of executors that have crashed while each task ran there. A
+    /// gang counts as its first task.
     crashed_under: BTreeMap<TaskKey, usize>,
-    /// The starts of each of them after [`CRASHES`] such crashes.
+    /// How often each task was started after [`CRASH_THRESHOLD`] crashes.
     more_starts: BTreeMap<TaskKey, u32>,
-    /// Addresses at which another life begins, and when.
+    /// The addresses at which the next incarnation starts, and when.
     coming_back: Vec<(Millis, String)>,
     pub deposed: bool,
-    /// What tasks report as their usage, and the share they work at.
+    /// The usage that tasks report, and the share at which they run.
     pub usages: BTreeMap<TaskKey, u64>,
     pub percents: BTreeMap<TaskKey, u32>,
-    /// The states of waves, as operators are told.
+    /// The states of waves as reported to operators.
     pub waves: BTreeMap<u64, bool>,
-    /// Machines that are down, and until when.
+    /// Machines that are down for maintenance, and until when.
     pub down: BTreeMap<String, Millis>,
     pub upkeeps: Vec<String>,
-    /// Which machines have had the upkeep of which wave. A call for it is
-    /// answered with Ok and does nothing more.
+    /// The machines that each wave has taken down. Another call for the same
+    /// machine and wave returns Ok and does nothing.
     had_upkeep: BTreeSet<(u64, String)>,
-    /// What the operators want of waves, which successors are told too.
+    /// The waves that operators requested. Successors receive them too.
     wanted_waves: BTreeMap<u64, MaintenanceWave>,
-    /// The executors that the list of machines shows on some machines,
-    /// whatever lives there; empty for none.
+    /// Machines for which the machine list names this executor, whichever one
+    /// they host; empty for none.
     pub shown: BTreeMap<String, String>,
-    /// Executors come back from crashes and upkeep under the names that they
-    /// had.
+    /// Executors return from crashes and maintenance under their former names.
     pub keep_names: bool,
-    /// Machines that are off: the list shows them so, and no executor.
+    /// Machines that the list shows as down, without an executor.
     pub off: BTreeSet<String>,
-    /// The machines can't be listed.
+    /// The list of machines is unavailable.
     pub unlistable: bool,
-    /// Machines that the list lacks.
+    /// Machines missing from the list.
     pub left_out: BTreeSet<String>,
-    /// Machines that the platform says are not of the wave.
+    /// Machines that the platform says are not in the wave.
     pub foreign: BTreeSet<String>,
-    /// The next calls for upkeep are neither carried out nor answered.
+    /// The number of maintenance calls that will be neither carried out nor
+    /// answered.
     pub lost_upkeeps: u32,
-    /// The next calls for upkeep are carried out late and not answered.
+    /// The number of maintenance calls that will be carried out late and not
+    /// answered.
     pub late_upkeeps: u32,
-    /// The next calls for advice are never answered.
+    /// The number of advice calls that will never be answered.
     pub lost_advice: u32,
-    /// How long advice takes.
+    /// How long an advice call takes.
     pub advice_takes: Millis,
-    /// How long the leader takes to look at an executor, and the time that it
+    /// How long the leader takes to examine an executor, and the time that it
     /// has spent on that.
     pub look_takes: Duration,
-    /// The leader does what has become possible only so often; zero is at each
-    /// event.
+    /// The interval at which the leader advances; zero means after each event.
     pub turn: Millis,
     pub looking: Duration,
     pub most_down: usize,
-    /// Holds that were sent so far.
+    /// The number of renewals sent so far.
     pub holds: u64,
-    /// About how many executors each call for advice was.
+    /// The number of executors in each advice call.
     pub asked: Vec<usize>,
     submitted: BTreeMap<u64, JobId>,
     without: Mechanisms,
-    /// Whose key jobs were handed in with.
+    /// The account whose key each job was submitted with.
     owners: BTreeMap<JobId, String>,
-    /// Since when which limit was in force.
+    /// The limits that were in force, each with the time from which on.
     limits: Vec<(Millis, u32)>,
-    /// The data centres that take no new work, as leaders know it, and when
-    /// they were told.
+    /// The data centres that accept no new work, as known to leaders, and when
+    /// the leaders were told.
     cordons: Cordons,
     cordoned_at: BTreeMap<String, Millis>,
 }
 
-/// An account whose limit tests set.
+/// The account whose limit tests set.
 pub const LIMITED: &str = "limited";
 /// An account without a limit.
 pub const FREE: &str = "free";
 
-/// The service refuses calls about more executors.
+/// The service rejects calls about more executors than this.
 const ADVICE_BATCH: usize = 100;
 
 pub fn room(cpu_millis: u32, memory_mb: u32) -> Resources {
@@ -346,13 +350,13 @@
     }
 }
 
-/// A queue that asks for a key.
+/// A queue that requires a key.
 pub fn owned_queue(name: &str) -> Queue {
     Queue { open: false, ..queue(name, 1, false) }
 }
 
-/// An account whose key is its name, with so much processor time at the most;
-/// zero is no limit.
+/// An account whose key is its name, limited to this much processor time; zero
+/// means no limit.
 pub fn account(name: &str, cpu_millis: u32) -> Account {
     Account {
         name: name.into(),
@@ -413,7 +417,7 @@
     }
 }
 
-/// What a leader is told of an order that has failed.
+/// The event that tells the leader of a failed order.
 fn failed(action: &Action, why: OrderFailure) -> Option<Event> {
     let event = match *action {
         Action::RenewLease { executor, sent_at, .. } => {
@@ -435,7 +439,7 @@
         World::without(executors, Mechanisms::default())
     }
 
-    /// A world whose leaders do without some mechanisms.
+    /// A world whose leaders run without some mechanisms.
     pub fn without(executors: usize, without: Mechanisms) -> World {
         let policy = Arc::new(policy());
         let config = scheduler_config(1, without.clone());
@@ -554,7 +558,8 @@
         });
     }
 
-    /// Tells the leader of all executors, and of one that asks for advice.
+    /// Tells the leader of all executors, and of one node that can ask for
+    /// advice.
     pub fn tell_all(&mut self) {
         self.event(Event::Advisors(vec!["node".into()]));
         for at in 0..self.executors.len() {
@@ -573,7 +578,7 @@
         self.request(Request::Submit(job))
     }
 
-    /// Hands a job in with the key of an account.
+    /// Submits a job with the key of an account.
     pub fn submit_as(&mut self, account: &str, job: Job) -> u64 {
         self.attempted(&job);
         self.owners.insert(job.id, account.into());
@@ -586,8 +591,8 @@
         self.call(Caller::default(), request)
     }
 
-    /// A request with the key of an account, at a node that knows as much of
-    /// the policy as the leader does.
+    /// Makes a request with the key of an account, through a node that has the
+    /// same policy version as the leader.
     pub fn request_as(&mut self, account: &str, request: Request) -> u64 {
         let key = Some(KeyDigest::of(account.as_bytes()));
         let policy = self.policy.version;
@@ -601,7 +606,7 @@
         id
     }
 
-    /// The answer to a request, which is there at once.
+    /// The answer to a request. It must already be there.
     pub fn answer_to(&self, id: u64) -> Outcome {
         *self.replies.get(&id).expect("an answer")
     }
@@ -683,7 +688,7 @@
         }
     }
 
-    /// The leader does what has become possible, and is told how long it took.
+    /// Advances the leader and tells it how long that took.
     fn advance(&mut self) {
         let before = self.scheduler.placement_stats();
         let actions = self.scheduler.advance(self.now);
@@ -695,7 +700,8 @@
         self.perform(self.token, actions);
     }
 
-    /// Tells the leader with this token, whether it still leads or not.
+    /// Delivers an event to the leader with this token, whether it still leads
+    /// or not.
     fn tell(&mut self, token: u64, event: Event) {
         if token == self.token {
             return self.event(event);
@@ -737,8 +743,8 @@
         at.map_or(0, |at| self.executors[at].told_late)
     }
 
-    /// The leader stands still for some time. What has come meanwhile is told
-    /// to it after its first tick.
+    /// Stalls the leader. What arrives in the meantime is delivered after its
+    /// first tick.
     pub fn stand_still(&mut self, time: Millis) {
         self.still_until = (self.now + time).next_multiple_of(50);
         self.run(self.still_until - self.now);
@@ -811,7 +817,8 @@
                     self.later(WAY, Pending::Tell(token, event));
                 }
                 Action::Advise { call, step, executors, .. } => {
-                    // By machines, so that no lives of all of them are bad.
+                    // Advice depends on the machine, so that it does not
+                    // exclude all incarnations of an executor.
                     let rows = executors.iter().filter(|id| {
                         let all = &mut self.executors.iter();
                         let known = all.find(|e| e.info.id == **id);
@@ -908,7 +915,7 @@
         }
     }
 
-    /// The store answers again: what is stuck is written.
+    /// The store answers again and writes the commits that are stuck.
     pub fn store_up(&mut self) {
         self.store_down = false;
         for (token, changes) in std::mem::take(&mut self.stuck) {
@@ -919,15 +926,16 @@
         }
     }
 
-    /// Another node leads: it takes over what stands in the store. Orders
-    /// of its predecessor that are under way still arrive.
+    /// Another node takes over what is in the store. Orders of its predecessor
+    /// that are in flight still arrive.
     pub fn replace_leader(&mut self) {
         self.take_over();
         self.tell_all();
     }
 
-    /// The same, but nobody has told it of any executor yet. It knows those
-    /// that its predecessor has written to the store.
+    /// Like [`World::replace_leader`], but the successor is not told of any
+    /// executor yet. It knows those that its predecessor has written to the
+    /// store.
     pub fn take_over(&mut self) {
         self.stuck.clear();
         let crashed = self.crashed.values().flatten();
@@ -958,8 +966,8 @@
         }
     }
 
-    /// The same, told of these entries in turn, and of one that asks for
-    /// advice.
+    /// Like [`World::take_over`], but the successor is then told of these
+    /// entries in this order, and of one node that can ask for advice.
     pub fn replace_leader_told(&mut self, entries: &[usize]) {
         self.take_over();
         self.event(Event::Advisors(vec!["node".into()]));
@@ -968,14 +976,14 @@
         }
     }
 
-    /// Tells the leader of an entry that stands in the store, whether the
-    /// executor lives or not.
+    /// Tells the leader of an entry in the store, whether its executor is
+    /// alive or not.
     pub fn tell_entry(&mut self, at: usize) {
         let info = self.executors[at].info.clone();
         self.event(Event::Listed(info));
     }
 
-    /// Lets time pass.
+    /// Advances virtual time.
     pub fn run(&mut self, time: Millis) {
         let end = self.now + time;
         while self.now < end {
@@ -1034,8 +1042,9 @@
             Pending::Order(at, action, token, answer_to) => {
                 self.order(at, *action, token, answer_to);
             }
-            // The life that follows may carry it out, but a seal there does
-            // not outlast that life: it comes no later than this.
+            // The next incarnation may still carry the order out. A seal there
+            // does not outlast that incarnation, so the order is dropped once
+            // that one is over, too.
             Pending::LateOrder(at, action, token, life) => {
                 if self.executors[at].lives <= life + 1 {
                     self.order(at, *action, token, None);
--- a/tests/jobs/world/oracle.rs
+++ b/tests/jobs/world/oracle.rs
@@ -1,18 +1,18 @@
-//! The oracle: what must hold whenever a task starts, and in the end.
+//! The oracle: what must hold whenever a task starts, and at the end.
 
 use super::*;
 
 impl World {
     pub(super) fn note_limit(&mut self) {
         if !self.any_ordered {
-            // Nothing was ordered under an earlier one.
+            // Nothing was ordered under an earlier limit.
             self.limits.clear();
         }
         let limit = self.policy.accounts[LIMITED].limit.cpu_millis;
         self.limits.push((self.now, limit));
     }
 
-    /// The highest limit that any leader may go by, if there is one.
+    /// The highest limit that any leader may apply, if there is one.
     pub(super) fn highest_limit(&self) -> Option<u32> {
         let mut highest = 0;
         let mut until = Millis::MAX;
@@ -29,8 +29,8 @@
         Some(highest)
     }
 
-    /// A job is handed in. If it was refused before, it may run from now on,
-    /// unless it is refused again.
+    /// Records that a job is submitted. If it was refused before, it may run
+    /// from now on unless it is refused again.
     pub(super) fn attempted(&mut self, job: &Job) {
         self.refused.remove(&job.id);
     }
@@ -40,7 +40,7 @@
         match outcome {
             Outcome::Accepted => {
                 self.acknowledged.insert(job);
-                // It was handed in again.
+                // The job was submitted again.
                 self.refused.remove(&job);
             }
             outcome if outcome.is_refusal() => {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// What must hold whenever a task starts.
+    /// Checks what must hold whenever a task starts.
     pub(super) fn check_start(
         &mut self,
         at: usize,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Whether all jobs that were accepted have ended, and how.
+    /// The jobs that were accepted and have not ended.
     pub fn unfinished(&mut self) -> Vec<JobId> {
         let ids: Vec<JobId> = self.acknowledged.iter().copied().collect();
         ids.into_iter()
@@ -142,7 +142,7 @@
             .collect()
     }
 
-    /// What is said of jobs must be so.
+    /// Checks that the reported states of jobs are true.
     pub fn check_states(&mut self) {
         let jobs: Vec<Job> = self.jobs.values().cloned().collect();
         for job in jobs {
@@ -182,15 +182,16 @@
         }
     }
 
-    /// Whether so many executors have crashed under a task of a job, or under
-    /// a gang, that it may be given up. Who did it can't be known for sure.
+    /// Whether so many executors have crashed while a task or a gang of a job
+    /// ran there that the job may be given up. Which task crashed an executor
+    /// can't be known for certain.
     pub(super) fn may_give_up(&self, job: &Job) -> bool {
         let crashed = self.crashed_under.iter();
         let mut crashed = crashed.filter(|(t, _)| t.step.job == job.id);
         crashed.any(|(_, crashes)| *crashes >= MAY_GIVE_UP)
     }
 
-    /// Fails with everything that broke.
+    /// Panics with every violation that was found.
     pub fn check(&self) {
         assert!(self.broken.is_empty(), "{:#?}", self.broken);
     }
--- a/tests/jobs/world/orders.rs
+++ b/tests/jobs/world/orders.rs
@@ -1,9 +1,9 @@
-//! Orders that arrive at executors, and what they answer.
+//! Orders that arrive at executors, and their answers.
 
 use super::*;
 
 impl World {
-    /// An order arrives at an executor.
+    /// Handles an order that arrives at an executor.
     pub(super) fn order(
         &mut self,
         at: usize,
@@ -11,7 +11,7 @@
         token: u64,
         answer_to: Option<u64>,
     ) {
-        // An order to a former life is answered by the one that lives.
+        // An order to a former incarnation is answered by the present one.
         if let Some(life) = self.life_in_place_of(at) {
             let silent = self.executors[life].silent_to(token);
             return match answer_to {
@@ -135,7 +135,7 @@
         self.later(way, Pending::Tell(token, event));
     }
 
-    /// An order is answered with a failure.
+    /// Answers an order with a failure.
     pub(super) fn refuse(
         &mut self,
         action: Action,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Nobody answers an order.
+    /// Reports the timeout of an order that nobody answers.
     pub(super) fn unanswered(&mut self, action: &Action, token: u64) {
         let after = match action {
             Action::RenewLease { wait, .. } => wait + HOLD_SLACK,
@@ -249,7 +249,7 @@
         let fails = fails || there.fails;
         let how = if fails { EndKind::Failed } else { EndKind::Done };
         let work = if there.fails { FAILS_AFTER } else { work };
-        // A gang works once all are there.
+        // A gang works once all its members are there.
         let forever = gang || lasting;
         let ends_at = if forever { Millis::MAX } else { now + work };
         let count = step_count;
--- a/tests/jobs/world/work.rs
+++ b/tests/jobs/world/work.rs
@@ -1,10 +1,10 @@
-//! What tasks do on executors: they work, end, and lapse.
+//! The runs on executors: they work, end, and lapse.
 
 use super::*;
 
 impl World {
-    /// Lets gangs begin once all members are there, and break when one has
-    /// ended.
+    /// Lets gangs begin once all members are there, and break when one of them
+    /// has ended.
     pub(super) fn work_gangs(&mut self) {
         let now = self.now;
         let mut members: BTreeMap<(StepKey, u64), Vec<(usize, TaskKey)>> =
@@ -25,7 +25,7 @@
                 run.ends_at != Millis::MAX && run.how != EndKind::Stopped
             });
             let whole = there.len() == count;
-            // The slowest member ends it.
+            // The gang ends with its slowest member.
             let work = there
                 .iter()
                 .map(|(at, task)| self.executors[*at].running[task].work);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Lets tasks work, and leases run out.
+    /// Lets runs work, and leases expire.
     pub(super) fn work(&mut self) {
         self.work_gangs();
         let now = self.now;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Holds that wait at an executor are answered by an end.
+    /// Answers the renewals that wait at an executor when a run ends.
     pub(super) fn wake_holds(&mut self, at: usize) {
         let waiting: Vec<(Millis, u64)> = self
             .queue
