--- a/tests/jobs/absence.rs
+++ b/tests/jobs/absence.rs
@@ -9,7 +9,7 @@
     RunReport, Scheduler, SchedulerConfig, Step, TaskKey,
 };
 
-use super::world::{job, policy, room, step, World, LEASE, WORK};
+use super::world::{job, policy, resources, step, World, LEASE, WORK};
 
 /// After this time the leader has read on which machines executors live.
 const SHOWN: u64 = 4_500;
@@ -19,7 +19,7 @@
 }
 
 fn long(work: u64) -> Step {
-    Step { estimate: work, ..step(1, room(3_000, 100)) }
+    Step { estimate: work, ..step(1, resources(3_000, 100)) }
 }
 
 fn wave(wave: u64, machine: &str) -> Event {
@@ -76,9 +76,9 @@
 #[test]
 fn an_earlier_account_does_not_hide_an_order_that_is_lost() {
     let mut world = ordered_again_before_an_earlier_account();
-    world.executors[0].cut = true;
+    world.executors[0].isolated = true;
     world.run(20);
-    world.executors[0].cut = false;
+    world.executors[0].isolated = false;
     world.run(5 * LEASE);
     world.check();
     assert_eq!(world.state(1), Some(JobState::Succeeded));
@@ -107,11 +107,11 @@
     world.submit(job(1, "batch", vec![long(4 * LEASE)]));
     world.run(200);
     world.add_executor("x9");
-    world.tell_entry(1);
+    world.list_entry(1);
     world.run(SHOWN);
     assert!(world.executors[0].runs(&task()));
-    world.left_out.insert("x0".into());
-    world.executors[0].cut = true;
+    world.unlisted.insert("x0".into());
+    world.executors[0].isolated = true;
     world.run(LEASE - 1_500);
     assert!(world.executors[0].runs(&task()), "its lease runs on");
     world.check();
@@ -126,13 +126,13 @@
     world.submit(job(1, "batch", vec![long(4 * LEASE)]));
     world.run(200);
     world.add_executor("x9");
-    world.tell_entry(1);
+    world.list_entry(1);
     world.run(SHOWN);
     assert!(world.executors[0].runs(&task()));
-    world.left_out.insert("x0".into());
-    world.executors[0].cut = true;
+    world.unlisted.insert("x0".into());
+    world.executors[0].isolated = true;
     world.take_over();
-    world.tell_entry(1);
+    world.list_entry(1);
     world.run(LEASE - 1_500);
     assert!(world.executors[0].runs(&task()), "its lease runs on");
     world.check();
@@ -151,11 +151,15 @@
     world.submit(job(1, "batch", vec![tasks]));
     world.run(200);
     world.die(0);
-    world.off.insert("x0".into());
+    world.powered_off.insert("x0".into());
     world.run(4_000);
-    assert_eq!(world.lives_over.len(), 1, "the leader has found its end");
+    assert_eq!(
+        world.incarnations_over.len(),
+        1,
+        "the leader has found its end"
+    );
     world.replace_leader();
-    world.tell_entry(0);
+    world.list_entry(0);
     // Two tasks are done, and one is at work. Two wait for room.
     world.run(9_000);
     world.check();
@@ -169,11 +173,11 @@
 fn an_executor_whose_machine_is_not_of_the_wave_is_used_again() {
     let mut world = World::new(1);
     world.run(50);
-    world.foreign.insert("x0".into());
+    world.not_in_wave.insert("x0".into());
     world.event(wave(7, "x0"));
     world.run(2_000);
     assert!(world.waves[&7], "the wave is over");
-    world.submit(job(1, "batch", vec![step(1, room(1_000, 100))]));
+    world.submit(job(1, "batch", vec![step(1, resources(1_000, 100))]));
     world.run(4 * LEASE);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
 }
@@ -184,7 +188,7 @@
 fn an_executor_whose_machine_left_the_wave_is_used_again() {
     let mut world = World::new(1);
     world.run(50);
-    world.lost_upkeeps = 1;
+    world.lost_maintenance_calls = 1;
     world.event(wave(7, "x0"));
     while !world.scheduler.counters().contains_key("upkeeps") {
         world.run(10);
@@ -196,7 +200,7 @@
         most: 1,
     }));
     world.run(2_000);
-    world.submit(job(1, "batch", vec![step(1, room(1_000, 100))]));
+    world.submit(job(1, "batch", vec![step(1, resources(1_000, 100))]));
     world.run(4 * LEASE);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
 }
@@ -213,15 +217,15 @@
         lasting: true,
         may_miss: Some(1),
         max_per_executor: 1,
-        ..step(2, room(1_000, 100))
+        ..step(2, resources(1_000, 100))
     };
     world.submit(job(1, "batch", vec![lasting]));
     world.run(500);
-    world.lost_upkeeps = 1;
+    world.lost_maintenance_calls = 1;
     world.event(wave(7, "x0"));
     world.run(30_000);
-    assert_eq!(world.lost_upkeeps, 0);
-    assert_eq!(world.upkeeps, ["x0"]);
+    assert_eq!(world.lost_maintenance_calls, 0);
+    assert_eq!(world.maintained, ["x0"]);
     assert!(world.waves[&7], "the wave has succeeded");
 }
 
@@ -237,7 +241,7 @@
         lasting: true,
         may_miss: Some(1),
         max_per_executor: 1,
-        ..step(2, room(1_000, 100))
+        ..step(2, resources(1_000, 100))
     };
     world.submit(job(1, "batch", vec![lasting]));
     world.run(500);
@@ -248,7 +252,7 @@
     world.run(1_200);
     let over = world.scheduler.counters().get("executors_over");
     assert_eq!(over, None, "it is not known to be over yet");
-    assert!(world.upkeeps.is_empty(), "{:?}", world.upkeeps);
+    assert!(world.maintained.is_empty(), "{:?}", world.maintained);
 }
 
 /// What an upkeep has ended is started elsewhere long before the lease of its
@@ -258,14 +262,14 @@
 fn what_an_upkeep_ends_is_started_elsewhere_soon() {
     let mut world = World::new(2);
     world.run(SHOWN + 1_000);
-    let lasting = Step { lasting: true, ..step(2, room(1_000, 100)) };
+    let lasting = Step { lasting: true, ..step(2, resources(1_000, 100)) };
     let lasting = Step { max_per_executor: 1, count: 1, ..lasting };
     world.submit(job(1, "batch", vec![lasting]));
     world.run(500);
     let at = usize::from(!world.executors[0].runs(&task()));
     let machine = world.executors[at].info.address.clone();
     world.event(wave(7, &machine));
-    while world.upkeeps.is_empty() {
+    while world.maintained.is_empty() {
         world.run(1);
     }
     let ended = world.now;
@@ -288,7 +292,7 @@
     world.event(wave(8, "x0"));
     world.run(20_000);
     assert!(world.waves[&7] && world.waves[&8], "both have succeeded");
-    assert_eq!(world.upkeeps, ["x0", "x0"]);
+    assert_eq!(world.maintained, ["x0", "x0"]);
 }
 
 /// Tasks ran once more after they were done. More of them had ended on one
@@ -298,7 +302,7 @@
 fn ends_that_an_account_has_no_room_for_are_waited_for() {
     let mut world = World::new(1);
     world.run(50);
-    let many = Step { count: 600, ..step(600, room(1, 1)) };
+    let many = Step { count: 600, ..step(600, resources(1, 1)) };
     world.submit(job(1, "batch", vec![many]));
     world.run(20 * WORK);
     let again = world.starts.values().filter(|starts| **starts > 1).count();
@@ -341,16 +345,16 @@
     world.run(500);
     // An account that waits for an end is under way.
     let at = world.executors[0].info.address.clone();
-    let before = world.holds;
+    let before = world.renewals;
     world.run(100);
-    assert_eq!(world.holds, before);
+    assert_eq!(world.renewals, before);
     world.executors[0].unhealthy = true;
     world.add_executor("former");
     world.executors[1].info.address = at;
     world.executors[1].dead = true;
-    world.tell_entry(1);
-    let before = world.holds;
+    world.list_entry(1);
+    let before = world.renewals;
     world.run(300);
-    let asked = world.holds - before;
+    let asked = world.renewals - before;
     assert!(asked <= 10, "asked {asked} times in 300 ms");
 }
--- a/tests/jobs/accounts.rs
+++ b/tests/jobs/accounts.rs
@@ -7,7 +7,7 @@
 };
 
 use super::world::{
-    account, job, room, step, World, FREE, LEASE, LIMITED, WORK,
+    account, job, resources, step, World, FREE, LEASE, LIMITED, WORK,
 };
 
 fn state_of(id: u64) -> Request {
@@ -26,7 +26,7 @@
         Caller::default(),
         Caller { key: Some(KeyDigest::of(b"guessed")), policy: 1 },
     ] {
-        let submit = job(1, "owned", vec![step(1, room(500, 100))]);
+        let submit = job(1, "owned", vec![step(1, resources(500, 100))]);
         let id = world.call(caller, Request::Submit(submit));
         assert_eq!(world.answer_to(id), Outcome::NoSuchKey);
         for request in [
@@ -46,7 +46,7 @@
 fn an_account_finds_nothing_of_another() {
     let mut world = World::new(2);
     world.run(50);
-    world.submit_as(FREE, job(1, "owned", vec![step(1, room(500, 100))]));
+    world.submit_as(FREE, job(1, "owned", vec![step(1, resources(500, 100))]));
     world.run(100);
     for ended in [false, true] {
         for (request, id) in [(state_of(1), 7), (cancel_of(1), 7)] {
@@ -60,7 +60,7 @@
             assert_eq!(answer, Outcome::NoSuchJob);
             assert_eq!(answer, world.answer_to(about_nothing));
         }
-        let again = job(1, "owned", vec![step(1, room(500, 100))]);
+        let again = job(1, "owned", vec![step(1, resources(500, 100))]);
         let id = world.request_as(LIMITED, Request::Submit(again));
         assert!(matches!(world.answer_to(id), Outcome::Refused(_)));
         let own = world.request_as(FREE, state_of(1));
@@ -82,7 +82,7 @@
 fn a_key_that_was_taken_away_is_refused_from_then_on() {
     let mut world = World::new(2);
     world.run(50);
-    world.submit_as(FREE, job(1, "owned", vec![step(1, room(500, 100))]));
+    world.submit_as(FREE, job(1, "owned", vec![step(1, resources(500, 100))]));
     world.run(100);
     world.set_policy(|policy| {
         policy.accounts.get_mut(FREE).expect("it is there").keys.clear();
@@ -107,7 +107,7 @@
     for key in [LIMITED, "new"] {
         let key = Some(KeyDigest::of(key.as_bytes()));
         let caller = Caller { key, policy: newer };
-        let submit = job(1, "owned", vec![step(1, room(500, 100))]);
+        let submit = job(1, "owned", vec![step(1, resources(500, 100))]);
         let id = world.call(caller, Request::Submit(submit));
         assert_eq!(world.answer_to(id), Outcome::Refused(0));
     }
@@ -115,7 +115,8 @@
         let fresh = account("new", 0);
         policy.accounts.insert(fresh.name.clone(), fresh);
     });
-    world.submit_as("new", job(2, "owned", vec![step(1, room(500, 100))]));
+    world
+        .submit_as("new", job(2, "owned", vec![step(1, resources(500, 100))]));
     world.run(100);
     assert_eq!(world.starts.len(), 1);
 }
@@ -125,7 +126,7 @@
     let mut world = World::new(4);
     world.set_limit(3_000);
     world.run(50);
-    let wide = step(10, room(1_000, 100));
+    let wide = step(10, resources(1_000, 100));
     world.submit_as(LIMITED, job(1, "owned", vec![wide]));
     world.run(100);
     assert_eq!(world.limited_runs(), 3_000);
@@ -139,7 +140,7 @@
     let mut world = World::new(4);
     world.set_limit(3_000);
     world.run(50);
-    let mut gang = step(4, room(1_000, 100));
+    let mut gang = step(4, resources(1_000, 100));
     gang.gang = true;
     let job = job(1, "owned", vec![gang]);
     let id = world.submit_as(LIMITED, job);
@@ -154,16 +155,16 @@
     world.set_limit(4_000);
     world.run(50);
     for id in 0..4 {
-        let mut one = step(1, room(1_000, 100));
+        let mut one = step(1, resources(1_000, 100));
         one.estimate = WORK + id * 100;
         world.submit_as(LIMITED, job(10 + id, "owned", vec![one]));
         world.run(10);
     }
-    let mut gang = step(4, room(1_000, 100));
+    let mut gang = step(4, resources(1_000, 100));
     gang.gang = true;
     world.submit_as(LIMITED, job(1, "owned", vec![gang]));
     for id in 0..20 {
-        let one = step(1, room(1_000, 100));
+        let one = step(1, resources(1_000, 100));
         world.submit_as(LIMITED, job(20 + id, "owned", vec![one]));
     }
     world.run(4 * WORK);
@@ -176,7 +177,7 @@
     let mut world = World::new(4);
     world.set_limit(6_000);
     world.run(50);
-    let wide = step(12, room(1_000, 100));
+    let wide = step(12, resources(1_000, 100));
     world.submit_as(LIMITED, job(1, "owned", vec![wide]));
     world.run(100);
     assert_eq!(world.limited_runs(), 6_000);
@@ -196,13 +197,13 @@
     let mut world = World::new(4);
     world.set_limit(4_000);
     world.run(50);
-    let mut long = step(4, room(1_000, 100));
+    let mut long = step(4, resources(1_000, 100));
     long.estimate = 6 * WORK;
     world.submit_as(LIMITED, job(1, "owned", vec![long]));
     world.run(100);
     let there = world.executors_with(1);
     for at in &there {
-        world.executors[*at].cut = true;
+        world.executors[*at].isolated = true;
     }
     (world, there)
 }
@@ -215,11 +216,14 @@
     assert_eq!(world.limited_runs(), 4_000);
     world.replace_leader();
     world.run(100);
-    world.submit_as(LIMITED, job(2, "owned", vec![step(4, room(1_000, 100))]));
+    world.submit_as(
+        LIMITED,
+        job(2, "owned", vec![step(4, resources(1_000, 100))]),
+    );
     world.run(WORK);
     world.check();
     for executor in &mut world.executors {
-        executor.cut = false;
+        executor.isolated = false;
     }
     world.run(2 * LEASE + 10 * WORK);
     assert!(world.unfinished().is_empty());
@@ -235,11 +239,14 @@
     world.run(100);
     world.replace_leader();
     world.run(100);
-    world.submit_as(LIMITED, job(2, "owned", vec![step(4, room(1_000, 100))]));
+    world.submit_as(
+        LIMITED,
+        job(2, "owned", vec![step(4, resources(1_000, 100))]),
+    );
     world.run(2 * WORK);
     world.check();
     for at in there {
-        world.executors[at].cut = false;
+        world.executors[at].isolated = false;
     }
     world.run(2 * LEASE + 10 * WORK);
     assert!(world.unfinished().is_empty());
@@ -254,11 +261,14 @@
     world.replace_leader();
     world.run(100);
     world.request_as(LIMITED, cancel_of(1));
-    world.submit_as(LIMITED, job(2, "owned", vec![step(4, room(1_000, 100))]));
+    world.submit_as(
+        LIMITED,
+        job(2, "owned", vec![step(4, resources(1_000, 100))]),
+    );
     world.run(2 * WORK);
     world.check();
     for at in there {
-        world.executors[at].cut = false;
+        world.executors[at].isolated = false;
     }
     world.run(2 * LEASE + 10 * WORK);
     assert!(world.unfinished().is_empty());
@@ -271,7 +281,7 @@
     world.run(50);
     for id in 1..=6 {
         let name = if id % 2 == 0 { LIMITED } else { FREE };
-        let steps = vec![step(2, room(500, 100))];
+        let steps = vec![step(2, resources(500, 100))];
         world.submit_as(name, job(id, "owned", steps));
     }
     world.run(100);
@@ -285,7 +295,7 @@
     world.run(4 * WORK);
     world.event(Event::Tick);
     let mut usage = world.scheduler.usage();
-    assert!(usage.all(|usage| usage.used == room(0, 0)));
+    assert!(usage.all(|usage| usage.used == resources(0, 0)));
 }
 
 /// An account that sent far more than its due pushed others over their
@@ -307,11 +317,11 @@
         world.run(50);
         // Its due is a job a second, and half of a full cell.
         for id in 1..=40 {
-            let one = step(1, room(4_000, 100));
+            let one = step(1, resources(4_000, 100));
             world.submit_as(LIMITED, job(id, "owned", vec![one]));
         }
         world.run(10);
-        let late = job(90, "owned", vec![step(1, room(4_000, 100))]);
+        let late = job(90, "owned", vec![step(1, resources(4_000, 100))]);
         world.submit_as(FREE, late);
         world.run(5 * WORK);
         let done = world.state(90) == Some(JobState::Succeeded);
--- a/tests/jobs/admission.rs
+++ b/tests/jobs/admission.rs
@@ -7,7 +7,8 @@
 use puffinknot_core::jobs::{JobId, Mechanism, Mechanisms, Outcome, Repeats};
 
 use super::world::{
-    account, job, owned_queue, room, step, World, INHERITED, WORK,
+    account, job, owned_queue, resources, step, World,
+    INHERITED_ORDER_LIFETIME, WORK,
 };
 
 /// The objective of each job here: twice its work and a second.
@@ -102,7 +103,7 @@
     }
 
     fn hand_in(&mut self, arrival: Arrival) {
-        let work = vec![step(TASKS, room(1_000, 100))];
+        let work = vec![step(TASKS, resources(1_000, 100))];
         let job = job(arrival.id, arrival.queue, work);
         let request = match arrival.account {
             Some(account) => self.world.submit_as(account, job),
@@ -281,9 +282,9 @@
         play.fates.values().filter(|(_, fate)| fate.refusals > 0).count()
     };
     assert!(refused(&play) > 0);
-    let mut timed = job(50_000, "batch", vec![step(1, room(100, 10))]);
+    let mut timed = job(50_000, "batch", vec![step(1, resources(100, 10))]);
     timed.repeats = Some(Repeats { first: 9_000, every: 500, times: 2 });
-    let mut lasting = step(1, room(100, 10));
+    let mut lasting = step(1, resources(100, 10));
     lasting.lasting = true;
     let lasting = job(50_001, "batch", vec![lasting]);
     for job in [timed, lasting] {
@@ -330,8 +331,8 @@
     // With it, jobs would wait for the store, and none would be refused.
     let mut world = world(&[Mechanism::AfterOutage]);
     world.store_down = true;
-    let old = job(1, "batch", vec![step(TASKS, room(1_000, 100))]);
-    world.submit(job(2, "batch", vec![step(1, room(100, 100))]));
+    let old = job(1, "batch", vec![step(TASKS, resources(1_000, 100))]);
+    world.submit(job(2, "batch", vec![step(1, resources(100, 100))]));
     // The commit of that one is found stuck.
     world.run(1_000);
     let refused = world.submit(old.clone());
@@ -340,11 +341,11 @@
     world.run(1_000);
     // The cell is full for a while.
     for id in 100..100 + EXECUTORS as u64 {
-        world.submit(job(id, "batch", vec![step(4, room(1_000, 100))]));
+        world.submit(job(id, "batch", vec![step(4, resources(1_000, 100))]));
     }
     world.run(100);
     for id in 200..220 {
-        world.submit(job(id, "batch", vec![step(4, room(1_000, 100))]));
+        world.submit(job(id, "batch", vec![step(4, resources(1_000, 100))]));
     }
     world.submit(old);
     world.run(8 * WORK);
@@ -370,7 +371,7 @@
         let arrival = play.fates[&id].0;
         play.hand_in(arrival);
     }
-    play.run_until(9_000 + INHERITED);
+    play.run_until(9_000 + INHERITED_ORDER_LIFETIME);
     let counters = play.world.scheduler.counters();
     let refused = counters.get("refused_no_room_in_time").copied();
     assert!(refused.unwrap_or(0) > 0);
--- a/tests/jobs/backlog.rs
+++ b/tests/jobs/backlog.rs
@@ -2,21 +2,21 @@
 
 use puffinknot_core::jobs::backlog::{Backlog, ServiceCapacity, Work};
 
-use super::world::room;
+use super::world::resources;
 
 /// A room of ten cores, of which some are free and others from later on.
 fn cores(free: u32, later: &[(u64, u32)]) -> ServiceCapacity {
     let mut all = ServiceCapacity::default();
-    all.add(&room(10_000, 1_000), &room(free * 1_000, 1_000));
+    all.add(&resources(10_000, 1_000), &resources(free * 1_000, 1_000));
     for (after, cores) in later {
-        all.free_after(*after, &room(cores * 1_000, 0));
+        all.free_after(*after, &resources(cores * 1_000, 0));
     }
     all
 }
 
 /// The work of this many cores for a time.
 fn work(cores: u32, time: u64) -> Work {
-    Work::of(&room(1_000, 0), cores, time)
+    Work::of(&resources(1_000, 0), cores, time)
 }
 
 #[test]
--- a/tests/jobs/behind.rs
+++ b/tests/jobs/behind.rs
@@ -4,11 +4,13 @@
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{Event, ExecutorReport, Job, JobState};
 
-use super::world::{job, room, step, World, INHERITED, LEASE, WORK};
+use super::world::{
+    job, resources, step, World, INHERITED_ORDER_LIFETIME, LEASE, WORK,
+};
 
 /// A job of single tasks that fill an executor each.
 fn wide(id: u64, tasks: u32) -> Job {
-    job(id, "batch", vec![step(tasks, room(4_000, 100))])
+    job(id, "batch", vec![step(tasks, resources(4_000, 100))])
 }
 
 fn counted(world: &World, name: &str) -> u64 {
@@ -37,7 +39,7 @@
     assert!(world.unfinished().is_empty());
     let most = world.starts.values().max();
     assert_eq!(most, Some(&1), "nothing is started twice");
-    assert_eq!(world.lives_over, []);
+    assert_eq!(world.incarnations_over, []);
 }
 
 /// Ends that were heard of seconds late made executors seem slow.
@@ -50,11 +52,11 @@
         world.run(3 * WORK);
     }
     for id in 10..50 {
-        world.behind = [0, 300, 900, 1_600, 2_000, 800][id as usize % 6];
+        world.event_lag = [0, 300, 900, 1_600, 2_000, 800][id as usize % 6];
         world.submit(wide(id, 8));
         world.run(2 * WORK + 37 * (id % 5));
     }
-    world.behind = 0;
+    world.event_lag = 0;
     world.run(30 * WORK);
     check_started_once(&mut world);
     check_reckoned_as_guessed(&mut world, 100);
@@ -70,7 +72,7 @@
         world.submit(wide(id, 8));
         world.run(WORK / 2 + 11 * (id % 7));
         if id % 3 > 0 {
-            world.stand_still(1_300 + 90 * (id % 11));
+            world.stall(1_300 + 90 * (id % 11));
         }
         world.run(2 * WORK);
     }
@@ -84,15 +86,15 @@
 fn no_run_is_overdue_since_the_leader_is_behind() {
     let mut world = World::new(4);
     world.run(1_000);
-    world.behind = 2_000;
+    world.event_lag = 2_000;
     for id in 1..60 {
-        let mut work = step(4, room(700, 100));
+        let mut work = step(4, resources(700, 100));
         work.max_per_executor = 1;
         world.submit(job(id, "batch", vec![work]));
         world.run(WORK / 3);
     }
     world.run(20 * WORK);
-    world.behind = 0;
+    world.event_lag = 0;
     world.run(20 * WORK);
     check_started_once(&mut world);
     check_reckoned_as_guessed(&mut world, 100);
@@ -105,11 +107,11 @@
     world.submit(wide(1, 1));
     world.run(WORK / 2);
     let at = world.executors_with(1)[0];
-    world.executors[at].cut = true;
+    world.executors[at].isolated = true;
     let known = world.scheduler.executor(at as u32).expect("an executor");
     let lapses = known.lease_expiry;
     world.run(lapses - world.now - 400);
-    world.executors[at].cut = false;
+    world.executors[at].isolated = false;
     lapses
 }
 
@@ -118,7 +120,7 @@
 fn a_leader_that_stood_still_hears_what_waits_before_a_lease_counts_as_over() {
     let mut world = World::new(2);
     let lapses = cut_off_until_nearly_lapsed(&mut world);
-    world.stand_still(2_000);
+    world.stall(2_000);
     assert!(world.now > lapses);
     world.run(4 * WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
@@ -131,7 +133,7 @@
     let mut world = World::new(16);
     world.run(100);
     let lapses = {
-        world.behind = 1_500;
+        world.event_lag = 1_500;
         world.run(3_000);
         cut_off_until_nearly_lapsed(&mut world)
     };
@@ -150,7 +152,7 @@
     world.run(WORK / 2);
     let at = world.executors_with(1)[0];
     world.die(at);
-    world.behind = 1_500;
+    world.event_lag = 1_500;
     world.run(LEASE + 10 * WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
@@ -164,7 +166,7 @@
     world.submit(wide(1, 3));
     world.run(WORK / 2);
     for at in world.executors_with(1) {
-        world.executors[at].told_late = late;
+        world.executors[at].report_delay = late;
     }
     world.replace_leader();
     world
@@ -174,12 +176,12 @@
 /// lived was heard, and tasks that had ended there were started again.
 #[test]
 fn a_successor_that_is_behind_hears_executors_before_all_counts_as_lapsed() {
-    let mut world = successor_told_late(INHERITED + 1_000);
-    world.run(2 * INHERITED);
+    let mut world = successor_told_late(INHERITED_ORDER_LIFETIME + 1_000);
+    world.run(2 * INHERITED_ORDER_LIFETIME);
     for executor in &mut world.executors {
-        executor.told_late = 0;
+        executor.report_delay = 0;
     }
-    world.run(INHERITED);
+    world.run(INHERITED_ORDER_LIFETIME);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     check_started_once(&mut world);
 }
@@ -194,7 +196,7 @@
     let at = world.executors_with(1)[0];
     world.die(at);
     world.replace_leader();
-    world.run(INHERITED + 2 * WORK);
+    world.run(INHERITED_ORDER_LIFETIME + 2 * WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
 }
--- a/tests/jobs/cordons.rs
+++ b/tests/jobs/cordons.rs
@@ -4,7 +4,7 @@
     Cordon, CordonSource, Cordons, Event, JobState, MaintenanceWave, Outcome,
 };
 
-use super::world::{job, room, step, World, LEASE, WORK};
+use super::world::{job, resources, step, World, LEASE, WORK};
 
 const HALF: u32 = 2_000;
 
@@ -50,7 +50,7 @@
     world
         .scheduler
         .set_cordons(Cordons::default().read(Default::default(), 4));
-    world.submit(job(1, "batch", vec![step(4, room(HALF, 100))]));
+    world.submit(job(1, "batch", vec![step(4, resources(HALF, 100))]));
     world.run(100);
     assert!(even(&world.executors_with(1)));
     world.run(3 * WORK);
@@ -61,12 +61,12 @@
 fn new_work_goes_elsewhere_and_what_runs_runs_on() {
     let mut world = World::in_two_dcs(4);
     world.run(100);
-    world.submit(job(1, "batch", vec![step(8, room(HALF, 100))]));
+    world.submit(job(1, "batch", vec![step(8, resources(HALF, 100))]));
     world.run(200);
     assert_eq!(world.executors_with(1), [0, 1, 2, 3]);
     world.set_cordoned("e", true);
-    world.submit(job(2, "batch", vec![step(8, room(HALF, 100))]));
-    world.submit(job(3, "advised", vec![step(4, room(HALF, 100))]));
+    world.submit(job(2, "batch", vec![step(8, resources(HALF, 100))]));
+    world.submit(job(3, "advised", vec![step(4, resources(HALF, 100))]));
     world.run(100);
     assert_eq!(world.executors_with(1), [0, 1, 2, 3], "it runs on");
     world.run(6 * WORK);
@@ -75,7 +75,7 @@
     }
     assert_eq!(world.starts.values().sum::<u32>(), 20, "nothing again");
     world.set_cordoned("e", false);
-    world.submit(job(4, "batch", vec![step(8, room(HALF, 100))]));
+    world.submit(job(4, "batch", vec![step(8, resources(HALF, 100))]));
     world.run(100);
     assert_eq!(world.executors_with(4), [0, 1, 2, 3]);
     world.check();
@@ -88,10 +88,10 @@
     let mut world = World::in_two_dcs(4);
     world.run(100);
     world.set_cordoned("e", true);
-    let mut gang = step(6, room(HALF, 100));
+    let mut gang = step(6, resources(HALF, 100));
     gang.gang = true;
     world.submit(job(1, "batch", vec![gang]));
-    world.submit(job(2, "batch", vec![step(4, room(HALF, 100))]));
+    world.submit(job(2, "batch", vec![step(4, resources(HALF, 100))]));
     world.run(4 * WORK);
     assert_eq!(world.state(1), Some(JobState::Queued));
     assert_eq!(world.state(2), Some(JobState::Succeeded));
@@ -105,7 +105,7 @@
 fn a_gang_that_runs_across_the_border_runs_on() {
     let mut world = World::in_two_dcs(4);
     world.run(100);
-    let mut gang = step(6, room(HALF, 100));
+    let mut gang = step(6, resources(HALF, 100));
     gang.gang = true;
     world.submit(job(1, "batch", vec![gang]));
     world.run(200);
@@ -121,13 +121,15 @@
     let mut world = World::in_two_dcs(2);
     world.run(100);
     world.store_down = true;
-    let kept = world.submit(job(1, "batch", vec![step(4, room(HALF, 100))]));
+    let kept =
+        world.submit(job(1, "batch", vec![step(4, resources(HALF, 100))]));
     world.run(10);
     for dc in ["d", "e"] {
         world.set_cordoned(dc, true);
     }
     world.store_up();
-    let late = world.submit(job(2, "batch", vec![step(1, room(HALF, 100))]));
+    let late =
+        world.submit(job(2, "batch", vec![step(1, resources(HALF, 100))]));
     assert!(
         matches!(world.answer_to(late), Outcome::Refused(after) if after > 0)
     );
@@ -144,10 +146,10 @@
 fn a_successor_starts_nothing_there() {
     let mut world = World::in_two_dcs(4);
     world.run(100);
-    world.submit(job(1, "batch", vec![step(8, room(HALF, 100))]));
+    world.submit(job(1, "batch", vec![step(8, resources(HALF, 100))]));
     world.run(100);
     world.set_cordoned("e", true);
-    world.submit(job(2, "batch", vec![step(8, room(HALF, 100))]));
+    world.submit(job(2, "batch", vec![step(8, resources(HALF, 100))]));
     world.run(20);
     world.replace_leader();
     world.run(8 * WORK);
@@ -163,18 +165,18 @@
 fn an_order_under_way_is_settled_with_its_executor() {
     let mut world = World::in_two_dcs(2);
     world.run(100);
-    world.executors[1].cut = true;
-    world.submit(job(1, "batch", vec![step(4, room(HALF, 100))]));
+    world.executors[1].isolated = true;
+    world.submit(job(1, "batch", vec![step(4, resources(HALF, 100))]));
     world.run(5);
     world.set_cordoned("e", true);
     world.run(1_000);
-    world.executors[1].cut = false;
+    world.executors[1].isolated = false;
     world.run(6 * WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.set_cordoned("e", false);
     world.run(LEASE);
-    world.executors[1].mute = 2;
-    world.submit(job(2, "batch", vec![step(4, room(HALF, 100))]));
+    world.executors[1].lost_answers = 2;
+    world.submit(job(2, "batch", vec![step(4, resources(HALF, 100))]));
     world.run(20);
     assert_eq!(world.executors_with(2), [0, 1]);
     world.set_cordoned("e", true);
@@ -188,7 +190,7 @@
 fn a_lasting_task_is_replaced_elsewhere() {
     let mut world = World::in_two_dcs(2);
     world.run(100);
-    let mut lasting = step(2, room(3_000, 100));
+    let mut lasting = step(2, resources(3_000, 100));
     lasting.lasting = true;
     world.submit(job(1, "batch", vec![lasting]));
     world.run(2 * WORK);
@@ -198,7 +200,7 @@
     assert_eq!(world.executors_with(1), [0, 1], "it runs on");
     world.crash(1, "y1");
     world.executors[2].info.dc = "e".into();
-    world.tell_entry(2);
+    world.list_entry(2);
     world.run(4 * WORK);
     assert_eq!(
         world.executors_with(1),
@@ -223,6 +225,6 @@
         most: 1,
     }));
     world.run(20_000);
-    assert_eq!(world.upkeeps, ["x1"]);
+    assert_eq!(world.maintained, ["x1"]);
     world.check();
 }
--- a/tests/jobs/crashing.rs
+++ b/tests/jobs/crashing.rs
@@ -4,10 +4,12 @@
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{JobState, TaskKey};
 
-use super::world::{job, room, step, Crashes, World, BACK_AFTER, WORK};
+use super::world::{
+    job, resources, step, Crashes, World, RESTART_DELAY, WORK,
+};
 
 /// A crash that is seen at once: connections are reset.
-const SEEN: Crashes = Crashes { after: 10, dark: false };
+const SEEN: Crashes = Crashes { after: 10, silent: false };
 /// The number of the first job that crashes executors.
 const CRASHING: u64 = 1_000;
 /// The time between two jobs on a cell whose executors crash by themselves.
@@ -24,12 +26,12 @@
 /// Hands a job in whose first task crashes executors.
 fn submit_crashing(world: &mut World, id: u64, queue: &str, how: Crashes) {
     world.crashing.insert(task(id), how);
-    world.submit(job(id, queue, vec![step(2, room(300, 100))]));
+    world.submit(job(id, queue, vec![step(2, resources(300, 100))]));
 }
 
 /// Hands a job in that harms nobody.
 fn submit_harmless(world: &mut World, id: u64) {
-    let mut work = step(2, room(600, 100));
+    let mut work = step(2, resources(600, 100));
     work.estimate = 2 * WORK;
     world.submit(job(id, "batch", vec![work]));
 }
@@ -104,15 +106,15 @@
 /// say so. When it fell is known to a second or so only.
 #[test]
 fn a_task_that_silences_executors_is_given_up() {
-    let dark = Crashes { after: 10, dark: true };
-    given_up_in_time(dark, |_| {});
+    let silent = Crashes { after: 10, silent: true };
+    given_up_in_time(silent, |_| {});
 }
 
 /// The executor falls some time after the start, when it has said already
 /// that the task runs.
 #[test]
 fn a_task_that_crashes_executors_later_is_given_up() {
-    let later = Crashes { after: 400, dark: false };
+    let later = Crashes { after: 400, silent: false };
     given_up_in_time(later, |_| {});
 }
 
@@ -135,7 +137,7 @@
         world.run(WORK);
         if crashed(&world, CRASHING) > seen {
             seen = crashed(&world, CRASHING);
-            world.run(3 * BACK_AFTER);
+            world.run(3 * RESTART_DELAY);
             between(&mut world);
         }
     }
@@ -154,7 +156,7 @@
 fn a_gang_that_crashes_executors_is_given_up() {
     let mut world = World::new(8);
     world.run(100);
-    let mut gang = step(4, room(2_500, 100));
+    let mut gang = step(4, resources(2_500, 100));
     gang.gang = true;
     let member: TaskKey = task(CRASHING).step.task(2);
     world.crashing.insert(member, SEEN);
@@ -169,10 +171,10 @@
 fn a_gang_that_silences_executors_is_given_up() {
     let mut world = World::new(8);
     world.run(100);
-    let mut gang = step(2, room(2_500, 100));
+    let mut gang = step(2, resources(2_500, 100));
     gang.gang = true;
-    let dark = Crashes { after: 10, dark: true };
-    world.crashing.insert(task(CRASHING), dark);
+    let silent = Crashes { after: 10, silent: true };
+    world.crashing.insert(task(CRASHING), silent);
     world.submit(job(CRASHING, "batch", vec![gang]));
     world.run(LONG_ENOUGH);
     world.check();
@@ -258,12 +260,12 @@
 }
 
 /// Whatever lives at the next address in turn crashes.
-fn crash_next(world: &mut World, at: usize, dark: bool) {
+fn crash_next(world: &mut World, at: usize, silent: bool) {
     let address = format!("x{at}");
     let mut lives = world.executors.iter();
     let life = lives.position(|e| !e.dead && e.info.address == address);
     if let Some(life) = life {
-        world.crash_by_itself(life, dark);
+        world.crash_by_itself(life, silent);
     }
 }
 
--- a/tests/jobs/displacing.rs
+++ b/tests/jobs/displacing.rs
@@ -2,18 +2,18 @@
 
 use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms, Step};
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
 /// A task that fills an executor for long, and saves its progress.
 fn long(id: u64) -> Job {
-    let mut one = step(1, room(4_000, 100));
+    let mut one = step(1, resources(4_000, 100));
     one.estimate = 20 * WORK;
     one.checkpoints = true;
     job(id, "background", vec![one])
 }
 
 fn gang(count: u32) -> Step {
-    let mut gang = step(count, room(3_000, 100));
+    let mut gang = step(count, resources(3_000, 100));
     gang.gang = true;
     gang
 }
--- a/tests/jobs/faults.rs
+++ b/tests/jobs/faults.rs
@@ -7,7 +7,7 @@
     Request,
 };
 
-use super::world::{job, room, step, World, LEASE, WORK};
+use super::world::{job, resources, step, World, LEASE, WORK};
 
 /// A successor hears of a step whose dependencies it does not yet know to
 /// be done, since another executor lists their ends. Dropped, such reports
@@ -15,9 +15,9 @@
 #[test]
 fn steps_may_be_heard_of_before_their_turn() {
     let mut world = World::new(2);
-    let mut first = step(1, room(3_500, 100));
+    let mut first = step(1, resources(3_500, 100));
     first.max_per_executor = 1;
-    let mut second = step(2, room(3_000, 100));
+    let mut second = step(2, resources(3_000, 100));
     second.after = vec![0];
     second.max_per_executor = 1;
     world.submit(job(1, "batch", vec![first, second]));
@@ -38,7 +38,7 @@
 #[test]
 fn what_ran_on_a_dead_executor_starts_elsewhere() {
     let mut world = World::new(2);
-    let mut gang = step(2, room(3_000, 100));
+    let mut gang = step(2, resources(3_000, 100));
     gang.gang = true;
     world.submit(job(1, "batch", vec![gang]));
     world.run(60);
@@ -55,13 +55,13 @@
 #[test]
 fn by_what_a_life_was_over_is_told() {
     let mut world = World::new(1);
-    world.submit(job(1, "batch", vec![step(1, room(500, 100))]));
+    world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(60);
     world.die(0);
     let id = world.executors[0].info.id.clone();
     world.event(Event::Unlisted(id.clone()));
     world.run(LEASE + 1_000);
-    assert_eq!(world.lives_over, [(id, IncarnationEnd::Lapsed)]);
+    assert_eq!(world.incarnations_over, [(id, IncarnationEnd::Lapsed)]);
     let counted = world.scheduler.counters()["executors_over_lapsed"];
     assert_eq!(counted, 1);
 }
@@ -72,8 +72,8 @@
 fn a_job_waits_until_an_executor_says_that_it_runs() {
     let mut world = World::new(1);
     world.run(50);
-    world.executors[0].cut = true;
-    world.submit(job(1, "batch", vec![step(1, room(500, 100))]));
+    world.executors[0].isolated = true;
+    world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(200);
     assert_eq!(world.pending("batch"), 1);
     assert_eq!(world.state(1), Some(JobState::Queued));
@@ -86,12 +86,14 @@
     let mut world = World::new(1);
     world.run(50);
     world.store_down = true;
-    world.submit(job(1, "batch", vec![step(1, room(500, 100))]));
+    world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(100);
-    let waiting = world.submit(job(2, "batch", vec![step(1, room(500, 100))]));
+    let waiting =
+        world.submit(job(2, "batch", vec![step(1, resources(500, 100))]));
     world.run(1_000);
     assert!(matches!(world.replies[&waiting], Outcome::Refused(_)));
-    let late = world.submit(job(3, "batch", vec![step(1, room(500, 100))]));
+    let late =
+        world.submit(job(3, "batch", vec![step(1, resources(500, 100))]));
     assert!(matches!(world.replies[&late], Outcome::Refused(_)));
     world.store_up();
     world.run(2 * WORK);
@@ -105,8 +107,8 @@
 fn a_start_without_answer_is_found_by_the_next_account() {
     let mut world = World::new(1);
     world.run(50);
-    world.executors[0].mute = 1;
-    world.submit(job(1, "batch", vec![step(1, room(500, 100))]));
+    world.executors[0].lost_answers = 1;
+    world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(WORK + 500);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     assert_eq!(world.starts.values().sum::<u32>(), 1);
@@ -119,12 +121,12 @@
 fn an_order_carried_out_late_does_nothing() {
     let mut world = World::new(2);
     world.run(50);
-    world.executors[0].late = Some(3_000);
-    world.executors[1].late = Some(3_000);
-    world.submit(job(1, "batch", vec![step(2, room(500, 100))]));
+    world.executors[0].order_delay = Some(3_000);
+    world.executors[1].order_delay = Some(3_000);
+    world.submit(job(1, "batch", vec![step(2, resources(500, 100))]));
     world.run(350);
-    world.executors[0].late = None;
-    world.executors[1].late = None;
+    world.executors[0].order_delay = None;
+    world.executors[1].order_delay = None;
     world.run(8_000);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
@@ -134,13 +136,13 @@
 #[test]
 fn tasks_on_executors_that_are_cut_off_are_waited_for() {
     let mut world = World::new(2);
-    world.submit(job(1, "batch", vec![step(2, room(3_000, 100))]));
+    world.submit(job(1, "batch", vec![step(2, resources(3_000, 100))]));
     world.run(60);
-    world.executors[0].cut = true;
+    world.executors[0].isolated = true;
     world.replace_leader();
     world.run(4_000);
     world.check();
-    world.executors[0].cut = false;
+    world.executors[0].isolated = false;
     world.run(3_000);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
@@ -150,7 +152,7 @@
 #[test]
 fn what_was_acknowledged_survives_the_leader() {
     let mut world = World::new(2);
-    let id = world.submit(job(1, "batch", vec![step(2, room(500, 100))]));
+    let id = world.submit(job(1, "batch", vec![step(2, resources(500, 100))]));
     world.run(45);
     assert_eq!(world.replies[&id], Outcome::Accepted);
     world.replace_leader();
@@ -165,7 +167,7 @@
 #[test]
 fn a_failure_that_is_reported_again_counts_once() {
     let mut world = World::new(1);
-    world.submit(job(1, "batch", vec![step(1, room(500, 100))]));
+    world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     let task = "0000000000000001.0.0.0".parse().expect("a task");
     world.failing.insert(task, 2);
     world.run(WORK);
@@ -187,13 +189,13 @@
 #[test]
 fn a_long_task_on_a_cut_executor_is_not_doubled() {
     let mut world = World::new(2);
-    let mut long = step(2, room(3_000, 100));
+    let mut long = step(2, resources(3_000, 100));
     long.estimate = 5_500;
     world.submit(job(1, "batch", vec![long]));
     world.run(300);
-    world.executors[1].cut = true;
+    world.executors[1].isolated = true;
     world.run(LEASE + 6_000);
-    world.executors[1].cut = false;
+    world.executors[1].isolated = false;
     world.run(LEASE);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
@@ -207,8 +209,8 @@
     let mut world = World::new(4);
     world.run(50);
     world.lost_advice = 2;
-    world.submit(job(1, "advised", vec![step(2, room(500, 100))]));
-    world.submit(job(2, "advised", vec![step(2, room(500, 100))]));
+    world.submit(job(1, "advised", vec![step(2, resources(500, 100))]));
+    world.submit(job(2, "advised", vec![step(2, resources(500, 100))]));
     world.run(8_000);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     assert_eq!(world.state(2), Some(JobState::Succeeded));
@@ -222,7 +224,7 @@
     let mut world = World::new(4);
     world.run(50);
     for id in 1..=400 {
-        let mut large = job(id, "batch", vec![step(1, room(10, 10))]);
+        let mut large = job(id, "batch", vec![step(1, resources(10, 10))]);
         large.spec = "x".repeat(4_000);
         world.submit(large);
     }
@@ -240,19 +242,19 @@
 #[test]
 fn a_superseded_leader_takes_no_lease_for_over() {
     let mut world = World::new(2);
-    let mut long = step(1, room(3_000, 100));
+    let mut long = step(1, resources(3_000, 100));
     long.estimate = 2 * LEASE;
     world.submit(job(1, "batch", vec![long]));
     world.run(300);
     let task = "0000000000000001.0.0.0".parse().expect("a task");
     let at = usize::from(!world.executors[0].runs(&task));
-    world.executors[at].cut_from = Some(world.token);
+    world.executors[at].isolated_from = Some(world.token);
     world.run(1_000);
     world.replace_leader();
-    world.executors[1 - at].cut_from = Some(world.token);
+    world.executors[1 - at].isolated_from = Some(world.token);
     world.run(LEASE);
     world.check();
-    world.executors[1 - at].cut_from = None;
+    world.executors[1 - at].isolated_from = None;
     world.run(2 * LEASE);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     assert_eq!(world.starts.values().sum::<u32>(), 1);
@@ -267,12 +269,12 @@
     let mut world = World::new(EXECUTORS as usize);
     world.run(50);
     for id in 0..EXECUTORS {
-        let mut filler = step(1, room(3_900, 100));
+        let mut filler = step(1, resources(3_900, 100));
         filler.estimate = 60_000;
         world.submit(job(100 + id, "batch", vec![filler]));
         world.run(40);
     }
-    let mut gang = step(2, room(3_000, 100));
+    let mut gang = step(2, resources(3_000, 100));
     gang.gang = true;
     world.submit(job(1, "advised", vec![gang]));
     // Its first tickets are too old by now.
@@ -296,12 +298,12 @@
     const SECONDS: u64 = 6;
     let mut world = World::new(1_000);
     world.run(2_000);
-    world.holds = 0;
+    world.renewals = 0;
     world.run(SECONDS * 1_000);
-    assert!(world.holds <= 600 * SECONDS, "{} holds", world.holds);
-    assert!(world.holds >= 400 * SECONDS, "{} holds", world.holds);
+    assert!(world.renewals <= 600 * SECONDS, "{} holds", world.renewals);
+    assert!(world.renewals >= 400 * SECONDS, "{} holds", world.renewals);
     // Where something runs, its end is heard of at once.
-    world.submit(job(1, "batch", vec![step(1, room(500, 100))]));
+    world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(WORK + 150);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
@@ -313,20 +315,20 @@
     for executor in &mut world.executors[8..] {
         executor.info.dc = "e".into();
     }
-    world.tell_all();
+    world.list_all();
     world.run(100);
     for executor in &mut world.executors[8..] {
-        executor.cut = true;
+        executor.isolated = true;
     }
     for id in 1..=40 {
-        world.submit(job(id, "urgent", vec![step(8, room(500, 100))]));
+        world.submit(job(id, "urgent", vec![step(8, resources(500, 100))]));
         world.run(50);
     }
     world.run(2 * WORK);
     let waits = |id: &u64| world.state(*id) != Some(JobState::Succeeded);
     let stranded = (1..=40).filter(waits).count();
     for executor in &mut world.executors[8..] {
-        executor.cut = false;
+        executor.isolated = false;
     }
     world.run(LEASE + 2_000);
     for id in 1..=40 {
@@ -352,10 +354,10 @@
 #[test]
 fn an_executor_that_fails_all_gets_few_runs() {
     let mut world = World::new(8);
-    world.executors[0].fails = true;
+    world.executors[0].fails_all = true;
     world.run(100);
     for id in 1..=60 {
-        world.submit(job(id, "urgent", vec![step(4, room(500, 100))]));
+        world.submit(job(id, "urgent", vec![step(4, resources(500, 100))]));
         world.run(50);
     }
     world.run(4 * WORK);
@@ -371,9 +373,9 @@
 #[test]
 fn a_gang_avoids_executors_on_which_it_has_failed() {
     let mut world = World::new(4);
-    world.executors[0].fails = true;
+    world.executors[0].fails_all = true;
     world.run(100);
-    let mut gang = step(4, room(2_000, 100));
+    let mut gang = step(4, resources(2_000, 100));
     gang.gang = true;
     world.submit(job(1, "batch", vec![gang]));
     world.run(6 * WORK);
@@ -392,7 +394,7 @@
     world.event(puffinknot_core::jobs::Event::Advisors(nodes));
     world.run(50);
     world.lost_advice = 1;
-    world.submit(job(1, "advised", vec![step(1, room(500, 100))]));
+    world.submit(job(1, "advised", vec![step(1, resources(500, 100))]));
     world.run(500 + WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
@@ -404,12 +406,12 @@
 fn a_gang_asks_about_further_executors_while_those_known_are_busy() {
     // One call asks about a hundred.
     let mut world = World::new(110);
-    let mut busy = step(100, room(4_000, 100));
+    let mut busy = step(100, resources(4_000, 100));
     busy.lasting = true;
     busy.max_per_executor = 1;
     world.submit(job(1, "batch", vec![busy]));
     world.run(500);
-    let mut gang = step(4, room(4_000, 100));
+    let mut gang = step(4, resources(4_000, 100));
     gang.gang = true;
     world.submit(job(2, "dear", vec![gang]));
     world.run(6_000);
@@ -423,13 +425,13 @@
 fn an_end_told_late_lets_the_next_step_begin() {
     let mut world = World::new(1);
     world.run(50);
-    world.executors[0].held_up = Some(4_900);
-    let first = step(1, room(300, 100));
-    let mut second = step(1, room(300, 100));
+    world.executors[0].answer_delay = Some(4_900);
+    let first = step(1, resources(300, 100));
+    let mut second = step(1, resources(300, 100));
     second.after = vec![0];
     world.submit(job(1, "batch", vec![first, second]));
     world.run(20_000);
-    world.executors[0].held_up = None;
+    world.executors[0].answer_delay = None;
     world.run(10_000);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
@@ -443,7 +445,7 @@
         let mut world = World::without(6, without);
         world.run(50);
         let long = |id| {
-            let mut one = step(6, room(2_000, 100));
+            let mut one = step(6, resources(2_000, 100));
             one.max_per_executor = 1;
             one.estimate = 12 * WORK;
             job(id, "batch", vec![one])
@@ -451,12 +453,12 @@
         world.submit(long(1));
         world.run(200);
         for at in 0..3 {
-            world.executors[at].mute = 1;
+            world.executors[at].lost_answers = 1;
         }
-        let before = world.holds;
+        let before = world.renewals;
         world.submit(long(2));
         world.run(400);
-        world.holds - before
+        world.renewals - before
     };
     let with = holds(Mechanisms::default());
     let without = holds(Mechanisms::all_except([Mechanism::SilenceAlarm]));
@@ -473,7 +475,7 @@
         times.map(move |passed| (gang, passed))
     }) {
         let mut world = World::new(6);
-        let mut step = step(2, room(2_500, 100));
+        let mut step = step(2, resources(2_500, 100));
         step.estimate = 3 * WORK / 2;
         step.gang = gang;
         let key = StepKey { job: JobId(1), time: 0, step: 0 };
@@ -486,19 +488,19 @@
         let at_work: Vec<bool> = (0..6).map(|at| there(&world, at)).collect();
         let next = Some(world.token + 1);
         for (at, at_work) in at_work.iter().enumerate() {
-            world.executors[at].cut_from = next.filter(|_| !at_work);
+            world.executors[at].isolated_from = next.filter(|_| !at_work);
         }
         world.replace_leader();
         world.run(20);
         for index in 0..2 {
-            world.takes.insert(key.task(index), 300);
+            world.run_time_percents.insert(key.task(index), 300);
         }
         for (at, at_work) in at_work.iter().enumerate() {
-            world.executors[at].cut_from = next.filter(|_| *at_work);
+            world.executors[at].isolated_from = next.filter(|_| *at_work);
         }
         world.run(850);
         for executor in &mut world.executors {
-            executor.cut_from = None;
+            executor.isolated_from = None;
         }
         world.run(10_000);
         world.check();
--- a/tests/jobs/fuzz.rs
+++ b/tests/jobs/fuzz.rs
@@ -7,7 +7,7 @@
 };
 
 use super::world::{
-    dc_of, job, room, step, Crashes, World, FREE, LEASE, LIMITED, WORK,
+    dc_of, job, resources, step, Crashes, World, FREE, LEASE, LIMITED, WORK,
 };
 
 /// The machines, which are named as the addresses of executors.
@@ -179,7 +179,7 @@
         3 => (0u32..2, prop_oneof![Just(10u64), Just(90)])
             .prop_map(|(t, after)| Crash::ByTask(t, after)),
         2 => (0usize..12, any::<bool>())
-            .prop_map(|(a, dark)| Crash::ByItself(a, dark)),
+            .prop_map(|(a, silent)| Crash::ByItself(a, silent)),
         3 => (0usize..12, 500u32..5_000)
             .prop_map(|(a, cpu)| Crash::Room(a, cpu)),
     ]
@@ -312,15 +312,16 @@
             match told {
                 true => world.crash(at, &id),
                 false => {
-                    world.crash_untold(at, &id);
+                    world.crash_unlisted(at, &id);
                 }
             }
         }
-        Mistaken::Cut(at, cut) => world.executors[at % all].cut = cut,
+        Mistaken::Cut(at, cut) => world.executors[at % all].isolated = cut,
         Mistaken::CutFrom(at, after) => {
-            world.executors[at % all].cut_from = Some(world.token + after);
+            world.executors[at % all].isolated_from =
+                Some(world.token + after);
         }
-        Mistaken::Told(at) => world.tell_entry(at % all),
+        Mistaken::Told(at) => world.list_entry(at % all),
         Mistaken::Gone(at) => {
             let id = world.executors[at % all].info.id.clone();
             world.event(Event::Unlisted(id));
@@ -332,25 +333,29 @@
                 read.map(|(at, (place, _))| (*place, at)).collect();
             read.sort();
             let read: Vec<usize> = read.iter().map(|(_, at)| *at).collect();
-            world.replace_leader_told(&read);
+            world.replace_leader_listing(&read);
         }
         Mistaken::Silence(at, late, until, rest) => {
-            world.executors[at % all].held_up = Some(late);
+            world.executors[at % all].answer_delay = Some(late);
             world.replace_leader();
             world.run(until);
-            world.executors[at % all].held_up = None;
-            world.executors[at % all].cut = true;
+            world.executors[at % all].answer_delay = None;
+            world.executors[at % all].isolated = true;
             world.run(rest);
         }
         Mistaken::Shown(machine, shown) => {
             let address = format!("x{machine}");
             match shown {
-                Shown::Present => world.shown.remove(&address),
-                Shown::First => world.shown.insert(address.clone(), address),
-                Shown::Nobody => world.shown.insert(address, String::new()),
+                Shown::Present => world.listed_executors.remove(&address),
+                Shown::First => {
+                    world.listed_executors.insert(address.clone(), address)
+                }
+                Shown::Nobody => {
+                    world.listed_executors.insert(address, String::new())
+                }
             };
         }
-        Mistaken::Unlistable(is_so) => world.unlistable = is_so,
+        Mistaken::Unlistable(is_so) => world.list_unavailable = is_so,
         Mistaken::Wave(machine) => {
             let wave = MaintenanceWave {
                 wave: machine as u64 + 1,
@@ -360,7 +365,7 @@
             };
             world.event(Event::Wave(wave));
         }
-        Mistaken::LateUpkeep => world.late_upkeeps += 1,
+        Mistaken::LateUpkeep => world.late_maintenance_calls += 1,
     }
 }
 
@@ -370,14 +375,14 @@
     match one {
         Crash::ByTask(index, after) => {
             let step = StepKey { job: JobId(next), time: 0, step: 0 };
-            let how = Crashes { after, dark: false };
+            let how = Crashes { after, silent: false };
             world.crashing.insert(step.task(index), how);
         }
-        Crash::ByItself(at, dark) => world.crash_by_itself(at % all, dark),
+        Crash::ByItself(at, silent) => world.crash_by_itself(at % all, silent),
         Crash::Room(at, cpu) => {
-            world.resize(at % all, room(cpu, 8_000));
+            world.resize(at % all, resources(cpu, 8_000));
             if !world.executors[at % all].dead {
-                world.tell_entry(at % all);
+                world.list_entry(at % all);
             }
         }
     }
@@ -394,9 +399,9 @@
                 return;
             }
             former.push(world.executors[at].info.clone());
-            world.restart_untold(at, clock, silent);
+            world.restart_unlisted(at, clock, silent);
             if told {
-                world.tell_entry(at);
+                world.list_entry(at);
             }
         }
         Restart::FormerEntry(at) if !former.is_empty() => {
@@ -423,7 +428,7 @@
             }
             let info = &mut world.executors[at].info;
             (info.draining, info.remaining) = (true, Some(stays));
-            world.tell_entry(at);
+            world.list_entry(at);
             world.run(stays);
             world.executors[at].leave();
             world.run(until_next);
@@ -437,7 +442,7 @@
         Full::FailInTurn(before, gang, first, some, others) => {
             *jobs += 1;
             let work = 5 * WORK;
-            let mut failing = step(2, room(1_200, 100));
+            let mut failing = step(2, resources(1_200, 100));
             (failing.gang, failing.estimate) = (gang, work);
             let step = StepKey { job: JobId(*jobs), time: 0, step: 0 };
             world.failing.insert(step.task(0), 1);
@@ -459,7 +464,7 @@
     let cut_off = |world: &mut World, which: bool| {
         let turns = first.iter().cycle();
         for (executor, turn) in world.executors.iter_mut().zip(turns) {
-            executor.cut_from = next.filter(|_| *turn == which);
+            executor.isolated_from = next.filter(|_| *turn == which);
         }
     };
     cut_off(world, false);
@@ -468,22 +473,22 @@
     cut_off(world, true);
     world.run(others);
     for executor in &mut world.executors {
-        executor.cut_from = None;
+        executor.isolated_from = None;
     }
 }
 
 /// No life can be mistaken for over any more, and all entries are told.
 fn no_more_mistakes(world: &mut World) {
     for at in 0..world.executors.len() {
-        world.executors[at].cut_from = None;
+        world.executors[at].isolated_from = None;
         if world.executors[at].dead {
             let id = world.executors[at].info.id.clone();
             world.event(Event::Unlisted(id));
         }
     }
-    world.shown.clear();
-    world.unlistable = false;
-    world.tell_all();
+    world.listed_executors.clear();
+    world.list_unavailable = false;
+    world.list_all();
 }
 
 fn play(sequence: &[Move]) -> World {
@@ -507,7 +512,7 @@
                 let tasks = if tight { tasks.min(2) } else { tasks };
                 let cpu = if gang { cpu.min(1_900) } else { cpu };
                 let steps = (0..steps).map(|number| {
-                    let mut step = step(tasks, room(cpu, 100));
+                    let mut step = step(tasks, resources(cpu, 100));
                     step.gang = gang;
                     step.checkpoints = matches!(door, Door::Background);
                     step.estimate = work;
@@ -538,10 +543,12 @@
                 }
             }
             Move::Run(time) => world.run(time),
-            Move::Cut(at, cut) => world.executors[at].cut = cut,
-            Move::Mute(at, orders) => world.executors[at].mute = orders,
-            Move::Late(at, late) => world.executors[at].late = late,
-            Move::HeldUp(at, late) => world.executors[at].held_up = late,
+            Move::Cut(at, cut) => world.executors[at].isolated = cut,
+            Move::Mute(at, orders) => {
+                world.executors[at].lost_answers = orders
+            }
+            Move::Late(at, late) => world.executors[at].order_delay = late,
+            Move::HeldUp(at, late) => world.executors[at].answer_delay = late,
             Move::Crash(at) => {
                 lives += 1;
                 let id = format!("y{lives}");
@@ -559,28 +566,28 @@
             Move::Lives(one) => mistake(&mut world, one, &mut lives),
             Move::Crashes(one) => crash(&mut world, one, jobs + 1),
             Move::Restarts(one) => restart(&mut world, one, &mut former),
-            Move::Behind(late) => world.behind = late,
+            Move::Behind(late) => world.event_lag = late,
             Move::StandStill(time) => {
                 let time = time.min(STILL - still);
                 still += time;
-                world.stand_still(time);
+                world.stall(time);
             }
             Move::Cordon(at, on) => world.set_cordoned(dc_of(at), on),
             Move::Full(one) => fill(&mut world, one, &mut jobs, &mut lives),
         }
     }
-    world.behind = 0;
+    world.event_lag = 0;
     // All faults end; then everything that was accepted has to end too.
     for executor in &mut world.executors {
-        executor.cut = false;
-        executor.mute = 0;
-        executor.late = None;
-        executor.held_up = None;
+        executor.isolated = false;
+        executor.lost_answers = 0;
+        executor.order_delay = None;
+        executor.answer_delay = None;
     }
     for at in 0..world.executors.len() {
-        world.resize(at, room(4_000, 8_000));
+        world.resize(at, resources(4_000, 8_000));
         if !world.executors[at].dead {
-            world.tell_entry(at);
+            world.list_entry(at);
         }
     }
     if sequence.iter().any(|one| matches!(one, Move::Lives(_))) {
@@ -855,7 +862,7 @@
         work,
     };
     let small = || one_task(300, Door::Open, 500);
-    let by_itself = |at, dark| Move::Crashes(ByItself(at, dark));
+    let by_itself = |at, silent| Move::Crashes(ByItself(at, silent));
     let crash = |at| Move::Lives(Mistaken::Crash(at, false));
     let silence =
         |at, until, rest| Move::Lives(Mistaken::Silence(at, 1, until, rest));
--- a/tests/jobs/holds.rs
+++ b/tests/jobs/holds.rs
@@ -3,7 +3,7 @@
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{Mechanism, Mechanisms};
 
-use super::world::{job, room, step, World};
+use super::world::{job, resources, step, World};
 
 const EXECUTORS: usize = 320;
 /// The time between two turns of a leader that is busy.
@@ -17,8 +17,8 @@
         Mechanisms::all_except([Mechanism::Admission]),
     );
     world.run(500);
-    world.turn = TURN;
-    let mut short = step(40 * EXECUTORS as u32, room(4_000, 100));
+    world.advance_interval = TURN;
+    let mut short = step(40 * EXECUTORS as u32, resources(4_000, 100));
     short.estimate = TURN;
     world.submit(job(1, "batch", vec![short]));
     world.run(10_000);
--- a/tests/jobs/latest.rs
+++ b/tests/jobs/latest.rs
@@ -6,7 +6,7 @@
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms, TaskKey};
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
 const EXECUTORS: usize = 8;
 /// What the queues of the world add to twice the chain of a job.
@@ -22,7 +22,7 @@
 /// A chain of steps that fill an executor each.
 fn chain(id: u64, queue: &str, steps: u32, time: Millis) -> Job {
     let steps = (0..steps).map(|number| {
-        let mut work = step(4, room(1_000, 100));
+        let mut work = step(4, resources(1_000, 100));
         work.estimate = time;
         work.after = number.checked_sub(1).into_iter().collect();
         work
@@ -111,7 +111,7 @@
     world.run(50);
     // Both have the same deadline; the second one takes four rounds.
     world.submit(chain(2, "batch", 1, 2 * WORK));
-    let mut wide = step(32, room(1_000, 100));
+    let mut wide = step(32, resources(1_000, 100));
     wide.estimate = 2 * WORK;
     world.submit(job(3, "batch", vec![wide]));
     world.submit(chain(4, "batch", 1, 2 * WORK));
--- a/tests/jobs/leaving.rs
+++ b/tests/jobs/leaving.rs
@@ -3,7 +3,7 @@
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{JobState, Mechanism, Mechanisms, Step};
 
-use super::world::{job, room, step, World, LEASE, WORK};
+use super::world::{job, resources, step, World, LEASE, WORK};
 
 /// How much longer an executor stays that gives notice.
 const STAYS: Millis = 2_000;
@@ -13,7 +13,7 @@
 }
 
 fn long(times: Millis, saves: bool) -> Step {
-    let mut one = step(1, room(3_000, 100));
+    let mut one = step(1, resources(3_000, 100));
     one.estimate = times * WORK;
     one.checkpoints = saves;
     one
@@ -24,7 +24,7 @@
     fn give_notice(&mut self, at: usize, stays: Millis) {
         self.executors[at].info.draining = true;
         self.executors[at].info.remaining = Some(stays);
-        self.tell_entry(at);
+        self.list_entry(at);
     }
 }
 
@@ -96,7 +96,7 @@
         let moves = without.enabled(Mechanism::Leaving);
         let mut world = World::without(6, without);
         world.run(50);
-        let mut gang = step(3, room(3_000, 100));
+        let mut gang = step(3, resources(3_000, 100));
         gang.gang = true;
         gang.estimate = 8 * WORK;
         world.submit(job(1, "batch", vec![gang]));
@@ -176,7 +176,7 @@
     world.submit(job(1, "batch", vec![long(20, false)]));
     world.run(100);
     let at = world.executors_with(1)[0];
-    world.executors[at].cut = true;
+    world.executors[at].isolated = true;
     world.give_notice(at, STAYS);
     world.run(STAYS);
     assert_eq!(world.starts.values().sum::<u32>(), 1);
--- a/tests/jobs/lives.rs
+++ b/tests/jobs/lives.rs
@@ -3,7 +3,7 @@
 
 use puffinknot_core::jobs::{Event, JobState, MaintenanceWave, Step, TaskKey};
 
-use super::world::{job, room, step, World, LEASE};
+use super::world::{job, resources, step, World, LEASE};
 
 /// The former life at the address of [`LIFE`].
 const FORMER: usize = 0;
@@ -23,7 +23,7 @@
 }
 
 fn submit_long(world: &mut World, work: u64) {
-    let mut long = step(1, room(3_000, 100));
+    let mut long = step(1, resources(3_000, 100));
     long.estimate = work;
     world.submit(job(1, "batch", vec![long]));
 }
@@ -38,7 +38,7 @@
     submit_long(&mut world, LONG);
     world.run(200);
     world.add_executor("x9");
-    world.tell_entry(OTHER);
+    world.list_entry(OTHER);
     world.run(200);
     assert!(world.executors[LIFE].runs(&task()));
     world
@@ -52,7 +52,7 @@
     submit_long(&mut world, LONG);
     world.run(200);
     world.add_executor("x9");
-    world.tell_entry(1);
+    world.list_entry(1);
     world.run(200);
     assert!(world.executors[0].runs(&task()));
     world
@@ -70,10 +70,10 @@
 /// entries. It ends its task all the same.
 fn ends_though_cut_off_while_read(entries: &[usize]) {
     let mut world = next_life_at_work();
-    world.executors[LIFE].cut = true;
+    world.executors[LIFE].isolated = true;
     takes_over_and_reads(&mut world, entries, 0);
     world.run(2_500);
-    world.executors[LIFE].cut = false;
+    world.executors[LIFE].isolated = false;
     ends_after_one_start(world);
 }
 
@@ -81,7 +81,7 @@
 fn takes_over_and_reads(world: &mut World, entries: &[usize], pause: u64) {
     world.take_over();
     for at in entries {
-        world.tell_entry(*at);
+        world.list_entry(*at);
         world.run(pause);
     }
 }
@@ -125,7 +125,7 @@
 #[test]
 fn a_former_entry_told_once_more_ends_no_life() {
     let mut world = next_life_at_work();
-    world.tell_entry(FORMER);
+    world.list_entry(FORMER);
     ends_after_one_start(world);
 }
 
@@ -135,9 +135,9 @@
     let mut world = next_life_at_work();
     for _ in 0..3 {
         world.run(400);
-        world.tell_entry(FORMER);
+        world.list_entry(FORMER);
         world.run(400);
-        world.tell_entry(LIFE);
+        world.list_entry(LIFE);
     }
     ends_after_one_start(world);
 }
@@ -160,10 +160,10 @@
 #[test]
 fn a_former_entry_ends_no_life_that_a_successor_cannot_reach() {
     let mut world = next_life_at_work();
-    world.executors[LIFE].cut_from = Some(world.token + 1);
+    world.executors[LIFE].isolated_from = Some(world.token + 1);
     takes_over_and_reads(&mut world, &[LIFE, FORMER, OTHER], 0);
     world.run(2_500);
-    world.executors[LIFE].cut_from = None;
+    world.executors[LIFE].isolated_from = None;
     ends_after_one_start(world);
 }
 
@@ -172,11 +172,11 @@
 #[test]
 fn a_former_entry_told_once_more_ends_no_life_that_is_cut_off() {
     let mut world = next_life_at_work();
-    world.executors[LIFE].cut_from = Some(world.token);
+    world.executors[LIFE].isolated_from = Some(world.token);
     world.run(300);
-    world.tell_entry(FORMER);
+    world.list_entry(FORMER);
     world.run(2_000);
-    world.executors[LIFE].cut_from = None;
+    world.executors[LIFE].isolated_from = None;
     ends_after_one_start(world);
 }
 
@@ -190,14 +190,14 @@
 fn silence_before_the_first_lease_is_no_lapse() {
     let mut world = two_executors();
     // An answer takes 900 ms, and a hold is given up after 700 ms.
-    world.executors[0].held_up = Some(200);
+    world.executors[0].answer_delay = Some(200);
     world.replace_leader();
     world.run(800);
     // The answer to the first hold is on its way.
-    world.executors[0].cut = true;
+    world.executors[0].isolated = true;
     world.run(3_000);
-    world.executors[0].cut = false;
-    world.executors[0].held_up = None;
+    world.executors[0].isolated = false;
+    world.executors[0].answer_delay = None;
     ends_after_one_start(world);
 }
 
@@ -206,16 +206,16 @@
 #[test]
 fn silence_of_an_unlisted_executor_before_its_first_lease_is_no_lapse() {
     let mut world = two_executors();
-    world.executors[0].held_up = Some(200);
+    world.executors[0].answer_delay = Some(200);
     world.replace_leader();
     world.run(800);
-    world.executors[0].cut = true;
+    world.executors[0].isolated = true;
     let id = world.executors[0].info.id.clone();
     world.event(Event::Unlisted(id));
     world.run(3_000);
-    world.executors[0].cut = false;
-    world.executors[0].held_up = None;
-    world.tell_entry(0);
+    world.executors[0].isolated = false;
+    world.executors[0].answer_delay = None;
+    world.list_entry(0);
     ends_after_one_start(world);
 }
 
@@ -226,8 +226,8 @@
 #[test]
 fn a_machine_without_an_executor_ends_no_life() {
     let mut world = two_executors();
-    world.shown.insert("x0".into(), String::new());
-    world.executors[0].cut = true;
+    world.listed_executors.insert("x0".into(), String::new());
+    world.executors[0].isolated = true;
     world.run(LONG + 2_000);
     world.check();
 }
@@ -236,8 +236,8 @@
 #[test]
 fn a_machine_that_shows_a_former_life_ends_no_life() {
     let mut world = next_life_at_work();
-    world.shown.insert("x0".into(), "x0".into());
-    world.executors[LIFE].cut = true;
+    world.listed_executors.insert("x0".into(), "x0".into());
+    world.executors[LIFE].isolated = true;
     world.run(LONG + 2_000);
     world.check();
 }
@@ -249,11 +249,11 @@
 #[test]
 fn a_list_that_lags_at_a_takeover_ends_no_life() {
     let mut world = next_life_at_work();
-    world.shown.insert("x0".into(), "x0".into());
-    world.executors[LIFE].cut = true;
+    world.listed_executors.insert("x0".into(), "x0".into());
+    world.executors[LIFE].isolated = true;
     world.replace_leader();
     world.run(2_500);
-    world.executors[LIFE].cut = false;
+    world.executors[LIFE].isolated = false;
     ends_after_one_start(world);
 }
 
@@ -275,7 +275,7 @@
     // The machine is down at once, and its next executor is there after two
     // seconds. It is not listed as done by then.
     world.run(600);
-    assert_eq!(world.upkeeps, ["x0"]);
+    assert_eq!(world.maintained, ["x0"]);
     world.run(1_600);
     let life = world.executors.len() - 1;
     assert_eq!(life, LIFE);
@@ -289,7 +289,7 @@
     world.check();
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     assert_eq!(world.starts[&task()], 1);
-    assert_eq!(world.upkeeps, ["x0"]);
+    assert_eq!(world.maintained, ["x0"]);
 }
 
 /// The same while one node led all the time. Its first call was carried out
@@ -306,20 +306,20 @@
     };
     let mut world = World::new(1);
     world.run(50);
-    world.late_upkeeps = 1;
+    world.late_maintenance_calls = 1;
     world.event(Event::Wave(wave));
     world.run(1_000);
-    world.unlistable = true;
+    world.list_unavailable = true;
     // It is carried out after 1.5 s and takes 2 s.
     world.run(2_700);
-    assert_eq!(world.upkeeps, ["x0"]);
+    assert_eq!(world.maintained, ["x0"]);
     assert_eq!(world.executors.len() - 1, LIFE);
     submit_long(&mut world, LONG);
     world.run(100);
     assert!(world.executors[LIFE].runs(&task()));
     world.add_executor("x9");
-    world.tell_entry(OTHER);
-    world.unlistable = false;
+    world.list_entry(OTHER);
+    world.list_unavailable = false;
     ends_after_one_start(world);
 }
 
@@ -335,21 +335,21 @@
     submit_long(&mut world, LONG);
     world.run(200);
     world.add_executor("x9");
-    world.executors[1].info.capacity = room(1_000, 8_000);
-    world.tell_entry(1);
+    world.executors[1].info.capacity = resources(1_000, 8_000);
+    world.list_entry(1);
     world.run(100);
     assert!(world.executors[0].runs(&task()));
-    world.shown.insert("x0".into(), String::new());
-    world.executors[0].cut = true;
+    world.listed_executors.insert("x0".into(), String::new());
+    world.executors[0].isolated = true;
     world.run(4_200);
     assert!(world.executors[0].runs(&task()));
     // The entry of the executor has lapsed; another one has room by now.
     world.add_executor("x10");
     takes_over_and_reads(&mut world, &[1, 2], 0);
     world.run(400);
-    world.shown.clear();
-    world.executors[0].cut = false;
-    world.tell_entry(0);
+    world.listed_executors.clear();
+    world.executors[0].isolated = false;
+    world.list_entry(0);
     world.run(LONG + LEASE);
     world.check();
     assert_eq!(world.state(1), Some(JobState::Succeeded));
@@ -365,13 +365,13 @@
     world.run(100);
     submit_long(&mut world, LONG);
     world.run(200);
-    world.tell_entry(FORMER);
+    world.list_entry(FORMER);
     world.run(100);
     assert!(world.executors[LIFE].runs(&task()));
     world.add_executor("x9");
     takes_over_and_reads(&mut world, &[OTHER], 0);
     world.run(400);
-    world.tell_entry(LIFE);
+    world.list_entry(LIFE);
     ends_after_one_start(world);
 }
 
@@ -382,7 +382,7 @@
     let mut world = two_executors();
     world.run(SHOWN);
     world.die(0);
-    world.off.insert("x0".into());
+    world.powered_off.insert("x0".into());
     world.run(SEEN);
     assert_eq!(world.starts[&task()], 2);
     world.check();
@@ -395,7 +395,7 @@
     let mut world = two_executors();
     world.run(SHOWN);
     world.die(0);
-    world.off.insert("x0".into());
+    world.powered_off.insert("x0".into());
     world.replace_leader();
     world.run(SEEN);
     assert_eq!(world.starts[&task()], 2);
@@ -407,11 +407,11 @@
 #[test]
 fn an_executor_that_no_list_has_shown_ends_by_its_lease() {
     let mut world = two_executors();
-    world.left_out.insert("x0".into());
+    world.unlisted.insert("x0".into());
     world.run(SHOWN - 1_000);
     let id = world.executors[0].info.id.clone();
     world.event(Event::Unlisted(id));
-    world.executors[0].cut = true;
+    world.executors[0].isolated = true;
     world.run(LEASE - 1_500);
     world.check();
     assert_eq!(world.starts[&task()], 1, "its lease runs on");
@@ -426,10 +426,10 @@
     world.die(0);
     world.add_executor("y1");
     let next = world.executors.len() - 1;
-    world.shown.insert("x0".into(), "y1".into());
+    world.listed_executors.insert("x0".into(), "y1".into());
     world.run(SEEN);
     assert_eq!(world.starts[&task()], 1, "it has not answered yet");
-    world.tell_entry(next);
+    world.list_entry(next);
     world.run(SEEN);
     assert_eq!(world.starts[&task()], 2);
     world.check();
@@ -467,13 +467,13 @@
 fn a_slow_clock_is_no_reason_to_run_twice() {
     for replaced in [false, true] {
         let mut world = World::new(2);
-        world.executors[0].slow = 20;
-        world.executors[1].slow = 20;
+        world.executors[0].clock_loss = 20;
+        world.executors[1].clock_loss = 20;
         world.run(20_000);
         submit_long(&mut world, 3 * LEASE);
         world.run(1_500);
         let at = usize::from(!world.executors[0].runs(&task()));
-        world.executors[at].cut = true;
+        world.executors[at].isolated = true;
         if replaced {
             world.replace_leader();
         }
@@ -492,9 +492,9 @@
     world.failing.insert(task(), 1);
     submit_long(&mut world, 2_500);
     // Answers take 2.2 s, and a hold is given up after 0.7 s.
-    world.executors[0].held_up = Some(1_500);
+    world.executors[0].answer_delay = Some(1_500);
     world.run(1_200);
-    world.executors[0].held_up = None;
+    world.executors[0].answer_delay = None;
     world
 }
 
@@ -534,17 +534,17 @@
 #[test]
 fn a_superseded_leader_starts_nothing_for_the_end_of_a_life() {
     let mut world = two_executors();
-    world.executors[0].cut_from = Some(world.token + 1);
+    world.executors[0].isolated_from = Some(world.token + 1);
     world.replace_leader();
     world.run(100);
-    world.executors[1].cut_from = Some(world.token + 1);
+    world.executors[1].isolated_from = Some(world.token + 1);
     world.replace_leader();
     // The successor hears of the end.
     world.run(LONG);
     world.crash(0, "y1");
-    world.executors[0].cut_from = None;
+    world.executors[0].isolated_from = None;
     world.run(2_000);
-    world.executors[1].cut_from = None;
+    world.executors[1].isolated_from = None;
     world.run(2 * LEASE);
     world.check();
     assert_eq!(world.state(1), Some(JobState::Succeeded));
@@ -566,10 +566,10 @@
         world.run(200);
         let members = world.executors_with(1);
         assert_eq!(members.len(), 3);
-        world.executors[members[0]].cut_from = Some(world.token + 1);
+        world.executors[members[0]].isolated_from = Some(world.token + 1);
         world.replace_leader();
         world.run(50);
-        world.executors[members[0]].cut_from = None;
+        world.executors[members[0]].isolated_from = None;
         world.run(crashes_after);
         world.crash(members[1], "y1");
         world.run(3 * LONG);
@@ -579,7 +579,7 @@
 }
 
 fn long_gang() -> Step {
-    Step { estimate: LONG, ..step(3, room(3_000, 100)) }
+    Step { estimate: LONG, ..step(3, resources(3_000, 100)) }
 }
 
 /// A task was started again eight seconds after a run of it had ended as
@@ -602,10 +602,10 @@
     world.run(100);
     let first = (0..2).find(|at| world.executors[*at].runs(&second()));
     let first = first.expect("it runs");
-    world.executors[first].cut = true;
+    world.executors[first].isolated = true;
     // Its run ends before its machine shows as off.
     world.run(SECOND);
-    world.off.insert(world.executors[first].info.address.clone());
+    world.powered_off.insert(world.executors[first].info.address.clone());
     let other = 1 - first;
     let mut waited = 0;
     while !world.executors[other].runs(&second()) && waited < SEEN {
@@ -614,9 +614,9 @@
     }
     assert!(world.executors[other].runs(&second()));
     // It is heard after all, and its run is done by then.
-    world.executors[first].cut = false;
-    world.off.clear();
-    world.tell_entry(first);
+    world.executors[first].isolated = false;
+    world.powered_off.clear();
+    world.list_entry(first);
     world.run(SECOND / 2);
     world.crash(other, "y8");
     world.run(LONG + LEASE);
@@ -633,7 +633,7 @@
 
 /// A task that is done while its executor is not heard.
 fn submit_second(world: &mut World) {
-    let mut work = step(1, room(900, 100));
+    let mut work = step(1, resources(900, 100));
     work.estimate = SECOND;
     world.submit(job(2, "batch", vec![work]));
 }
--- a/tests/jobs/looked.rs
+++ b/tests/jobs/looked.rs
@@ -5,7 +5,7 @@
 use puffinknot_core::jobs::scheduler::PlacementStats;
 use puffinknot_core::jobs::{Mechanism, Mechanisms};
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
 const EXECUTORS: usize = 8;
 /// Steps that wait.
@@ -40,7 +40,7 @@
     let without = Mechanisms::all_except([Mechanism::Admission]);
     let mut world = World::without(executors, without);
     world.run(200);
-    let mut wide = step(executors as u32, room(4_000, 100));
+    let mut wide = step(executors as u32, resources(4_000, 100));
     wide.estimate = 20 * WORK;
     world.submit(job(1, "batch", vec![wide]));
     world.run(100);
@@ -55,7 +55,7 @@
     assert_eq!((idle.steps, idle.executors, idle.runs), (0, 0, 0));
     assert!(idle.rounds > 0, "ticks are rounds");
     let one = during(&mut world, |world| {
-        world.submit(job(2, "batch", vec![step(1, room(4_000, 100))]));
+        world.submit(job(2, "batch", vec![step(1, resources(4_000, 100))]));
         world.run(200);
     });
     assert_eq!(one.deferred, 0);
@@ -64,7 +64,11 @@
     assert!(one.executors >= one.steps * each, "{one:?}");
     let more = during(&mut world, |world| {
         for id in 3..8 {
-            world.submit(job(id, "batch", vec![step(1, room(4_000, 100))]));
+            world.submit(job(
+                id,
+                "batch",
+                vec![step(1, resources(4_000, 100))],
+            ));
         }
         world.run(200);
     });
@@ -76,7 +80,7 @@
 #[test]
 fn runs_that_are_looked_at_for_a_gang_are_counted() {
     let mut world = full(EXECUTORS);
-    let mut gang = step(EXECUTORS as u32, room(4_000, 100));
+    let mut gang = step(EXECUTORS as u32, resources(4_000, 100));
     gang.gang = true;
     let looked = during(&mut world, |world| {
         world.submit(job(2, "batch", vec![gang]));
@@ -90,10 +94,10 @@
 #[test]
 fn rounds_that_are_put_off_while_placing_rests_are_counted() {
     let mut world = full(EXECUTORS);
-    world.look_takes = Duration::from_micros(100);
+    world.examination_time = Duration::from_micros(100);
     let looked = during(&mut world, |world| {
         for id in 0..CROWD {
-            let task = step(1, room(4_000, 100));
+            let task = step(1, resources(4_000, 100));
             world.submit(job(10 + id, "batch", vec![task]));
         }
         world.run(100);
--- a/tests/jobs/outage.rs
+++ b/tests/jobs/outage.rs
@@ -5,7 +5,7 @@
     Job, JobState, Mechanism, Mechanisms, Outcome, Step, TaskKey,
 };
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
 /// When a refused client comes back.
 const COME_BACK: Millis = 1_000;
@@ -14,7 +14,7 @@
 const TRIES: u32 = 5;
 
 fn small() -> Step {
-    step(1, room(500, 100))
+    step(1, resources(500, 100))
 }
 
 fn lookup(id: u64) -> Job {
--- a/tests/jobs/reborn.rs
+++ b/tests/jobs/reborn.rs
@@ -23,7 +23,9 @@
     Step, TaskKey,
 };
 
-use super::world::{job, room, step, Crashes, World, BACK_AFTER, LEASE};
+use super::world::{
+    job, resources, step, Crashes, World, LEASE, RESTART_DELAY,
+};
 
 /// How long long tasks work.
 const LONG: u64 = 5_000;
@@ -44,7 +46,7 @@
 
 /// A task that takes most of an executor's room.
 fn wide(work: u64) -> Step {
-    let mut step = step(1, room(3_000, 100));
+    let mut step = step(1, resources(3_000, 100));
     step.estimate = work;
     step
 }
@@ -58,7 +60,7 @@
     assert!(world.executors[0].runs(&task(1)));
     for number in 1..executors {
         world.add_executor(&format!("x{number}"));
-        world.tell_entry(number);
+        world.list_entry(number);
     }
     world.run(100);
     world
@@ -68,7 +70,7 @@
 fn with_five_ends() -> World {
     let mut world = World::new(1);
     for id in 1..=5 {
-        world.submit(job(id, "batch", vec![step(1, room(500, 100))]));
+        world.submit(job(id, "batch", vec![step(1, resources(500, 100))]));
     }
     world.run(4_500);
     world
@@ -79,7 +81,7 @@
 fn run_until_ordered(world: &mut World) -> usize {
     for _ in 0..100 {
         world.run(1);
-        if let Some(at) = world.starts_under_way().first() {
+        if let Some(at) = world.starts_in_flight().first() {
             return *at;
         }
     }
@@ -114,8 +116,8 @@
 #[test]
 fn a_life_that_went_in_silence_is_found_by_its_follower() {
     let mut world = at_work(1);
-    world.restart_untold(0, EARLIER, true);
-    world.tell_entry(0);
+    world.restart_unlisted(0, EARLIER, true);
+    world.list_entry(0);
     world.run(2 * SOON);
     starts_again_and_ends(world);
 }
@@ -127,7 +129,7 @@
         let mut world = with_five_ends();
         world.restart(0, clock);
         for id in 6..=8 {
-            let mut short = step(1, room(1_000, 100));
+            let mut short = step(1, resources(1_000, 100));
             short.estimate = SHORT;
             world.submit(job(id, "batch", vec![short]));
         }
@@ -145,12 +147,12 @@
 #[test]
 fn an_end_on_a_life_that_is_not_known_yet_is_heard() {
     let mut world = with_five_ends();
-    world.restart_untold(0, LATER, true);
-    let mut short = step(1, room(1_000, 100));
+    world.restart_unlisted(0, LATER, true);
+    let mut short = step(1, resources(1_000, 100));
     short.estimate = 10;
     world.submit(job(6, "batch", vec![short]));
     world.run(4_000);
-    world.tell_entry(0);
+    world.list_entry(0);
     world.run(1_000);
     world.check();
     assert_eq!(world.state(6), Some(JobState::Succeeded));
@@ -178,13 +180,13 @@
 fn a_start_that_comes_late_finds_the_next_life_sealed() {
     let mut world = World::new(1);
     world.run(OLD);
-    world.executors[0].late = Some(3_000);
+    world.executors[0].order_delay = Some(3_000);
     world.submit(job(1, "batch", vec![wide(LONG)]));
     world.run(100);
-    world.executors[0].late = None;
+    world.executors[0].order_delay = None;
     world.restart(0, EARLIER);
     world.add_executor("x1");
-    world.tell_entry(1);
+    world.list_entry(1);
     world.run(SOON);
     assert_eq!(world.starts[&task(1)], 1, "it starts once it is sealed");
     world.run(5_000);
@@ -210,13 +212,13 @@
     world.restart(0, EARLIER);
     world.run(SOON);
     assert_eq!(world.starts[&task(1)], 2);
-    world.resize(0, room(3_000, 8_000));
-    world.tell_entry(0);
+    world.resize(0, resources(3_000, 8_000));
+    world.list_entry(0);
     world.event(Event::Listed(former));
-    world.submit(job(2, "batch", vec![step(1, room(900, 100))]));
+    world.submit(job(2, "batch", vec![step(1, resources(900, 100))]));
     world.run(SOON);
     assert!(!world.executors[0].runs(&task(2)), "it has no room for it");
-    world.tell_entry(0);
+    world.list_entry(0);
     ends(world);
 }
 
@@ -225,11 +227,11 @@
 #[test]
 fn nothing_starts_on_a_life_whose_room_is_unknown() {
     let mut world = at_work(1);
-    world.restart_untold(0, EARLIER, false);
-    world.executors[0].info.capacity = room(3_500, 8_000);
+    world.restart_unlisted(0, EARLIER, false);
+    world.executors[0].info.capacity = resources(3_500, 8_000);
     world.run(SOON);
     assert_eq!(world.starts[&task(1)], 1);
-    world.tell_entry(0);
+    world.list_entry(0);
     starts_again_and_ends(world);
 }
 
@@ -237,10 +239,10 @@
 #[test]
 fn an_entry_that_comes_first_counts_once_the_life_is_heard() {
     let mut world = at_work(1);
-    world.executors[0].cut = true;
+    world.executors[0].isolated = true;
     world.restart(0, EARLIER);
     world.run(300);
-    world.executors[0].cut = false;
+    world.executors[0].isolated = false;
     world.run(1_500);
     starts_again_and_ends(world);
 }
@@ -266,8 +268,8 @@
     }
     world.run(100);
     assert!(world.executors[0].runs(&task(1)), "it runs on");
-    let lives = world.lives_over.len();
-    assert_eq!(lives, 1, "{:?}", world.lives_over);
+    let lives = world.incarnations_over.len();
+    assert_eq!(lives, 1, "{:?}", world.incarnations_over);
     ends(world);
 }
 
@@ -277,7 +279,7 @@
     for told in [true, false] {
         let mut world = at_work(1);
         let former = world.executors[0].info.clone();
-        world.restart_untold(0, EARLIER, false);
+        world.restart_unlisted(0, EARLIER, false);
         world.take_over();
         if told {
             world.event(Event::Listed(former));
@@ -295,7 +297,7 @@
     world.restart(0, EARLIER);
     world.run(SOON);
     let over = vec![("x0".to_string(), IncarnationEnd::AnotherAnswers)];
-    assert_eq!(world.lives_over, over);
+    assert_eq!(world.incarnations_over, over);
 }
 
 /// A crash is weighed also if the executor was back before it was missed:
@@ -330,7 +332,7 @@
     world.event(event);
     world.run(200);
     assert!(world.executors[0].runs(&task(1)), "it runs on");
-    assert_eq!(world.lives_over.len(), 1);
+    assert_eq!(world.incarnations_over.len(), 1);
     ends(world);
 }
 /// An entry that can't be read any more names no executor to use. What runs
@@ -339,12 +341,12 @@
 fn an_entry_that_is_unreadable_now_gets_nothing_new() {
     let mut world = at_work(1);
     world.event(Event::EntryUnreadable("x0".into()));
-    world.submit(job(2, "batch", vec![step(1, room(500, 100))]));
+    world.submit(job(2, "batch", vec![step(1, resources(500, 100))]));
     world.run(SOON);
     assert!(!world.executors[0].runs(&task(2)));
     world.run(LONG);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
-    world.tell_entry(0);
+    world.list_entry(0);
     world.run(SOON);
     assert_eq!(world.state(2), Some(JobState::Succeeded));
     world.check();
@@ -357,9 +359,9 @@
 fn an_order_that_never_arrived_was_under_no_crash() {
     let mut world = World::new(4);
     world.run(OLD);
-    let how = Crashes { after: 10, dark: false };
+    let how = Crashes { after: 10, silent: false };
     world.crashing.insert(task(1), how);
-    world.submit(job(1, "batch", vec![step(1, room(300, 100))]));
+    world.submit(job(1, "batch", vec![step(1, resources(300, 100))]));
     let ordered = run_until_ordered(&mut world);
     world.restart(ordered, LATER);
     world.run(10 * LONG);
@@ -383,7 +385,7 @@
     };
     world.event(Event::Wave(wave));
     world.run(8_000);
-    assert_eq!(world.upkeeps, ["x0", "x1"]);
+    assert_eq!(world.maintained, ["x0", "x1"]);
     assert_eq!(world.waves.get(&1), Some(&true));
     world.check();
 }
@@ -418,7 +420,7 @@
     world.submit(job(1, "batch", vec![wide(LONG)]));
     world.run(SOON);
     assert_eq!(world.starts.len(), 0, "its own entry was not read");
-    world.tell_entry(0);
+    world.list_entry(0);
     world.run(SOON);
     assert_eq!(world.starts[&task(1)], 1);
     ends(world);
@@ -456,17 +458,22 @@
     world.run(SOON);
     let answer =
         ExecutorReport { born, clock: LATER, ..ExecutorReport::default() };
-    let lives = world.lives_over.len();
+    let lives = world.incarnations_over.len();
     // Whether a hold is open there or not.
-    world.executors[0].cut = true;
+    world.executors[0].isolated = true;
     for _ in 0..200 {
         world.run(10);
         let answer = Ok(answer.clone());
         world.event(Event::RenewalAnswered { executor: 0, sent_at, answer });
     }
-    world.executors[0].cut = false;
+    world.executors[0].isolated = false;
     world.run(SOON);
-    assert_eq!(world.lives_over.len(), lives, "{:?}", world.lives_over);
+    assert_eq!(
+        world.incarnations_over.len(),
+        lives,
+        "{:?}",
+        world.incarnations_over
+    );
     let known = world.scheduler.executor(0).map(|e| e.info.born);
     assert_eq!(known, Some(world.executors[0].info.born));
     ends(world);
@@ -480,14 +487,14 @@
 fn an_end_that_nobody_has_read_is_not_forgotten() {
     for clock in [EARLIER, LATER] {
         let mut world = with_five_ends();
-        let mut short = step(1, room(1_000, 100));
+        let mut short = step(1, resources(1_000, 100));
         short.estimate = 10;
-        world.executors[0].mute = 1;
+        world.executors[0].lost_answers = 1;
         world.submit(job(6, "batch", vec![short]));
         run_until_ordered(&mut world);
-        world.restart_untold(0, clock, false);
+        world.restart_unlisted(0, clock, false);
         world.run(1_000);
-        world.tell_entry(0);
+        world.list_entry(0);
         world.run(1_000);
         world.check();
         assert_eq!(world.state(6), Some(JobState::Succeeded));
@@ -503,14 +510,14 @@
     let mut world = World::new(1);
     world.keep_names = true;
     world.run(OLD);
-    world.executors[0].late = Some(BACK_AFTER + 500);
+    world.executors[0].order_delay = Some(RESTART_DELAY + 500);
     world.submit(job(1, "batch", vec![wide(LONG)]));
     run_until_ordered(&mut world);
     world.run(5);
-    world.executors[0].late = None;
+    world.executors[0].order_delay = None;
     world.crash_by_itself(0, false);
     world.add_executor("x1");
-    world.tell_entry(1);
+    world.list_entry(1);
     ends(world);
 }
 
@@ -519,13 +526,13 @@
 fn an_order_whose_executor_stays_away_holds_its_task_for_a_while_only() {
     let mut world = World::new(1);
     world.run(OLD);
-    world.executors[0].late = Some(BACK_AFTER);
+    world.executors[0].order_delay = Some(RESTART_DELAY);
     world.submit(job(1, "batch", vec![wide(LONG)]));
     world.run(50);
     world.die(0);
-    world.off.insert("x0".into());
+    world.powered_off.insert("x0".into());
     world.add_executor("x1");
-    world.tell_entry(1);
+    world.list_entry(1);
     world.run(2 * LEASE);
     ends(world);
 }
@@ -563,13 +570,13 @@
 fn an_order_that_was_left_for_later_was_under_no_crash() {
     let mut world = World::new(4);
     world.run(OLD);
-    let how = Crashes { after: 10, dark: false };
+    let how = Crashes { after: 10, silent: false };
     world.crashing.insert(task(1), how);
-    world.submit(job(1, "batch", vec![step(1, room(300, 100))]));
+    world.submit(job(1, "batch", vec![step(1, resources(300, 100))]));
     let ordered = run_until_ordered(&mut world);
-    world.executors[ordered].late = Some(500);
+    world.executors[ordered].order_delay = Some(500);
     world.run(20);
-    world.executors[ordered].late = None;
+    world.executors[ordered].order_delay = None;
     world.crash_by_itself(ordered, false);
     world.run(10 * LONG);
     assert_eq!(world.state(1), Some(JobState::Failed));
@@ -585,10 +592,10 @@
 fn an_order_that_the_follower_refuses_holds_no_task() {
     let mut world = World::new(1);
     world.run(OLD);
-    world.executors[0].late = Some(BACK_AFTER);
+    world.executors[0].order_delay = Some(RESTART_DELAY);
     world.submit(job(1, "batch", vec![wide(LONG)]));
     world.run(50);
-    world.cut_off_and_follow(0, "y1");
+    world.isolate_and_replace(0, "y1");
     world.run(6_500);
     assert_eq!(world.starts.get(&task(1)), Some(&1));
     ends(world);
--- a/tests/jobs/rounds.rs
+++ b/tests/jobs/rounds.rs
@@ -5,7 +5,7 @@
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{JobState, Mechanism, Mechanisms};
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
 const EXECUTORS: usize = 320;
 const GANGS: u64 = 300;
@@ -17,12 +17,12 @@
     let without = Mechanisms::all_except([Mechanism::Admission]);
     let mut world = World::without(EXECUTORS, without);
     world.run(200);
-    let mut wide = step(EXECUTORS as u32, room(4_000, 100));
+    let mut wide = step(EXECUTORS as u32, resources(4_000, 100));
     wide.estimate = 100 * WORK;
     world.submit(job(1, "batch", vec![wide]));
     world.run(100);
     for id in 0..GANGS {
-        let mut gang = step(EXECUTORS as u32 / 2, room(4_000, 100));
+        let mut gang = step(EXECUTORS as u32 / 2, resources(4_000, 100));
         gang.gang = true;
         world.submit(job(10 + id, "batch", vec![gang]));
     }
@@ -34,10 +34,10 @@
 #[test]
 fn placing_leaves_time_to_what_comes_in_while_hundreds_of_gangs_wait() {
     let mut world = crowded();
-    world.look_takes = Duration::from_micros(1);
-    world.looking = Duration::ZERO;
+    world.examination_time = Duration::from_micros(1);
+    world.time_examining = Duration::ZERO;
     world.run(WATCHED);
-    let part = world.looking.as_millis() as f64 / WATCHED as f64;
+    let part = world.time_examining.as_millis() as f64 / WATCHED as f64;
     assert!(part <= 0.5, "placing took {part:.2} of the time");
     assert!(part > 0.0, "nothing was placed");
 }
@@ -47,12 +47,12 @@
     let mut world = crowded();
     for spare in 0..8 {
         world.add_executor(&format!("spare{spare}"));
-        world.tell_entry(EXECUTORS + spare);
+        world.list_entry(EXECUTORS + spare);
     }
-    world.look_takes = Duration::from_micros(1);
+    world.examination_time = Duration::from_micros(1);
     world.run(2_000);
     for id in 1_000..1_010 {
-        world.submit(job(id, "urgent", vec![step(2, room(1_000, 100))]));
+        world.submit(job(id, "urgent", vec![step(2, resources(1_000, 100))]));
         let given = world.now;
         while world.executors_with(id).is_empty() {
             world.run(1);
--- a/tests/jobs/rules.rs
+++ b/tests/jobs/rules.rs
@@ -5,12 +5,13 @@
     Event, JobId, JobState, Mechanism, Mechanisms, Outcome, Request,
 };
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
 #[test]
 fn a_job_is_accepted_run_and_shown_as_done() {
     let mut world = World::new(2);
-    let id = world.submit(job(1, "urgent", vec![step(2, room(500, 100))]));
+    let id =
+        world.submit(job(1, "urgent", vec![step(2, resources(500, 100))]));
     assert_eq!(world.replies.get(&id), None, "nothing is written yet");
     world.run(40);
     assert_eq!(world.replies[&id], Outcome::Accepted);
@@ -23,7 +24,7 @@
 #[test]
 fn the_same_job_twice_remains_one() {
     let mut world = World::new(2);
-    let one = job(1, "urgent", vec![step(1, room(500, 100))]);
+    let one = job(1, "urgent", vec![step(1, resources(500, 100))]);
     let first = world.submit(one.clone());
     let second = world.submit(one.clone());
     world.run(WORK + 200);
@@ -37,9 +38,9 @@
 #[test]
 fn a_step_waits_for_those_before_it() {
     let mut world = World::new(2);
-    let mut second = step(2, room(500, 100));
+    let mut second = step(2, resources(500, 100));
     second.after = vec![0];
-    let steps = vec![step(3, room(500, 100)), second];
+    let steps = vec![step(3, resources(500, 100)), second];
     world.submit(job(1, "batch", steps));
     world.run(2 * WORK + 300);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
@@ -49,7 +50,7 @@
 #[test]
 fn no_executor_gets_more_than_it_has() {
     let mut world = World::new(2);
-    world.submit(job(1, "batch", vec![step(20, room(1_500, 100))]));
+    world.submit(job(1, "batch", vec![step(20, resources(1_500, 100))]));
     world.run(6 * WORK + 600);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
@@ -58,9 +59,9 @@
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
     let mut world = World::new(2);
-    world.submit(job(1, "urgent", vec![step(2, room(3_000, 100))]));
+    world.submit(job(1, "urgent", vec![step(2, resources(3_000, 100))]));
     world.run(50);
-    let mut gang = step(2, room(2_000, 100));
+    let mut gang = step(2, resources(2_000, 100));
     gang.gang = true;
     world.submit(job(2, "batch", vec![gang]));
     world.run(100);
@@ -74,14 +75,14 @@
 #[test]
 fn a_task_that_fails_is_tried_as_often_as_it_may() {
     let mut world = World::new(2);
-    let one = job(1, "batch", vec![step(1, room(500, 100))]);
+    let one = job(1, "batch", vec![step(1, resources(500, 100))]);
     let task = "0000000000000001.0.0.0".parse().expect("a task");
     world.failing.insert(task, 2);
     world.submit(one);
     world.run(4 * WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     assert_eq!(world.starts[&task], 3);
-    let two = job(2, "batch", vec![step(1, room(500, 100))]);
+    let two = job(2, "batch", vec![step(1, resources(500, 100))]);
     let task = "0000000000000002.0.0.0".parse().expect("a task");
     world.failing.insert(task, 9);
     world.submit(two);
@@ -94,7 +95,7 @@
 #[test]
 fn a_cancelled_job_is_stopped_and_stays_cancelled() {
     let mut world = World::new(2);
-    world.submit(job(1, "batch", vec![step(2, room(500, 100))]));
+    world.submit(job(1, "batch", vec![step(2, resources(500, 100))]));
     world.run(100);
     let queue = "batch".to_string();
     let cancel = Request::Cancel { queue, job: JobId(1) };
@@ -110,7 +111,7 @@
 #[test]
 fn advice_limits_where_tasks_run() {
     let mut world = World::new(6);
-    world.submit(job(1, "advised", vec![step(4, room(500, 100))]));
+    world.submit(job(1, "advised", vec![step(4, resources(500, 100))]));
     world.run(WORK + 300);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
@@ -119,7 +120,7 @@
 #[test]
 fn repetitions_begin_when_they_are_due() {
     let mut world = World::new(2);
-    let mut timed = job(1, "batch", vec![step(1, room(500, 100))]);
+    let mut timed = job(1, "batch", vec![step(1, resources(500, 100))]);
     timed.repeats = Some(Repeats { first: 3_000, every: 2_000, times: 2 });
     world.submit(timed);
     world.run(1_500);
@@ -137,7 +138,7 @@
     world.executors[2].info.labels = vec!["b".into()];
     let info = world.executors[2].info.clone();
     world.event(puffinknot_core::jobs::Event::Listed(info));
-    let mut labelled = step(2, room(500, 100));
+    let mut labelled = step(2, resources(500, 100));
     labelled.label = Some("b".into());
     labelled.max_per_executor = 1;
     world.submit(job(1, "batch", vec![labelled]));
@@ -151,7 +152,7 @@
 fn ended_jobs_do_not_pile_up_in_the_store() {
     let mut world = World::new(4);
     for id in 1..=400 {
-        world.submit(job(id, "urgent", vec![step(1, room(500, 100))]));
+        world.submit(job(id, "urgent", vec![step(1, resources(500, 100))]));
         world.run(30);
     }
     world.run(3 * WORK);
@@ -168,9 +169,13 @@
     world.run(100);
     let mut wide = 0;
     for id in 1..=120 {
-        world.submit(job(id, "batch", vec![step(1, room(1_000, 100))]));
+        world.submit(job(id, "batch", vec![step(1, resources(1_000, 100))]));
         if id == 20 {
-            world.submit(job(500, "batch", vec![step(1, room(4_000, 100))]));
+            world.submit(job(
+                500,
+                "batch",
+                vec![step(1, resources(4_000, 100))],
+            ));
             wide = 500;
         }
         world.run(50);
@@ -200,12 +205,12 @@
     const FULL: u32 = 150;
     let mut world = World::new(EXECUTORS);
     world.run(500);
-    let mut filling = step(FULL, room(4_000, 100));
+    let mut filling = step(FULL, resources(4_000, 100));
     filling.estimate = 100 * WORK;
     world.submit(job(1, "batch", vec![filling]));
     world.run(200);
     assert_eq!(world.starts.len(), FULL as usize);
-    let mut gang = step(20, room(4_000, 100));
+    let mut gang = step(20, resources(4_000, 100));
     gang.gang = true;
     world.submit(job(2, "advised", vec![gang]));
     // Its commit and one call for advice.
@@ -227,7 +232,7 @@
     world.event(puffinknot_core::jobs::Event::Advisors(nodes.to_vec()));
     world.advice_takes = 900;
     world.run(500);
-    let mut gang = step(WIDTH, room(4_000, 100));
+    let mut gang = step(WIDTH, resources(4_000, 100));
     gang.gang = true;
     world.submit(job(1, "advised", vec![gang]));
     world.run(6_000);
@@ -245,12 +250,12 @@
         let names = (0..8).map(|node| format!("n{node}")).collect();
         world.event(Event::Advisors(names));
         world.run(50);
-        let mut gang = step(4, room(1_000, 100));
+        let mut gang = step(4, resources(1_000, 100));
         gang.gang = true;
         world.submit(job(1, "dear", vec![gang]));
         world.run(3 * WORK);
         assert_eq!(world.state(1), Some(JobState::Succeeded));
-        world.asked
+        world.advice_sizes
     };
     assert_eq!(asked(Mechanisms::default()), [20, 20]);
     assert_eq!(
--- a/tests/jobs/services.rs
+++ b/tests/jobs/services.rs
@@ -2,10 +2,10 @@
 
 use puffinknot_core::jobs::{JobId, JobState, MaintenanceWave, Request, Step};
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
 fn serving(count: u32) -> Step {
-    let mut serving = step(count, room(1_000, 500));
+    let mut serving = step(count, resources(1_000, 500));
     serving.lasting = true;
     serving.target = 100;
     serving.max_per_executor = 1;
@@ -13,7 +13,7 @@
 }
 
 fn filling(count: u32) -> Step {
-    let mut filling = step(count, room(4_000, 500));
+    let mut filling = step(count, resources(4_000, 500));
     filling.fills = true;
     filling.lasting = true;
     filling
@@ -85,10 +85,10 @@
     assert_eq!(world.waves.get(&7), Some(&false));
     world.run(15_000);
     assert_eq!(world.waves.get(&7), Some(&true));
-    let mut upkeeps = world.upkeeps.clone();
+    let mut upkeeps = world.maintained.clone();
     upkeeps.sort();
     assert_eq!(upkeeps, ["x0", "x1", "x2"]);
-    assert_eq!(world.most_down, 1);
+    assert_eq!(world.max_down, 1);
 }
 
 #[test]
@@ -102,8 +102,8 @@
     world.event(puffinknot_core::jobs::Event::Wave(wave));
     world.run(60_000);
     assert_eq!(world.waves.get(&7), Some(&true));
-    assert_eq!(world.most_down, 1, "one task at a time may be away");
-    assert_eq!(world.upkeeps.len(), 3);
+    assert_eq!(world.max_down, 1, "one task at a time may be away");
+    assert_eq!(world.maintained.len(), 3);
     world.check();
 }
 
@@ -115,13 +115,13 @@
     let wave = wave(&["x0", "x1", "x2"], 1);
     world.event(puffinknot_core::jobs::Event::Wave(wave.clone()));
     world.run(4_600);
-    assert!(!world.upkeeps.is_empty());
+    assert!(!world.maintained.is_empty());
     world.replace_leader();
     world.event(puffinknot_core::jobs::Event::Wave(wave));
     world.run(30_000);
     assert_eq!(world.waves.get(&7), Some(&true));
-    assert_eq!(world.most_down, 1);
-    let mut upkeeps = world.upkeeps.clone();
+    assert_eq!(world.max_down, 1);
+    let mut upkeeps = world.maintained.clone();
     upkeeps.sort();
     upkeeps.dedup();
     assert_eq!(upkeeps, ["x0", "x1", "x2"]);
@@ -132,10 +132,10 @@
 #[test]
 fn a_call_for_upkeep_without_answer_counts() {
     let mut world = World::new(3);
-    world.late_upkeeps = 1;
+    world.late_maintenance_calls = 1;
     let wave = wave(&["x0", "x1", "x2"], 1);
     world.event(puffinknot_core::jobs::Event::Wave(wave));
     world.run(25_000);
     assert_eq!(world.waves.get(&7), Some(&true));
-    assert_eq!(world.most_down, 1);
+    assert_eq!(world.max_down, 1);
 }
--- a/tests/jobs/shares.rs
+++ b/tests/jobs/shares.rs
@@ -9,7 +9,7 @@
     Job, Mechanism, Mechanisms, Outcome, Queue, TaskKey,
 };
 
-use super::world::{account, job, owned_queue, room, step, World};
+use super::world::{account, job, owned_queue, resources, step, World};
 
 const EXECUTORS: usize = 40;
 /// Accounts of unequal weight; the first is the largest.
@@ -63,7 +63,7 @@
 }
 
 fn of(id: u64, queue: &str, count: u32, time: Millis) -> Job {
-    let mut work = step(count, room(1_000, 100));
+    let mut work = step(count, resources(1_000, 100));
     work.estimate = time;
     job(id, queue, vec![work])
 }
@@ -432,7 +432,7 @@
     let mut day = Day::new(Mechanisms::default());
     day.play(2_000, 1.0);
     day.play(LONG, FLOOD);
-    let mut work = step(12, room(2_000, 100));
+    let mut work = step(12, resources(2_000, 100));
     work.gang = true;
     work.estimate = LONG;
     let gang = job(100_000, "patient", vec![work]);
--- a/tests/jobs/size.rs
+++ b/tests/jobs/size.rs
@@ -5,7 +5,7 @@
 use puffinknot_core::jobs::record::{self, LegacyEnrolled, Shard};
 use puffinknot_core::jobs::{JobState, Step};
 
-use super::world::{job, room, step, World, LEASE, WORK};
+use super::world::{job, resources, step, World, LEASE, WORK};
 
 fn counted(world: &World, name: &str) -> u64 {
     world.scheduler.counters().get(name).copied().unwrap_or(0)
@@ -32,7 +32,7 @@
     let largest = before.values().map(Vec::len).max();
     assert!(largest.is_some_and(|bytes| bytes < all / 8), "{largest:?}");
     world.add_executor("comes");
-    world.tell_entry(EXECUTORS);
+    world.list_entry(EXECUTORS);
     world.run(200);
     let after = shards(&world);
     let written =
@@ -45,12 +45,12 @@
 fn a_successor_knows_the_executors_of_all_shards() {
     let mut world = World::new(EXECUTORS);
     world.run(200);
-    let wide = step(2 * EXECUTORS as u32, room(2_000, 100));
+    let wide = step(2 * EXECUTORS as u32, resources(2_000, 100));
     world.submit(job(1, "batch", vec![wide]));
     world.run(100);
     world.take_over();
     assert_eq!(world.scheduler.executor_count(), EXECUTORS);
-    world.tell_all();
+    world.list_all();
     world.run(4 * WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     let again = world.starts.values().filter(|starts| **starts > 1).count();
@@ -90,12 +90,12 @@
 fn steps_that_wait_do_not_search_executors_that_were_all_asked_about() {
     let mut world = World::new(8);
     world.run(200);
-    let mut full = step(8, room(4_000, 100));
+    let mut full = step(8, resources(4_000, 100));
     full.lasting = true;
     world.submit(job(1, "batch", vec![full]));
     world.run(200);
     for id in 2..42 {
-        let gang = step(4, room(4_000, 100));
+        let gang = step(4, resources(4_000, 100));
         let gang = Step { gang: true, ..gang };
         world.submit(job(id, "advised", vec![gang]));
     }
@@ -106,7 +106,7 @@
     // Those that come are found.
     for number in 8..12 {
         world.add_executor(&format!("comes-{number}"));
-        world.tell_entry(number);
+        world.list_entry(number);
     }
     world.run(4_000);
     let states = (2..42).map(|id| world.state(id));
--- a/tests/jobs/speeds.rs
+++ b/tests/jobs/speeds.rs
@@ -7,7 +7,7 @@
 use puffinknot_core::jobs::speed::{compare, EstimateError, Speed, StepTimes};
 use puffinknot_core::jobs::{Job, JobId, JobState, Mechanism, Mechanisms};
 
-use super::world::{job, room, step, World, LEASE, WORK};
+use super::world::{job, resources, step, World, LEASE, WORK};
 
 /// An executor that takes as long as this, in percent, counts as quick.
 const QUICK: u64 = 50;
@@ -18,14 +18,14 @@
 
 /// A job of single tasks that fill an executor each.
 fn wide(id: u64, queue: &str, tasks: u32) -> Job {
-    job(id, queue, vec![step(tasks, room(4_000, 100))])
+    job(id, queue, vec![step(tasks, resources(4_000, 100))])
 }
 
 /// A world whose last executors are quick.
 fn uneven(executors: usize, quick: usize, without: Mechanisms) -> World {
     let mut world = World::without(executors, without);
     for executor in &mut world.executors[executors - quick..] {
-        executor.takes = QUICK;
+        executor.run_time_percent = QUICK;
     }
     world.run(50);
     world
@@ -82,7 +82,7 @@
         let mut where_to = Vec::new();
         for id in 1..40 {
             let queue = ["urgent", "batch", "background"][id as usize % 3];
-            let mut work = step(3, room(1_000 + 70 * id as u32, 100));
+            let mut work = step(3, resources(1_000 + 70 * id as u32, 100));
             work.gang = id % 5 == 0;
             world.submit(job(id, queue, vec![work]));
             world.run(100);
@@ -101,7 +101,7 @@
     teach(&mut world, 1, 10);
     for slow in [4, 8] {
         let at = slow as usize;
-        world.executors[at - 1].takes = 100 * slow;
+        world.executors[at - 1].run_time_percent = 100 * slow;
     }
     // Three runs of it each, which go on for longer than their steps.
     for id in 20..23 {
@@ -126,13 +126,13 @@
 fn one_that_recovers_is_tried_again() {
     let mut world = uneven(4, 0, Mechanisms::default());
     teach(&mut world, 1, 6);
-    world.executors[0].takes = 800;
+    world.executors[0].run_time_percent = 800;
     for id in 20..24 {
         world.submit(wide(id, "batch", 4));
         world.run(8 * WORK);
     }
     assert!(percent(&world, 0) > 200);
-    world.executors[0].takes = 100;
+    world.executors[0].run_time_percent = 100;
     // Nothing needs it, and evidence fades.
     world.run(60_000);
     assert_eq!(percent(&world, 0), 100);
@@ -153,7 +153,9 @@
         for index in 0..4 {
             let task = format!("{id:016x}.0.0.{index}");
             let takes = if hard { 400 } else { 100 };
-            world.takes.insert(task.parse().expect("a task"), takes);
+            world
+                .run_time_percents
+                .insert(task.parse().expect("a task"), takes);
         }
         world.submit(work);
         world.run(5 * WORK);
@@ -200,7 +202,9 @@
     world.run(20);
     let at = world.executors_with(id);
     world.run(4 * WORK);
-    at.into_iter().filter(|at| world.executors[*at].takes == QUICK).count()
+    at.into_iter()
+        .filter(|at| world.executors[*at].run_time_percent == QUICK)
+        .count()
 }
 
 #[test]
@@ -230,7 +234,7 @@
     let mut world = uneven(8, 2, without);
     tighten(&mut world);
     for executor in &mut world.executors[..6] {
-        executor.takes = 160;
+        executor.run_time_percent = 160;
     }
     teach(&mut world, 1, 10);
     let mut due: BTreeMap<u64, u64> = BTreeMap::new();
@@ -240,10 +244,14 @@
             world.replace_leader();
         }
         let (batch, urgent) = (100 + round, 1_000 + round);
-        let tasks = step(4, room(2_000, 100));
+        let tasks = step(4, resources(2_000, 100));
         world.submit(job(batch, "batch", vec![tasks]));
         world.run(50);
-        world.submit(job(urgent, "urgent", vec![step(1, room(2_000, 100))]));
+        world.submit(job(
+            urgent,
+            "urgent",
+            vec![step(1, resources(2_000, 100))],
+        ));
         due.insert(urgent, world.now + WORK * 6 / 5 + 100);
         for _ in 0..45 {
             world.run(10);
@@ -285,7 +293,7 @@
 fn members_of_a_gang_are_alike() {
     let mut world = uneven(8, 2, Mechanisms::default());
     teach(&mut world, 1, 10);
-    let mut members = step(4, room(3_000, 100));
+    let mut members = step(4, resources(3_000, 100));
     members.gang = true;
     world.submit(job(50, "background", vec![members.clone()]));
     world.run(100);
@@ -374,12 +382,12 @@
 fn a_gang_tells_once_how_far_its_guess_is_off() {
     let mut world = uneven(8, 0, Mechanisms::default());
     let expected = |world: &mut World, id: u64| {
-        let mut gang = step(32, room(1_000, 100));
+        let mut gang = step(32, resources(1_000, 100));
         gang.gang = true;
         world.submit(job(id, "batch", vec![gang]));
         for index in 0..32 {
             let step = StepKey { job: JobId(id), time: 0, step: 0 };
-            world.takes.insert(step.task(index), 200);
+            world.run_time_percents.insert(step.task(index), 200);
         }
         world.run(100);
         let known = world.scheduler.executor(0).expect("a known executor");
--- a/tests/jobs/urgent.rs
+++ b/tests/jobs/urgent.rs
@@ -9,7 +9,7 @@
 };
 use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms};
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
 const EXECUTORS: usize = 8;
 /// Urgent jobs have numbers from here on.
@@ -20,14 +20,14 @@
 const AT_ONCE: Millis = 400;
 
 fn patient(id: u64, count: u32, works: u64, saves: bool) -> Job {
-    let mut tasks = step(count, room(1_000, 500));
+    let mut tasks = step(count, resources(1_000, 500));
     tasks.estimate = works * WORK;
     tasks.checkpoints = saves;
     job(id, "background", vec![tasks])
 }
 
 fn urgent(id: u64, count: u32) -> Job {
-    job(URGENT + id, "urgent", vec![step(count, room(1_500, 500))])
+    job(URGENT + id, "urgent", vec![step(count, resources(1_500, 500))])
 }
 
 fn off(mechanisms: &[Mechanism]) -> Mechanisms {
@@ -166,7 +166,7 @@
 #[test]
 fn an_urgent_gang_gets_all_of_its_room() {
     let mut world = full(Mechanisms::default());
-    let mut gang = step(4, room(3_000, 500));
+    let mut gang = step(4, resources(3_000, 500));
     gang.gang = true;
     world.submit(job(URGENT, "urgent", vec![gang]));
     world.submit(patient(50, 30, 2, false));
@@ -203,13 +203,13 @@
     waits.run(&mut world, 200);
     for at in 0..EXECUTORS / 2 {
         world.executors[at].info.draining = true;
-        world.tell_entry(at);
+        world.list_entry(at);
     }
     waits.run(&mut world, OBJECTIVE);
     assert_eq!(waits.in_time, 6, "waited {:?}", waits.waited);
-    world.executors[EXECUTORS - 1].cut = true;
+    world.executors[EXECUTORS - 1].isolated = true;
     world.run(40_000);
-    world.executors[EXECUTORS - 1].cut = false;
+    world.executors[EXECUTORS - 1].isolated = false;
     world.run(40_000);
     assert!(world.unfinished().is_empty());
     world.check();
@@ -227,7 +227,7 @@
     }
     for _ in 0..4 {
         for _ in 0..4 {
-            let small = step(2, room(600, 300));
+            let small = step(2, resources(600, 300));
             let small = job(URGENT + next, "urgent", vec![small]);
             waits.submit(&mut world, small);
             next += 1;
@@ -269,7 +269,7 @@
     world.run(50);
     let mut waits = Waits::default();
     world.submit(patient(1, 6, 100, false));
-    let mut large = step(1, room(2_000, 500));
+    let mut large = step(1, resources(2_000, 500));
     large.estimate = 2 * WORK;
     for id in 1..=40 {
         waits.submit(&mut world, urgent(id, 1));
@@ -320,7 +320,7 @@
 
 #[test]
 fn headroom_follows_the_recent_peaks() {
-    let need = room(1_000, 100);
+    let need = resources(1_000, 100);
     let mut headroom = Headroom::default();
     headroom.observe(&demand(60, 40, &need), 1_000);
     let calm = demand(20, 0, &need);
@@ -332,5 +332,5 @@
     assert_eq!(headroom.wanted_tasks(&calm, 10_000), 0, "it is forgotten");
     headroom.observe(&demand(0, 5_000, &need), 200_000);
     assert_eq!(headroom.wanted_tasks(&calm, 400), 400 / MAX_RESERVED_DIVISOR);
-    assert_eq!(headroom.typical_need(), Some(room(1_500, 150)));
+    assert_eq!(headroom.typical_need(), Some(resources(1_500, 150)));
 }
--- a/tests/jobs/world/cordons.rs
+++ b/tests/jobs/world/cordons.rs
@@ -9,7 +9,7 @@
         for (at, executor) in world.executors.iter_mut().enumerate() {
             executor.info.dc = dc_of(at).into();
         }
-        world.tell_all();
+        world.list_all();
         world
     }
 
@@ -38,7 +38,7 @@
     pub(super) fn check_cordon(&mut self, at: usize, task: TaskKey, run: u64) {
         let dc = &self.executors[at].info.dc;
         let Some(since) = self.cordoned_at.get(dc) else { return };
-        if self.now > since + WAY {
+        if self.now > since + LATENCY {
             let line = format!(
                 "{} ms: {task} run {run}: starts in {dc}, which is emptied",
                 self.now
--- a/tests/jobs/world/lives.rs
+++ b/tests/jobs/world/lives.rs
@@ -15,13 +15,13 @@
 
     /// Makes an executor die silently.
     pub fn die(&mut self, at: usize) {
-        self.note_crash(at);
+        self.record_crash(at);
         self.executors[at].dead = true;
         self.executors[at].running.clear();
     }
 
     /// Records the crash of an executor for each task that runs there.
-    pub(super) fn note_crash(&mut self, at: usize) {
+    pub(super) fn record_crash(&mut self, at: usize) {
         let running = self.executors[at].running.keys();
         let counted: BTreeSet<TaskKey> = running
             .map(|task| {
@@ -33,29 +33,29 @@
             })
             .collect();
         for task in counted {
-            *self.crashed_under.entry(task).or_default() += 1;
+            *self.crashes_during.entry(task).or_default() += 1;
         }
     }
 
     /// Crashes the process of an executor; unless `dark`, its host says so.
     /// Renewals that wait there are aborted, and the next incarnation starts
     /// after a delay.
-    pub fn crash_by_itself(&mut self, at: usize, dark: bool) {
+    pub fn crash_by_itself(&mut self, at: usize, silent: bool) {
         if self.executors[at].dead {
             return;
         }
         self.die(at);
         let address = self.executors[at].info.address.clone();
-        self.off.insert(address.clone());
-        self.coming_back.push((self.now + BACK_AFTER, address));
-        if dark {
+        self.powered_off.insert(address.clone());
+        self.restarting.push((self.now + RESTART_DELAY, address));
+        if silent {
             return;
         }
-        self.executors[at].resets = true;
-        for (_, executor, sent_at, token) in self.take_waiting_holds(at) {
+        self.executors[at].resets_connections = true;
+        for (_, executor, sent_at, token) in self.take_waiting_renewals(at) {
             let answer = Err(OrderFailure::Unknown);
             let event = Event::RenewalAnswered { executor, sent_at, answer };
-            self.answer(WAY, token, event);
+            self.answer(LATENCY, token, event);
         }
     }
 
@@ -72,23 +72,23 @@
         for (at, task, how) in due {
             let id = self.executors[at].info.id.clone();
             self.crashed.entry(task).or_default().push(id);
-            self.crash_by_itself(at, how.dark);
+            self.crash_by_itself(at, how.silent);
         }
     }
 
     /// Starts the next incarnations of executors that have crashed, under
     /// other names unless the world keeps names.
-    pub(super) fn begin_lives(&mut self) {
+    pub(super) fn restart_crashed(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.coming_back)
+        let (due, later) = std::mem::take(&mut self.restarting)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.coming_back = later;
+        self.restarting = later;
         let due: Vec<(Millis, String)> = due;
         for (_, address) in due {
-            self.off.remove(&address);
+            self.powered_off.remove(&address);
             if self.keep_names {
-                self.live_on(&address);
+                self.restart_at(&address);
                 continue;
             }
             let there = self.executors.iter();
@@ -100,7 +100,7 @@
             info.address = address;
             info.labels = former.labels;
             info.capacity = former.capacity;
-            self.tell_entry(last);
+            self.list_entry(last);
         }
     }
 
@@ -108,41 +108,46 @@
     /// address: its runs are lost, and it remembers nothing. Its clock shows
     /// `clock`. Renewals that wait there are aborted; with `silent`, they go
     /// unanswered instead. The leader is not told of its entry yet.
-    pub fn restart_untold(&mut self, at: usize, clock: Millis, silent: bool) {
-        let waiting = self.take_waiting_holds(at);
-        self.note_crash(at);
-        self.next_life(at, clock);
+    pub fn restart_unlisted(
+        &mut self,
+        at: usize,
+        clock: Millis,
+        silent: bool,
+    ) {
+        let waiting = self.take_waiting_renewals(at);
+        self.record_crash(at);
+        self.begin_incarnation(at, clock);
         // A reset does not get through to an isolated leader either.
-        let silent = silent || self.executors[at].cut;
+        let silent = silent || self.executors[at].isolated;
         for (due, executor, sent_at, token) in waiting {
-            let given_up = due + HOLD_SLACK - self.now;
-            let after = if silent { given_up } else { WAY };
+            let given_up = due + RENEWAL_GRACE - self.now;
+            let after = if silent { given_up } else { LATENCY };
             let answer = Err(OrderFailure::Unknown);
             let event = Event::RenewalAnswered { executor, sent_at, answer };
-            self.later(after, Pending::Tell(token, event));
+            self.schedule(after, Pending::Deliver(token, event));
         }
     }
 
     /// Begins the next incarnation of an executor under its name, with the
     /// faults that it had.
-    pub(super) fn next_life(&mut self, at: usize, clock: Millis) {
+    pub(super) fn begin_incarnation(&mut self, at: usize, clock: Millis) {
         self.drop_sealed_orders(at);
         let id = self.executors[at].info.id.clone();
         self.add_executor(&id);
         let mut next = self.executors.pop().expect("an executor");
         let there = &mut self.executors[at];
         next.info = there.info.clone();
-        self.births += 1;
+        self.restarts += 1;
         // Wall time may jump, so a later birth time is not a greater number.
-        next.info.born = Some(FIRST_BIRTH - self.births);
-        next.lives = there.lives + 1;
-        next.clock_from = (self.now, clock);
+        next.info.born = Some(FIRST_BIRTH_TIME - self.restarts);
+        next.restarts = there.restarts + 1;
+        next.clock_origin = (self.now, clock);
         next.capacities = there.capacities.clone();
-        next.cut = there.cut;
-        next.cut_from = there.cut_from;
-        next.mute = there.mute;
-        next.late = there.late;
-        next.held_up = there.held_up;
+        next.isolated = there.isolated;
+        next.isolated_from = there.isolated_from;
+        next.lost_answers = there.lost_answers;
+        next.order_delay = there.order_delay;
+        next.answer_delay = there.answer_delay;
         *there = next;
     }
 
@@ -152,7 +157,7 @@
     pub(super) fn drop_sealed_orders(&mut self, at: usize) {
         let sealed = &self.executors[at].sealed;
         self.queue.retain(|_, pending| match pending {
-            Pending::LateOrder(to, action, ..) if *to == at => {
+            Pending::DelayedOrder(to, action, ..) if *to == at => {
                 match **action {
                     Action::Start { task, run, .. } => {
                         sealed.get(&task).is_none_or(|sealed| *sealed < run)
@@ -166,22 +171,22 @@
 
     /// Restarts the last executor at an address under its name, and tells the
     /// leader of its entry.
-    pub(super) fn live_on(&mut self, address: &str) {
+    pub(super) fn restart_at(&mut self, address: &str) {
         let mut all = self.executors.iter();
         let at = all.rposition(|e| e.info.address == address);
         let at = at.expect("an executor");
-        self.next_life(at, self.now / 2);
-        self.tell_entry(at);
+        self.begin_incarnation(at, self.now / 2);
+        self.list_entry(at);
     }
 
     /// Restarts an executor at once, and tells the leader of its entry.
     pub fn restart(&mut self, at: usize, clock: Millis) {
-        self.restart_untold(at, clock, false);
-        self.tell_entry(at);
+        self.restart_unlisted(at, clock, false);
+        self.list_entry(at);
     }
 
     /// The executors to which start orders are in flight.
-    pub fn starts_under_way(&self) -> Vec<usize> {
+    pub fn starts_in_flight(&self) -> Vec<usize> {
         let orders = self.queue.values().filter_map(|pending| match pending {
             Pending::Order(at, action, ..)
                 if matches!(**action, Action::Start { .. }) =>
@@ -195,13 +200,15 @@
 
     /// Removes the renewals that wait at an executor, and returns them with
     /// the times until which they wait.
-    pub(super) fn take_waiting_holds(
+    pub(super) fn take_waiting_renewals(
         &mut self,
         at: usize,
     ) -> Vec<(Millis, ExecutorIndex, Millis, u64)> {
         let mut waiting = Vec::new();
         self.queue.retain(|(due, _), pending| match pending {
-            Pending::HoldDue(i, executor, sent_at, _, token) if *i == at => {
+            Pending::RenewalDue(i, executor, sent_at, _, token)
+                if *i == at =>
+            {
                 waiting.push((*due, *executor, *sent_at, *token));
                 false
             }
@@ -212,13 +219,13 @@
 
     /// Makes an executor die and another incarnation take its address.
     pub fn crash(&mut self, at: usize, id: &str) {
-        let next = self.crash_untold(at, id);
-        self.tell_entry(next);
+        let next = self.crash_unlisted(at, id);
+        self.list_entry(next);
     }
 
     /// Like [`World::crash`], but the leader is not told of the entry of the
     /// other incarnation yet. Returns that incarnation.
-    pub fn crash_untold(&mut self, at: usize, id: &str) -> usize {
+    pub fn crash_unlisted(&mut self, at: usize, id: &str) -> usize {
         self.die(at);
         let address = self.executors[at].info.address.clone();
         self.add_executor(id);
@@ -228,7 +235,7 @@
     }
 
     /// The incarnation that listens at the address of a dead executor.
-    pub(super) fn life_in_place_of(&self, at: usize) -> Option<usize> {
+    pub(super) fn replacement_of(&self, at: usize) -> Option<usize> {
         let former = &self.executors[at];
         let mut lives = self.executors.iter();
         let life = lives.position(|executor| {
@@ -239,7 +246,7 @@
 
     /// Makes an executor die and be replaced under another name. The answers
     /// of the replacement don't show that the former one is over.
-    pub fn cut_off_and_follow(&mut self, at: usize, id: &str) {
+    pub fn isolate_and_replace(&mut self, at: usize, id: &str) {
         let address = self.executors[at].info.address.clone();
         self.die(at);
         self.add_executor(id);
@@ -248,7 +255,7 @@
         // elsewhere.
         self.executors[last].info.address = address;
         self.executors[at].info.address = String::new();
-        self.left_out.insert(String::new());
-        self.tell_entry(last);
+        self.unlisted.insert(String::new());
+        self.list_entry(last);
     }
 }
--- a/tests/jobs/world/machines.rs
+++ b/tests/jobs/world/machines.rs
@@ -9,7 +9,7 @@
         for executor in &self.executors {
             let machine = executor.info.address.clone();
             let down = self.down.contains_key(&machine);
-            let off = self.off.contains(&machine);
+            let off = self.powered_off.contains(&machine);
             let state = match (down, off) {
                 (true, _) => MachineState::Maintenance,
                 (_, true) => MachineState::Down,
@@ -19,7 +19,7 @@
                 machine: machine.clone(),
                 pool: "s".into(),
                 state,
-                executor: match self.shown.get(&machine) {
+                executor: match self.listed_executors.get(&machine) {
                     Some(shown) => shown.clone(),
                     None if off => String::new(),
                     None => executor.info.id.clone(),
@@ -27,22 +27,22 @@
             };
             machines.insert(machine, info);
         }
-        machines.retain(|machine, _| !self.left_out.contains(machine));
+        machines.retain(|machine, _| !self.unlisted.contains(machine));
         machines.into_values().collect()
     }
 
     /// Takes a machine down for two seconds, unless the wave has already done
     /// so.
-    pub(super) fn upkeep(
+    pub(super) fn maintain(
         &mut self,
         wave: u64,
         machine: &str,
     ) -> Result<(), MaintenanceFailure> {
-        if self.foreign.contains(machine) {
+        if self.not_in_wave.contains(machine) {
             return Err(MaintenanceFailure::NoSuchMachine);
         }
         let called = (wave, machine.to_string());
-        if self.had_upkeep.contains(&called) {
+        if self.maintenance_done.contains(&called) {
             return Ok(());
         }
         if self.down.contains_key(machine) {
@@ -54,16 +54,16 @@
             executor.dead = true;
             executor.running.clear();
         }
-        self.down.insert(machine.to_string(), self.now + UPKEEP);
-        self.had_upkeep.insert(called);
-        self.upkeeps.push(machine.to_string());
-        self.most_down = self.most_down.max(self.down.len());
+        self.down.insert(machine.to_string(), self.now + MAINTENANCE_DURATION);
+        self.maintenance_done.insert(called);
+        self.maintained.push(machine.to_string());
+        self.max_down = self.max_down.max(self.down.len());
         Ok(())
     }
 
     /// Brings machines back from maintenance, with new executors unless the
     /// world keeps names.
-    pub(super) fn come_back(&mut self) {
+    pub(super) fn end_maintenance(&mut self) {
         let now = self.now;
         let back: Vec<String> = self
             .down
@@ -74,7 +74,7 @@
         for machine in back {
             self.down.remove(&machine);
             if self.keep_names {
-                self.live_on(&machine);
+                self.restart_at(&machine);
                 continue;
             }
             let id = format!("{machine}-{now}");
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -33,50 +33,50 @@
 /// The longest lease of an executor.
 pub const LEASE: Millis = 6_000;
 /// How long a leader may give orders without its leadership being confirmed.
-pub const UNCONFIRMED: Millis = 6_000;
+pub const UNCONFIRMED_LIMIT: Millis = 6_000;
 /// After this time the orders of a former leader have expired.
-pub const INHERITED: Millis = 12_400;
+pub const INHERITED_ORDER_LIFETIME: Millis = 12_400;
 /// The time that a run takes to stop.
-const STOP: Millis = 200;
+const STOP_DURATION: Millis = 200;
 /// How long a member of a gang waits for the others.
 const GANG_WAIT: Millis = 3_000;
 /// The one-way latency to an executor or to the store.
-const WAY: Millis = 3;
+const LATENCY: Millis = 3;
 /// An order without an answer times out after this time.
 const ORDER_TIMEOUT: Millis = 300;
 /// A renewal without an answer times out this long after its wait.
-const HOLD_SLACK: Millis = 700;
+const RENEWAL_GRACE: Millis = 700;
 
 /// The time after which the leader learns that a commit was declined.
-const DECLINED: Millis = 20;
+const DECLINE_DELAY: Millis = 20;
 
 /// How long maintenance takes a machine down.
-const UPKEEP: Millis = 2_000;
+const MAINTENANCE_DURATION: Millis = 2_000;
 /// The delay of a maintenance call that is carried out late.
-const UPKEEP_LATE: Millis = 1_500;
+const MAINTENANCE_DELAY: Millis = 1_500;
 /// How long a task runs on an executor that fails everything.
-const FAILS_AFTER: Millis = 20;
+const FAILURE_DELAY: Millis = 20;
 /// How long an executor that has crashed takes to restart.
-pub const BACK_AFTER: Millis = 2_500;
+pub const RESTART_DELAY: Millis = 2_500;
 /// After this many crashes of executors, a task that crashes them may be
 /// started [`MAX_EXTRA_STARTS`] more times at most.
-const CRASHES: usize = 3;
+const CRASH_THRESHOLD: usize = 3;
 /// See [`CRASH_THRESHOLD`].
-const MOST_MORE: u32 = 2;
+const MAX_EXTRA_STARTS: u32 = 2;
 /// A task may be given up once this many executors have crashed while it ran
 /// there.
-const MAY_GIVE_UP: usize = 2;
+const GIVE_UP_THRESHOLD: usize = 2;
 /// Reduced capacity binds after this time. Until then the leader may not have
 /// read it.
-const SHRUNK_AFTER: Millis = 4_000;
+const SHRINK_DELAY: Millis = 4_000;
 /// The most run ends in one report.
-const ENDS_AT_ONCE: usize = 500;
+const MAX_REPORTED_ENDS: usize = 500;
 /// The first birth time of a restarted executor. Later ones are lower.
-const FIRST_BIRTH: u64 = 1_000_000;
+const FIRST_BIRTH_TIME: u64 = 1_000_000;
 /// How long each task runs.
 pub const WORK: Millis = 500;
 
-struct RunThere {
+struct Run {
     run: u64,
     /// The size of its gang, if it is in one.
     gang: Option<u32>,
@@ -92,77 +92,78 @@
     pub info: ExecutorInfo,
     token: u64,
     due: Millis,
-    running: BTreeMap<TaskKey, RunThere>,
+    running: BTreeMap<TaskKey, Run>,
     sealed: BTreeMap<TaskKey, u64>,
     ended: Vec<EndReport>,
-    numbers: u64,
+    end_count: u64,
     /// Neither orders nor answers get through.
-    pub cut: bool,
+    pub isolated: bool,
     /// Like `isolated`, but for the leader with this token only.
-    pub cut_from: Option<u64>,
+    pub isolated_from: Option<u64>,
     /// The number of orders that will be carried out but not answered.
-    pub mute: u32,
+    pub lost_answers: u32,
     /// If set, orders are carried out after this delay and not answered.
-    pub late: Option<Millis>,
+    pub order_delay: Option<Millis>,
     /// If set, orders arrive, but their answers come this long after the
     /// leader has stopped waiting for them.
-    pub held_up: Option<Millis>,
+    pub answer_delay: Option<Millis>,
     /// The leader processes the outcome of renewals this much later.
-    pub told_late: Millis,
+    pub report_delay: Millis,
     pub dead: bool,
     /// The executor is dead and its host says so: connections are reset or
     /// refused.
-    pub resets: bool,
+    pub resets_connections: bool,
     /// Answers new renewals at once with the error that it is unhealthy.
     /// Renewals that already wait there are not affected.
     pub unhealthy: bool,
     /// Every run that starts here fails.
-    pub fails: bool,
+    pub fails_all: bool,
     /// How much its clock loses, in thousandths.
-    pub slow: u64,
+    pub clock_loss: u64,
     /// The duration of runs here, in percent of their normal duration.
-    pub takes: Millis,
+    pub run_time_percent: Millis,
     /// How often it has restarted under its name.
-    lives: u64,
+    restarts: u64,
     /// When its incarnation began, and the reading of its clock at that time.
-    clock_from: (Millis, Millis),
+    clock_origin: (Millis, Millis),
     /// Its former capacities, each with the time until which it had it.
     capacities: Vec<(Millis, Resources)>,
 }
 
 impl Executor {
     /// Whether the leader with this token gets no answer from it.
-    fn silent_to(&self, token: u64) -> bool {
-        self.cut || self.dead || self.cut_from == Some(token)
+    fn is_silent_to(&self, token: u64) -> bool {
+        self.isolated || self.dead || self.isolated_from == Some(token)
     }
 
     /// Whether a start may raise the resources in use to `used`. Capacity that
     /// was reduced recently may still be used.
-    fn may_hold(&self, used: &Resources, now: Millis) -> bool {
+    fn may_use(&self, used: &Resources, now: Millis) -> bool {
         let lately = self.capacities.iter();
-        let lately = lately.filter(|(until, _)| now < until + SHRUNK_AFTER);
+        let lately = lately.filter(|(until, _)| now < until + SHRINK_DELAY);
         let mut had = lately.map(|(_, capacity)| capacity);
-        self.info.capacity.fits(used) || had.any(|room| room.fits(used))
+        self.info.capacity.fits(used)
+            || had.any(|capacity| capacity.fits(used))
     }
 
     /// The reading of its clock.
     fn clock(&self, now: Millis) -> Millis {
-        let (began, shown) = self.clock_from;
+        let (began, shown) = self.clock_origin;
         let lived = now - began;
-        shown + lived - lived * self.slow / 1_000
+        shown + lived - lived * self.clock_loss / 1_000
     }
 
     /// Makes the executor leave, which ends all its runs. Its entry remains
     /// for some time.
     pub fn leave(&mut self) {
         self.dead = true;
-        self.resets = true;
+        self.resets_connections = true;
         self.running.clear();
     }
 
     /// The number of runs that have ended here.
     pub fn ends(&self) -> u64 {
-        self.numbers
+        self.end_count
     }
 
     /// Whether a task runs here.
@@ -177,18 +178,18 @@
     /// The time from its start to the crash.
     pub after: Millis,
     /// Nothing reports the crash: calls to the executor go unanswered.
-    pub dark: bool,
+    pub silent: bool,
 }
 
 enum Pending {
-    Tell(u64, Event),
+    Deliver(u64, Event),
     Order(usize, Box<Action>, u64, Option<u64>),
     /// A delayed order, with the restart count of the executor at the time it
     /// was sent.
-    LateOrder(usize, Box<Action>, u64, u64),
-    HoldDue(usize, ExecutorIndex, Millis, u64, u64),
+    DelayedOrder(usize, Box<Action>, u64, u64),
+    RenewalDue(usize, ExecutorIndex, Millis, u64, u64),
     Written(u64),
-    Upkeep(u64, String),
+    Maintenance(u64, String),
 }
 
 /// A simulated cell.
@@ -197,11 +198,11 @@
     pub scheduler: Scheduler,
     pub token: u64,
     /// The leader receives events this much later.
-    pub behind: Millis,
+    pub event_lag: Millis,
     /// No event is delivered before this time, so that events stay in order.
-    told_until: Millis,
+    delivered_until: Millis,
     /// The leader is stalled until this time and processes nothing.
-    still_until: Millis,
+    stalled_until: Millis,
     /// Former leaders that don't know yet that they are superseded, each with
     /// the time until which it may give orders.
     former: BTreeMap<u64, (Scheduler, Millis)>,
@@ -211,10 +212,10 @@
     pub store_down: bool,
     /// Commits are declined at once, and nothing of them is written.
     pub store_declines: bool,
-    stuck: Vec<(u64, Vec<Change>)>,
+    stuck_commits: Vec<(u64, Vec<Change>)>,
     pub executors: Vec<Executor>,
     /// How often executors have restarted under their own names.
-    births: u64,
+    restarts: u64,
     queue: BTreeMap<(Millis, u64), Pending>,
     order: u64,
     pub replies: BTreeMap<u64, Outcome>,
@@ -222,24 +223,24 @@
     pub ended_at: BTreeMap<JobId, Millis>,
     requests: u64,
     jobs: BTreeMap<JobId, Job>,
-    acknowledged: BTreeSet<JobId>,
+    accepted: BTreeSet<JobId>,
     refused: BTreeSet<JobId>,
     /// Run ends that were acknowledged to their executors.
-    noted: BTreeSet<(TaskKey, u64)>,
+    acknowledged_ends: BTreeSet<(TaskKey, u64)>,
     done: BTreeMap<TaskKey, BTreeSet<u64>>,
     gangs_done: BTreeSet<StepKey>,
     /// All tasks that were ever done, acknowledged or not.
-    ever_done: BTreeSet<TaskKey>,
+    all_done: BTreeSet<TaskKey>,
     failures: BTreeMap<TaskKey, BTreeSet<u64>>,
-    noted_failures: BTreeMap<TaskKey, BTreeSet<u64>>,
+    acknowledged_failures: BTreeMap<TaskKey, BTreeSet<u64>>,
     pub starts: BTreeMap<TaskKey, u32>,
     /// Whether any start was ordered, arrived or not.
-    any_ordered: bool,
+    any_start_ordered: bool,
     pub broken: Vec<String>,
     /// The incarnations that leaders considered over, with the reason.
-    pub lives_over: Vec<(String, IncarnationEnd)>,
+    pub incarnations_over: Vec<(String, IncarnationEnd)>,
     /// Run times that differ from the estimate, in percent of it.
-    pub takes: BTreeMap<TaskKey, Millis>,
+    pub run_time_percents: BTreeMap<TaskKey, Millis>,
     /// Tasks that fail, with the number of failures to come.
     pub failing: BTreeMap<TaskKey, u32>,
     /// Tasks that crash each executor that starts them.
@@ -248,17 +249,17 @@
     pub crashed: BTreeMap<TaskKey, Vec<String>>,
     /// Those of these crashes that no leader can know of, because the leader
     /// was replaced before it found the executor gone.
-    unknowable: BTreeSet<String>,
+    unknowable_crashes: BTreeSet<String>,
     /// The executors on which a leader has suspected a task.
     suspected_on: BTreeSet<String>,
     /// The number of executors that have crashed while each task ran there. A
     /// gang counts as its first task.
-    crashed_under: BTreeMap<TaskKey, usize>,
+    crashes_during: BTreeMap<TaskKey, usize>,
     /// How often each task was started after [`CRASH_THRESHOLD`] crashes.
-    more_starts: BTreeMap<TaskKey, u32>,
+    extra_starts: BTreeMap<TaskKey, u32>,
     /// The addresses at which the next incarnation starts, and when.
-    coming_back: Vec<(Millis, String)>,
-    pub deposed: bool,
+    restarting: Vec<(Millis, String)>,
+    pub superseded: bool,
     /// The usage that tasks report, and the share at which they run.
     pub usages: BTreeMap<TaskKey, u64>,
     pub percents: BTreeMap<TaskKey, u32>,
@@ -266,46 +267,46 @@
     pub waves: BTreeMap<u64, bool>,
     /// Machines that are down for maintenance, and until when.
     pub down: BTreeMap<String, Millis>,
-    pub upkeeps: Vec<String>,
+    pub maintained: Vec<String>,
     /// The machines that each wave has taken down. Another call for the same
     /// machine and wave returns Ok and does nothing.
-    had_upkeep: BTreeSet<(u64, String)>,
+    maintenance_done: BTreeSet<(u64, String)>,
     /// The waves that operators requested. Successors receive them too.
-    wanted_waves: BTreeMap<u64, MaintenanceWave>,
+    requested_waves: BTreeMap<u64, MaintenanceWave>,
     /// Machines for which the machine list names this executor, whichever one
     /// they host; empty for none.
-    pub shown: BTreeMap<String, String>,
+    pub listed_executors: BTreeMap<String, String>,
     /// Executors return from crashes and maintenance under their former names.
     pub keep_names: bool,
     /// Machines that the list shows as down, without an executor.
-    pub off: BTreeSet<String>,
+    pub powered_off: BTreeSet<String>,
     /// The list of machines is unavailable.
-    pub unlistable: bool,
+    pub list_unavailable: bool,
     /// Machines missing from the list.
-    pub left_out: BTreeSet<String>,
+    pub unlisted: BTreeSet<String>,
     /// Machines that the platform says are not in the wave.
-    pub foreign: BTreeSet<String>,
+    pub not_in_wave: BTreeSet<String>,
     /// The number of maintenance calls that will be neither carried out nor
     /// answered.
-    pub lost_upkeeps: u32,
+    pub lost_maintenance_calls: u32,
     /// The number of maintenance calls that will be carried out late and not
     /// answered.
-    pub late_upkeeps: u32,
+    pub late_maintenance_calls: u32,
     /// The number of advice calls that will never be answered.
     pub lost_advice: u32,
     /// How long an advice call takes.
     pub advice_takes: Millis,
     /// How long the leader takes to examine an executor, and the time that it
     /// has spent on that.
-    pub look_takes: Duration,
+    pub examination_time: Duration,
     /// The interval at which the leader advances; zero means after each event.
-    pub turn: Millis,
-    pub looking: Duration,
-    pub most_down: usize,
+    pub advance_interval: Millis,
+    pub time_examining: Duration,
+    pub max_down: usize,
     /// The number of renewals sent so far.
-    pub holds: u64,
+    pub renewals: u64,
     /// The number of executors in each advice call.
-    pub asked: Vec<usize>,
+    pub advice_sizes: Vec<usize>,
     submitted: BTreeMap<u64, JobId>,
     without: Mechanisms,
     /// The account whose key each job was submitted with.
@@ -326,7 +327,7 @@
 /// The service rejects calls about more executors than this.
 const ADVICE_BATCH: usize = 100;
 
-pub fn room(cpu_millis: u32, memory_mb: u32) -> Resources {
+pub fn resources(cpu_millis: u32, memory_mb: u32) -> Resources {
     Resources { cpu_millis, memory_mb, accelerators: 0 }
 }
 
@@ -362,7 +363,7 @@
         name: name.into(),
         keys: vec![KeyDigest::of(name.as_bytes())],
         weight: 1.0,
-        limit: room(cpu_millis, 0),
+        limit: resources(cpu_millis, 0),
     }
 }
 
@@ -410,7 +411,7 @@
         token,
         lease: LEASE,
         ended_retention: 120_000,
-        inherited_order_lifetime: INHERITED,
+        inherited_order_lifetime: INHERITED_ORDER_LIFETIME,
         max_advice_batch: ADVICE_BATCH,
         min_commit_interval: 20,
         mechanisms: without,
@@ -448,68 +449,68 @@
             scheduler: Scheduler::new(config, policy.clone()),
             without,
             token: 1,
-            behind: 0,
-            told_until: 0,
-            still_until: 0,
+            event_lag: 0,
+            delivered_until: 0,
+            stalled_until: 0,
             former: BTreeMap::new(),
             policy,
             store: BTreeMap::new(),
             store_down: false,
             store_declines: false,
-            stuck: Vec::new(),
+            stuck_commits: Vec::new(),
             executors: Vec::new(),
-            births: 0,
+            restarts: 0,
             queue: BTreeMap::new(),
             order: 0,
             replies: BTreeMap::new(),
             ended_at: BTreeMap::new(),
             requests: 0,
             jobs: BTreeMap::new(),
-            acknowledged: BTreeSet::new(),
+            accepted: BTreeSet::new(),
             refused: BTreeSet::new(),
-            noted: BTreeSet::new(),
+            acknowledged_ends: BTreeSet::new(),
             done: BTreeMap::new(),
             gangs_done: BTreeSet::new(),
-            ever_done: BTreeSet::new(),
+            all_done: BTreeSet::new(),
             failures: BTreeMap::new(),
-            noted_failures: BTreeMap::new(),
+            acknowledged_failures: BTreeMap::new(),
             starts: BTreeMap::new(),
-            any_ordered: false,
+            any_start_ordered: false,
             broken: Vec::new(),
-            lives_over: Vec::new(),
-            takes: BTreeMap::new(),
+            incarnations_over: Vec::new(),
+            run_time_percents: BTreeMap::new(),
             failing: BTreeMap::new(),
             crashing: BTreeMap::new(),
             crashed: BTreeMap::new(),
-            unknowable: BTreeSet::new(),
+            unknowable_crashes: BTreeSet::new(),
             suspected_on: BTreeSet::new(),
-            crashed_under: BTreeMap::new(),
-            more_starts: BTreeMap::new(),
-            coming_back: Vec::new(),
-            deposed: false,
+            crashes_during: BTreeMap::new(),
+            extra_starts: BTreeMap::new(),
+            restarting: Vec::new(),
+            superseded: false,
             usages: BTreeMap::new(),
             percents: BTreeMap::new(),
             waves: BTreeMap::new(),
             down: BTreeMap::new(),
-            upkeeps: Vec::new(),
-            had_upkeep: BTreeSet::new(),
-            wanted_waves: BTreeMap::new(),
-            shown: BTreeMap::new(),
+            maintained: Vec::new(),
+            maintenance_done: BTreeSet::new(),
+            requested_waves: BTreeMap::new(),
+            listed_executors: BTreeMap::new(),
             keep_names: false,
-            off: BTreeSet::new(),
-            unlistable: false,
-            left_out: BTreeSet::new(),
-            foreign: BTreeSet::new(),
-            lost_upkeeps: 0,
-            late_upkeeps: 0,
+            powered_off: BTreeSet::new(),
+            list_unavailable: false,
+            unlisted: BTreeSet::new(),
+            not_in_wave: BTreeSet::new(),
+            lost_maintenance_calls: 0,
+            late_maintenance_calls: 0,
             lost_advice: 0,
             advice_takes: 30,
-            look_takes: Duration::ZERO,
-            turn: 0,
-            looking: Duration::ZERO,
-            most_down: 0,
-            holds: 0,
-            asked: Vec::new(),
+            examination_time: Duration::ZERO,
+            advance_interval: 0,
+            time_examining: Duration::ZERO,
+            max_down: 0,
+            renewals: 0,
+            advice_sizes: Vec::new(),
             submitted: BTreeMap::new(),
             owners: BTreeMap::new(),
             limits: vec![(0, 0)],
@@ -519,7 +520,7 @@
         for number in 0..executors {
             world.add_executor(&format!("x{number}"));
         }
-        world.tell_all();
+        world.list_all();
         world
     }
 
@@ -529,7 +530,7 @@
             service: "s".into(),
             address: id.into(),
             dc: "d".into(),
-            capacity: room(4_000, 8_000),
+            capacity: resources(4_000, 8_000),
             ..ExecutorInfo::default()
         };
         self.executors.push(Executor {
@@ -539,28 +540,28 @@
             running: BTreeMap::new(),
             sealed: BTreeMap::new(),
             ended: Vec::new(),
-            numbers: 0,
-            cut: false,
-            cut_from: None,
-            mute: 0,
-            late: None,
-            held_up: None,
-            told_late: 0,
+            end_count: 0,
+            isolated: false,
+            isolated_from: None,
+            lost_answers: 0,
+            order_delay: None,
+            answer_delay: None,
+            report_delay: 0,
             dead: false,
-            resets: false,
+            resets_connections: false,
             unhealthy: false,
-            fails: false,
-            slow: 0,
-            takes: 100,
-            lives: 0,
-            clock_from: (0, 0),
+            fails_all: false,
+            clock_loss: 0,
+            run_time_percent: 100,
+            restarts: 0,
+            clock_origin: (0, 0),
             capacities: Vec::new(),
         });
     }
 
     /// Tells the leader of all executors, and of one node that can ask for
     /// advice.
-    pub fn tell_all(&mut self) {
+    pub fn list_all(&mut self) {
         self.event(Event::Advisors(vec!["node".into()]));
         for at in 0..self.executors.len() {
             if !self.executors[at].dead {
@@ -572,7 +573,7 @@
     }
 
     pub fn submit(&mut self, job: Job) -> u64 {
-        self.attempted(&job);
+        self.record_submission(&job);
         self.jobs.insert(job.id, job.clone());
         self.submitted.insert(self.requests + 1, job.id);
         self.request(Request::Submit(job))
@@ -580,7 +581,7 @@
 
     /// Submits a job with the key of an account.
     pub fn submit_as(&mut self, account: &str, job: Job) -> u64 {
-        self.attempted(&job);
+        self.record_submission(&job);
         self.owners.insert(job.id, account.into());
         self.jobs.insert(job.id, job.clone());
         self.submitted.insert(self.requests + 1, job.id);
@@ -617,7 +618,7 @@
         policy.version += 1;
         change(&mut policy);
         self.policy = Arc::new(policy);
-        self.note_limit();
+        self.record_limit();
         self.scheduler.set_policy(self.policy.clone());
         self.event(Event::Tick);
     }
@@ -679,11 +680,11 @@
 
     pub fn event(&mut self, event: Event) {
         if let Event::Wave(wave) = &event {
-            self.wanted_waves.insert(wave.wave, wave.clone());
+            self.requested_waves.insert(wave.wave, wave.clone());
         }
         let actions = self.scheduler.handle(event, self.now);
         self.perform(self.token, actions);
-        if self.turn == 0 {
+        if self.advance_interval == 0 {
             self.advance();
         }
     }
@@ -693,8 +694,8 @@
         let before = self.scheduler.placement_stats();
         let actions = self.scheduler.advance(self.now);
         let looked = self.scheduler.placement_stats().since(&before);
-        let took = self.look_takes * looked.executors as u32;
-        self.looking += took;
+        let took = self.examination_time * looked.executors as u32;
+        self.time_examining += took;
         let over = self.now + took.as_millis() as Millis;
         self.scheduler.record_advance_time(took, over);
         self.perform(self.token, actions);
@@ -702,7 +703,7 @@
 
     /// Delivers an event to the leader with this token, whether it still leads
     /// or not.
-    fn tell(&mut self, token: u64, event: Event) {
+    fn deliver(&mut self, token: u64, event: Event) {
         if token == self.token {
             return self.event(event);
         }
@@ -721,33 +722,33 @@
         }
     }
 
-    fn later(&mut self, after: Millis, pending: Pending) {
+    fn schedule(&mut self, after: Millis, pending: Pending) {
         self.order += 1;
         let mut at = self.now + after;
-        at += self.told_late(&pending);
-        let late = self.behind > 0 || self.told_until > at;
-        if matches!(pending, Pending::Tell(..)) && late {
-            at = self.told_until.max(at + self.behind);
-            self.told_until = at;
+        at += self.report_delay(&pending);
+        let late = self.event_lag > 0 || self.delivered_until > at;
+        if matches!(pending, Pending::Deliver(..)) && late {
+            at = self.delivered_until.max(at + self.event_lag);
+            self.delivered_until = at;
         }
         self.queue.insert((at, self.order), pending);
     }
 
-    fn told_late(&self, pending: &Pending) -> Millis {
-        let Pending::Tell(token, Event::RenewalAnswered { executor, .. }) =
+    fn report_delay(&self, pending: &Pending) -> Millis {
+        let Pending::Deliver(token, Event::RenewalAnswered { executor, .. }) =
             pending
         else {
             return 0;
         };
         let at = self.index_of(*token, *executor);
-        at.map_or(0, |at| self.executors[at].told_late)
+        at.map_or(0, |at| self.executors[at].report_delay)
     }
 
     /// Stalls the leader. What arrives in the meantime is delivered after its
     /// first tick.
-    pub fn stand_still(&mut self, time: Millis) {
-        self.still_until = (self.now + time).next_multiple_of(50);
-        self.run(self.still_until - self.now);
+    pub fn stall(&mut self, time: Millis) {
+        self.stalled_until = (self.now + time).next_multiple_of(50);
+        self.run(self.stalled_until - self.now);
     }
 
     fn index_of(&self, token: u64, executor: ExecutorIndex) -> Option<usize> {
@@ -763,7 +764,7 @@
     fn perform(&mut self, token: u64, actions: Vec<Action>) {
         for action in actions {
             if let Action::Advise { executors, .. } = &action {
-                self.asked.push(executors.len());
+                self.advice_sizes.push(executors.len());
             }
             match &action {
                 // Nobody listens to a former leader.
@@ -771,20 +772,23 @@
                     if token != self.token => {}
                 Action::Reply { id, outcome } => {
                     self.replies.insert(*id, *outcome);
-                    self.note_reply(*id, *outcome);
+                    self.record_reply(*id, *outcome);
                 }
                 Action::Commit(changes) => {
                     if self.store_declines {
                         let event = Event::CommitDeclined(changes.clone());
-                        self.later(DECLINED, Pending::Tell(token, event));
+                        self.schedule(
+                            DECLINE_DELAY,
+                            Pending::Deliver(token, event),
+                        );
                     } else if self.store_down {
-                        self.stuck.push((token, changes.clone()));
+                        self.stuck_commits.push((token, changes.clone()));
                     } else {
                         self.write(changes.clone());
-                        self.later(2 * WAY, Pending::Written(token));
+                        self.schedule(2 * LATENCY, Pending::Written(token));
                     }
                 }
-                Action::Superseded => self.deposed = true,
+                Action::Superseded => self.superseded = true,
                 Action::JobEnded { job, .. } => {
                     self.ended_at.insert(*job, self.now);
                 }
@@ -804,7 +808,7 @@
                     self.suspected_on.insert(executor.clone());
                 }
                 Action::ExecutorOver { id, why, .. } => {
-                    self.lives_over.push((id.clone(), *why));
+                    self.incarnations_over.push((id.clone(), *why));
                 }
                 Action::Advise { .. } if self.lost_advice > 0 => {
                     self.lost_advice -= 1;
@@ -814,7 +818,7 @@
                 {
                     let answer = Err(AdviceFailure::Unknown);
                     let event = Event::Advised { call: *call, answer };
-                    self.later(WAY, Pending::Tell(token, event));
+                    self.schedule(LATENCY, Pending::Deliver(token, event));
                 }
                 Action::Advise { call, step, executors, .. } => {
                     // Advice depends on the machine, so that it does not
@@ -833,48 +837,58 @@
                     });
                     let answer = Ok(rows.collect());
                     let event = Event::Advised { call: *call, answer };
-                    self.later(self.advice_takes, Pending::Tell(token, event));
+                    self.schedule(
+                        self.advice_takes,
+                        Pending::Deliver(token, event),
+                    );
                 }
                 Action::Throttle { task, percent, .. } => {
                     self.percents.insert(*task, *percent);
                 }
                 Action::ListMachines => {
-                    let listed = (!self.unlistable).then(|| self.machines());
+                    let listed =
+                        (!self.list_unavailable).then(|| self.machines());
                     let event = Event::Machines(listed);
-                    self.later(2 * WAY, Pending::Tell(token, event));
+                    self.schedule(2 * LATENCY, Pending::Deliver(token, event));
                 }
                 Action::StartMaintenance { wave, machine }
-                    if self.lost_upkeeps > 0 =>
+                    if self.lost_maintenance_calls > 0 =>
                 {
-                    self.lost_upkeeps -= 1;
+                    self.lost_maintenance_calls -= 1;
                     let event = Event::MaintenanceAnswered {
                         wave: *wave,
                         machine: machine.clone(),
                         answer: Err(MaintenanceFailure::Unknown),
                     };
-                    self.later(ORDER_TIMEOUT, Pending::Tell(token, event));
+                    self.schedule(
+                        ORDER_TIMEOUT,
+                        Pending::Deliver(token, event),
+                    );
                 }
                 Action::StartMaintenance { wave, machine }
-                    if self.late_upkeeps > 0 =>
+                    if self.late_maintenance_calls > 0 =>
                 {
-                    self.late_upkeeps -= 1;
-                    let late = Pending::Upkeep(*wave, machine.clone());
-                    self.later(UPKEEP_LATE, late);
+                    self.late_maintenance_calls -= 1;
+                    let late = Pending::Maintenance(*wave, machine.clone());
+                    self.schedule(MAINTENANCE_DELAY, late);
                     let event = Event::MaintenanceAnswered {
                         wave: *wave,
                         machine: machine.clone(),
                         answer: Err(MaintenanceFailure::Unknown),
                     };
-                    self.later(ORDER_TIMEOUT, Pending::Tell(token, event));
+                    self.schedule(
+                        ORDER_TIMEOUT,
+                        Pending::Deliver(token, event),
+                    );
                 }
                 Action::StartMaintenance { wave, machine } => {
-                    let answer = self.upkeep(*wave, machine);
+                    let answer = self.maintain(*wave, machine);
                     let event = Event::MaintenanceAnswered {
                         wave: *wave,
                         machine: machine.clone(),
                         answer,
                     };
-                    self.later(2 * WAY, Pending::Tell(token, event));
+                    self.schedule(2 * LATENCY, Pending::Deliver(token, event));
                 }
                 Action::WaveState { wave, succeeded } => {
                     self.waves.insert(*wave, *succeeded);
@@ -883,9 +897,9 @@
                 | Action::Start { executor, .. }
                 | Action::Stop { executor, .. } => {
                     let start = matches!(action, Action::Start { .. });
-                    self.any_ordered |= start;
+                    self.any_start_ordered |= start;
                     let hold = matches!(action, Action::RenewLease { .. });
-                    self.holds += u64::from(hold);
+                    self.renewals += u64::from(hold);
                     let Some(at) = self.index_of(token, *executor) else {
                         continue;
                     };
@@ -895,7 +909,7 @@
                         token,
                         Some(token),
                     );
-                    self.later(WAY, order);
+                    self.schedule(LATENCY, order);
                 }
             }
         }
@@ -918,10 +932,10 @@
     /// The store answers again and writes the commits that are stuck.
     pub fn store_up(&mut self) {
         self.store_down = false;
-        for (token, changes) in std::mem::take(&mut self.stuck) {
+        for (token, changes) in std::mem::take(&mut self.stuck_commits) {
             if token == self.token {
                 self.write(changes);
-                self.later(2 * WAY, Pending::Written(token));
+                self.schedule(2 * LATENCY, Pending::Written(token));
             }
         }
     }
@@ -930,17 +944,17 @@
     /// that are in flight still arrive.
     pub fn replace_leader(&mut self) {
         self.take_over();
-        self.tell_all();
+        self.list_all();
     }
 
     /// Like [`World::replace_leader`], but the successor is not told of any
     /// executor yet. It knows those that its predecessor has written to the
     /// store.
     pub fn take_over(&mut self) {
-        self.stuck.clear();
+        self.stuck_commits.clear();
         let crashed = self.crashed.values().flatten();
         let unknown = crashed.filter(|id| !self.suspected_on.contains(*id));
-        self.unknowable.extend(unknown.cloned());
+        self.unknowable_crashes.extend(unknown.cloned());
         let token = self.token;
         self.token += 1;
         let kept: Vec<StoredValue> = self
@@ -958,27 +972,28 @@
         let restored = restored.expect("readable values");
         let former = std::mem::replace(&mut self.scheduler, restored);
         self.scheduler.set_cordons(self.cordons.clone());
-        self.former.insert(token, (former, self.now + UNCONFIRMED));
-        self.deposed = false;
+        self.former.insert(token, (former, self.now + UNCONFIRMED_LIMIT));
+        self.superseded = false;
         // A successor reads the operators' waves before it leads.
-        for wave in self.wanted_waves.values().cloned().collect::<Vec<_>>() {
+        for wave in self.requested_waves.values().cloned().collect::<Vec<_>>()
+        {
             self.event(Event::Wave(wave));
         }
     }
 
     /// Like [`World::take_over`], but the successor is then told of these
     /// entries in this order, and of one node that can ask for advice.
-    pub fn replace_leader_told(&mut self, entries: &[usize]) {
+    pub fn replace_leader_listing(&mut self, entries: &[usize]) {
         self.take_over();
         self.event(Event::Advisors(vec!["node".into()]));
         for at in entries {
-            self.tell_entry(*at);
+            self.list_entry(*at);
         }
     }
 
     /// Tells the leader of an entry in the store, whether its executor is
     /// alive or not.
-    pub fn tell_entry(&mut self, at: usize) {
+    pub fn list_entry(&mut self, at: usize) {
         let info = self.executors[at].info.clone();
         self.event(Event::Listed(info));
     }
@@ -990,22 +1005,22 @@
             self.now += 1;
             self.work();
             self.crash_by_tasks();
-            self.come_back();
-            self.begin_lives();
+            self.end_maintenance();
+            self.restart_crashed();
             while let Some(entry) = self.queue.first_entry() {
                 if entry.key().0 > self.now {
                     break;
                 }
                 let pending = entry.remove();
-                self.happen(pending);
+                self.process(pending);
             }
-            if self.now < self.still_until {
+            if self.now < self.stalled_until {
                 continue;
             }
             if self.now % 50 == 0 {
                 let former: Vec<u64> = self.former.keys().copied().collect();
                 for token in former {
-                    self.tell(token, Event::Tick);
+                    self.deliver(token, Event::Tick);
                 }
                 self.scheduler.confirm_leadership(self.now);
                 self.event(Event::Tick);
@@ -1013,26 +1028,28 @@
                 .scheduler
                 .next_advance()
                 .is_some_and(|at| at <= self.now)
-                && self.turn == 0
+                && self.advance_interval == 0
             {
                 self.advance();
             }
-            if self.turn > 0 && self.now % self.turn == 0 {
+            if self.advance_interval > 0
+                && self.now % self.advance_interval == 0
+            {
                 self.advance();
             }
         }
     }
 
-    fn happen(&mut self, pending: Pending) {
+    fn process(&mut self, pending: Pending) {
         match pending {
-            Pending::Tell(..) if self.now <= self.still_until => {
+            Pending::Deliver(..) if self.now <= self.stalled_until => {
                 self.order += 1;
-                let at = (self.still_until + 1, self.order);
+                let at = (self.stalled_until + 1, self.order);
                 self.queue.insert(at, pending);
             }
-            Pending::Tell(token, event) => self.tell(token, event),
-            Pending::Upkeep(wave, machine) => {
-                let _ = self.upkeep(wave, &machine);
+            Pending::Deliver(token, event) => self.deliver(token, event),
+            Pending::Maintenance(wave, machine) => {
+                let _ = self.maintain(wave, &machine);
             }
             Pending::Written(token) => {
                 if token == self.token {
@@ -1045,13 +1062,13 @@
             // The next incarnation may still carry the order out. A seal there
             // does not outlast that incarnation, so the order is dropped once
             // that one is over, too.
-            Pending::LateOrder(at, action, token, life) => {
-                if self.executors[at].lives <= life + 1 {
+            Pending::DelayedOrder(at, action, token, life) => {
+                if self.executors[at].restarts <= life + 1 {
                     self.order(at, *action, token, None);
                 }
             }
-            Pending::HoldDue(at, executor, sent_at, last_seen, token) => {
-                self.answer_hold(at, executor, sent_at, last_seen, token);
+            Pending::RenewalDue(at, executor, sent_at, last_seen, token) => {
+                self.answer_renewal(at, executor, sent_at, last_seen, token);
             }
         }
     }
--- a/tests/jobs/world/oracle.rs
+++ b/tests/jobs/world/oracle.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl World {
-    pub(super) fn note_limit(&mut self) {
-        if !self.any_ordered {
+    pub(super) fn record_limit(&mut self) {
+        if !self.any_start_ordered {
             // Nothing was ordered under an earlier limit.
             self.limits.clear();
         }
@@ -17,7 +17,7 @@
         let mut highest = 0;
         let mut until = Millis::MAX;
         for (since, limit) in self.limits.iter().rev() {
-            if until.saturating_add(UNCONFIRMED) < self.now {
+            if until.saturating_add(UNCONFIRMED_LIMIT) < self.now {
                 break;
             }
             if *limit == 0 {
@@ -31,15 +31,15 @@
 
     /// Records that a job is submitted. If it was refused before, it may run
     /// from now on unless it is refused again.
-    pub(super) fn attempted(&mut self, job: &Job) {
+    pub(super) fn record_submission(&mut self, job: &Job) {
         self.refused.remove(&job.id);
     }
 
-    pub(super) fn note_reply(&mut self, id: u64, outcome: Outcome) {
+    pub(super) fn record_reply(&mut self, id: u64, outcome: Outcome) {
         let Some(&job) = self.submitted.get(&id) else { return };
         match outcome {
             Outcome::Accepted => {
-                self.acknowledged.insert(job);
+                self.accepted.insert(job);
                 // The job was submitted again.
                 self.refused.remove(&job);
             }
@@ -65,7 +65,7 @@
         for run in there.running.values() {
             used = used.plus(&run.need);
         }
-        if !there.may_hold(&used, self.now) {
+        if !there.may_use(&used, self.now) {
             broken.push(format!("over the limits of {}", there.info.id));
         }
         let elsewhere =
@@ -75,15 +75,17 @@
         if elsewhere {
             broken.push("runs twice".to_string());
         }
-        let noted_done = self.done.get(&task).is_some_and(|runs| {
-            runs.iter().any(|r| self.noted.contains(&(task, *r)))
+        let acknowledged = self.done.get(&task).is_some_and(|runs| {
+            runs.iter().any(|r| self.acknowledged_ends.contains(&(task, *r)))
         });
-        let gang_noted = gang
+        let gang_acknowledged = gang
             && self.done.iter().any(|(member, runs)| {
                 member.step == task.step
-                    && runs.iter().any(|r| self.noted.contains(&(*member, *r)))
+                    && runs.iter().any(|r| {
+                        self.acknowledged_ends.contains(&(*member, *r))
+                    })
             });
-        if noted_done || gang_noted {
+        if acknowledged || gang_acknowledged {
             broken.push("starts after it was done".to_string());
         }
         for before in after {
@@ -91,23 +93,24 @@
             let job = &self.jobs[&task.step.job];
             let step_job = &job.steps[*before as usize];
             let all = (0..step_job.count)
-                .all(|index| self.ever_done.contains(&step.task(index)));
+                .all(|index| self.all_done.contains(&step.task(index)));
             let whole = step_job.gang && self.gangs_done.contains(&step);
             if !all && !whole {
                 broken.push("starts before what it depends on".to_string());
             }
         }
         let counted = if gang { task.step.task(0) } else { task };
-        let failures = self.noted_failures.get(&counted);
+        let failures = self.acknowledged_failures.get(&counted);
         if failures.is_some_and(|runs| runs.len() >= 3) {
             broken.push("starts after its last attempt".to_string());
         }
         let crashed = self.crashed.get(&task).into_iter().flatten();
-        let known = crashed.filter(|id| !self.unknowable.contains(*id));
-        if known.count() >= CRASHES {
-            let more = self.more_starts.entry(task).or_default();
+        let known =
+            crashed.filter(|id| !self.unknowable_crashes.contains(*id));
+        if known.count() >= CRASH_THRESHOLD {
+            let more = self.extra_starts.entry(task).or_default();
             *more += 1;
-            if *more > MOST_MORE {
+            if *more > MAX_EXTRA_STARTS {
                 let what = "starts again after it has crashed executors";
                 broken.push(what.to_string());
             }
@@ -127,7 +130,7 @@
 
     /// The jobs that were accepted and have not ended.
     pub fn unfinished(&mut self) -> Vec<JobId> {
-        let ids: Vec<JobId> = self.acknowledged.iter().copied().collect();
+        let ids: Vec<JobId> = self.accepted.iter().copied().collect();
         ids.into_iter()
             .filter(|id| {
                 !matches!(
@@ -156,7 +159,7 @@
             let wrong = match state {
                 Some(JobState::Succeeded) => !steps.all(|(number, step)| {
                     let mut all = tasks(number, step.count);
-                    let done = |t: TaskKey| self.ever_done.contains(&t);
+                    let done = |t: TaskKey| self.all_done.contains(&t);
                     if step.gang {
                         all.any(done)
                     } else {
@@ -186,9 +189,9 @@
     /// ran there that the job may be given up. Which task crashed an executor
     /// can't be known for certain.
     pub(super) fn may_give_up(&self, job: &Job) -> bool {
-        let crashed = self.crashed_under.iter();
+        let crashed = self.crashes_during.iter();
         let mut crashed = crashed.filter(|(t, _)| t.step.job == job.id);
-        crashed.any(|(_, crashes)| *crashes >= MAY_GIVE_UP)
+        crashed.any(|(_, crashes)| *crashes >= GIVE_UP_THRESHOLD)
     }
 
     /// Panics with every violation that was found.
--- a/tests/jobs/world/orders.rs
+++ b/tests/jobs/world/orders.rs
@@ -12,46 +12,46 @@
         answer_to: Option<u64>,
     ) {
         // An order to a former incarnation is answered by the present one.
-        if let Some(life) = self.life_in_place_of(at) {
-            let silent = self.executors[life].silent_to(token);
+        if let Some(life) = self.replacement_of(at) {
+            let silent = self.executors[life].is_silent_to(token);
             return match answer_to {
-                Some(_) if silent => self.unanswered(&action, token),
+                Some(_) if silent => self.leave_unanswered(&action, token),
                 Some(_) => self.refuse(action, token, OrderFailure::Gone),
                 None => {}
             };
         }
         let there = &mut self.executors[at];
-        if there.resets && answer_to.is_some() {
+        if there.resets_connections && answer_to.is_some() {
             return self.refuse(action, token, OrderFailure::NotSent);
         }
         if there.unhealthy && matches!(action, Action::RenewLease { .. }) {
             return self.refuse(action, token, OrderFailure::Unhealthy);
         }
-        let silent = there.silent_to(token);
-        if let (Some(late), false) = (there.late, silent) {
+        let silent = there.is_silent_to(token);
+        if let (Some(late), false) = (there.order_delay, silent) {
             if answer_to.is_some()
                 && !matches!(action, Action::RenewLease { .. })
             {
-                let life = there.lives;
-                self.unanswered(&action, token);
+                let life = there.restarts;
+                self.leave_unanswered(&action, token);
                 let action = Box::new(action);
-                let order = Pending::LateOrder(at, action, token, life);
-                return self.later(late, order);
+                let order = Pending::DelayedOrder(at, action, token, life);
+                return self.schedule(late, order);
             }
         }
         if silent {
             if answer_to.is_some() {
-                self.unanswered(&action, token);
+                self.leave_unanswered(&action, token);
             }
             return;
         }
         let fenced = token < there.token;
         there.token = there.token.max(token);
-        let held_up = there.held_up.filter(|_| answer_to.is_some());
-        if held_up.is_some() {
-            self.unanswered(&action, token);
+        let answer_delay = there.answer_delay.filter(|_| answer_to.is_some());
+        if answer_delay.is_some() {
+            self.leave_unanswered(&action, token);
         }
-        let way = held_up.map_or(WAY, |late| ORDER_TIMEOUT + late);
+        let way = answer_delay.map_or(LATENCY, |late| ORDER_TIMEOUT + late);
         let there = &mut self.executors[at];
         match action {
             Action::RenewLease {
@@ -77,9 +77,10 @@
                 self.acknowledge(at, last_seen);
                 let any = !self.executors[at].ended.is_empty();
                 let after = if any { 0 } else { wait };
-                let pending =
-                    Pending::HoldDue(at, executor, sent_at, last_seen, token);
-                self.later(after, pending);
+                let pending = Pending::RenewalDue(
+                    at, executor, sent_at, last_seen, token,
+                );
+                self.schedule(after, pending);
             }
             Action::Start { executor, task, run, due, .. } => {
                 let there = self.executors[at].runs(&task);
@@ -93,14 +94,17 @@
                 }
                 let clock = self.executors[at].clock(self.now);
                 let answer = answer.map(|()| Some(clock));
-                if self.muted(at, answer_to) {
+                if self.loses_answer(at, answer_to) {
                     let event = Event::StartAnswered {
                         executor,
                         task,
                         run,
                         answer: Err(OrderFailure::Unknown),
                     };
-                    self.later(ORDER_TIMEOUT, Pending::Tell(token, event));
+                    self.schedule(
+                        ORDER_TIMEOUT,
+                        Pending::Deliver(token, event),
+                    );
                 } else if answer_to.is_some() {
                     let event =
                         Event::StartAnswered { executor, task, run, answer };
@@ -124,15 +128,19 @@
         }
     }
 
-    pub(super) fn muted(&mut self, at: usize, answer_to: Option<u64>) -> bool {
+    pub(super) fn loses_answer(
+        &mut self,
+        at: usize,
+        answer_to: Option<u64>,
+    ) -> bool {
         let there = &mut self.executors[at];
-        let muted = answer_to.is_some() && there.mute > 0;
-        there.mute -= u32::from(muted);
-        muted
+        let loses_answer = answer_to.is_some() && there.lost_answers > 0;
+        there.lost_answers -= u32::from(loses_answer);
+        loses_answer
     }
 
     pub(super) fn answer(&mut self, way: Millis, token: u64, event: Event) {
-        self.later(way, Pending::Tell(token, event));
+        self.schedule(way, Pending::Deliver(token, event));
     }
 
     /// Answers an order with a failure.
@@ -143,18 +151,18 @@
         why: OrderFailure,
     ) {
         if let Some(event) = failed(&action, why) {
-            self.answer(WAY, token, event);
+            self.answer(LATENCY, token, event);
         }
     }
 
     /// Reports the timeout of an order that nobody answers.
-    pub(super) fn unanswered(&mut self, action: &Action, token: u64) {
+    pub(super) fn leave_unanswered(&mut self, action: &Action, token: u64) {
         let after = match action {
-            Action::RenewLease { wait, .. } => wait + HOLD_SLACK,
+            Action::RenewLease { wait, .. } => wait + RENEWAL_GRACE,
             _ => ORDER_TIMEOUT,
         };
         if let Some(event) = failed(action, OrderFailure::Unknown) {
-            self.later(after, Pending::Tell(token, event));
+            self.schedule(after, Pending::Deliver(token, event));
         }
     }
 
@@ -166,15 +174,16 @@
         there.ended = kept;
         let gone: Vec<EndReport> = gone;
         for end in gone {
-            self.noted.insert((end.task, end.run));
+            self.acknowledged_ends.insert((end.task, end.run));
             if end.how == EndKind::Failed {
-                let runs = self.noted_failures.entry(end.task).or_default();
+                let runs =
+                    self.acknowledged_failures.entry(end.task).or_default();
                 runs.insert(end.run);
             }
         }
     }
 
-    pub(super) fn answer_hold(
+    pub(super) fn answer_renewal(
         &mut self,
         at: usize,
         executor: ExecutorIndex,
@@ -184,13 +193,14 @@
     ) {
         let there = &self.executors[at];
         let clock = there.clock(self.now);
-        if there.silent_to(token) {
+        if there.is_silent_to(token) {
             let event = Event::RenewalAnswered {
                 executor,
                 sent_at,
                 answer: Err(OrderFailure::Unknown),
             };
-            return self.later(HOLD_SLACK, Pending::Tell(token, event));
+            return self
+                .schedule(RENEWAL_GRACE, Pending::Deliver(token, event));
         }
         let running = there.running.iter().map(|(task, run)| RunReport {
             task: *task,
@@ -203,10 +213,16 @@
             born: there.info.born,
             clock,
             running: running.collect(),
-            ended: there.ended.iter().take(ENDS_AT_ONCE).cloned().collect(),
-            more_ended: there.ended.len() >= ENDS_AT_ONCE,
+            ended: there
+                .ended
+                .iter()
+                .take(MAX_REPORTED_ENDS)
+                .cloned()
+                .collect(),
+            more_ended: there.ended.len() >= MAX_REPORTED_ENDS,
         });
-        let way = there.held_up.map_or(WAY, |late| HOLD_SLACK + late);
+        let way =
+            there.answer_delay.map_or(LATENCY, |late| RENEWAL_GRACE + late);
         self.answer(
             way,
             token,
@@ -224,12 +240,12 @@
         let now = self.now;
         let step = &self.jobs[&task.step.job].steps[task.step.step as usize];
         let (need, gang) = (step.footprint(), step.gang);
-        let takes = self.takes.get(&task).copied().unwrap_or(100);
+        let takes = self.run_time_percents.get(&task).copied().unwrap_or(100);
         let work = step.estimate * takes / 100;
         let lasting = step.lasting;
         let (after, step_count) = (step.after.clone(), step.count);
         let there = &mut self.executors[at];
-        let work = work * there.takes / 100;
+        let work = work * there.run_time_percent / 100;
         if there.running.get(&task).is_some_and(|r| r.run == run) {
             return Ok(());
         }
@@ -246,24 +262,17 @@
             *left -= u32::from(fails);
             fails
         });
-        let fails = fails || there.fails;
+        let fails = fails || there.fails_all;
         let how = if fails { EndKind::Failed } else { EndKind::Done };
-        let work = if there.fails { FAILS_AFTER } else { work };
+        let work = if there.fails_all { FAILURE_DELAY } else { work };
         // A gang works once all its members are there.
         let forever = gang || lasting;
         let ends_at = if forever { Millis::MAX } else { now + work };
         let count = step_count;
         let gang_of = gang.then_some(count);
-        let there_now = RunThere {
-            run,
-            gang: gang_of,
-            work,
-            since: now,
-            ends_at,
-            how,
-            need,
-        };
-        there.running.insert(task, there_now);
+        let started =
+            Run { run, gang: gang_of, work, since: now, ends_at, how, need };
+        there.running.insert(task, started);
         *self.starts.entry(task).or_default() += 1;
         self.check_start(at, task, run, gang, &after);
         Ok(())
@@ -277,7 +286,7 @@
         if let Some(on) = there.running.get_mut(&task) {
             if on.run <= run {
                 on.how = EndKind::Stopped;
-                on.ends_at = on.ends_at.min(now + STOP);
+                on.ends_at = on.ends_at.min(now + STOP_DURATION);
             }
         }
     }
--- a/tests/jobs/world/work.rs
+++ b/tests/jobs/world/work.rs
@@ -92,9 +92,9 @@
             for task in over {
                 let Some(run) = there.running.remove(&task) else { continue };
                 let how = if lapsed { EndKind::Lapsed } else { run.how };
-                there.numbers += 1;
+                there.end_count += 1;
                 there.ended.push(EndReport {
-                    number: there.numbers,
+                    number: there.end_count,
                     task,
                     run: run.run,
                     how,
@@ -106,7 +106,7 @@
                     self.failures.entry(task).or_default().insert(run.run);
                 }
                 if how == EndKind::Done {
-                    self.ever_done.insert(task);
+                    self.all_done.insert(task);
                     self.done.entry(task).or_default().insert(run.run);
                     if run.gang.is_some() {
                         self.gangs_done.insert(task.step);
@@ -124,21 +124,23 @@
                     }
                 }
             }
-            self.wake_holds(at);
+            self.wake_renewals(at);
         }
     }
 
     /// Answers the renewals that wait at an executor when a run ends.
-    pub(super) fn wake_holds(&mut self, at: usize) {
+    pub(super) fn wake_renewals(&mut self, at: usize) {
         let waiting: Vec<(Millis, u64)> = self
             .queue
             .iter()
-            .filter(|(_, p)| matches!(p, Pending::HoldDue(i, ..) if *i == at))
+            .filter(
+                |(_, p)| matches!(p, Pending::RenewalDue(i, ..) if *i == at),
+            )
             .map(|(key, _)| *key)
             .collect();
         for key in waiting {
             if let Some(pending) = self.queue.remove(&key) {
-                self.later(0, pending);
+                self.schedule(0, pending);
             }
         }
     }
