--- a/tests/jobs/absence.rs
+++ b/tests/jobs/absence.rs
@@ -1,5 +1,5 @@
-//! What is taken for over, or for done, by something else than its own word:
-//! tasks that run on two executors, that are lost, or that wait.
+//! Executors and maintenance that are considered over, or done, on evidence
+//! other than their own: tasks then run on two executors, are lost, or wait.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use super::world::{job, policy, resources, step, World, LEASE, WORK};
 
-/// After this time the leader has read on which machines executors live.
+/// After this time the leader has read which executor each machine hosts.
 const SHOWN: u64 = 4_500;
 
 fn task() -> TaskKey {
@@ -31,7 +31,7 @@
     })
 }
 
-/// An account that was given while the first run was at work.
+/// A report that was made while the first run was running.
 fn earlier_account(world: &World, sent_at: u64) -> Event {
     let row = RunReport {
         task: task(),
@@ -49,8 +49,8 @@
     Event::RenewalAnswered { executor: 0, sent_at, answer: Ok(answer) }
 }
 
-/// A task whose first run has failed has just been ordered again, at the same
-/// executor, when an account comes that was given while the first one ran.
+/// A task whose first run has failed was just ordered again on the same
+/// executor when a report arrives that was made during the first run.
 fn ordered_again_before_an_earlier_account() -> World {
     let mut world = World::new(1);
     world.run(50);
@@ -68,11 +68,10 @@
     world
 }
 
-/// A task waited for ever. Its first run had failed, and the order of the
-/// second, at the same executor, was lost on the way. Before that was known,
-/// an account came late that was given while the first run was at work. The
-/// run that had ended was taken up in place of the one that was ordered, so
-/// that nobody asked what had become of that one.
+/// Guards against a task that waits forever. Its first run has failed, and the
+/// order of its second run on the same executor is lost. Before that is known,
+/// a report from the time of the first run arrives late. If the ended run
+/// replaces the ordered one, nobody asks what has become of the ordered one.
 #[test]
 fn an_earlier_account_does_not_hide_an_order_that_is_lost() {
     let mut world = ordered_again_before_an_earlier_account();
@@ -84,8 +83,8 @@
     assert_eq!(world.state(1), Some(JobState::Succeeded));
 }
 
-/// The same where the executor crashes before the order arrives: what was on
-/// it was given up, but for this run.
+/// Like the test above, but the executor crashes before the order arrives.
+/// Everything on it is given up, and the ordered run must be, too.
 #[test]
 fn an_earlier_account_does_not_hide_a_run_from_the_end_of_its_executor() {
     let mut world = ordered_again_before_an_earlier_account();
@@ -95,11 +94,11 @@
     assert_eq!(world.state(1), Some(JobState::Succeeded));
 }
 
-/// A task ran on two executors while one node led all the time. The executor
-/// that ran it was cut off, and the list of machines lacked its machine, as
-/// it may when a page of it was short or machines came and went between two
-/// pages. An earlier list had shown it; so the executor was taken for gone
-/// before its lease had run out.
+/// Guards against a task that runs on two executors under a single leader. Its
+/// executor is isolated and missing from the list of machines, which happens
+/// when a page of the list is short or when machines come and go between two
+/// pages. An earlier list has shown the machine. The executor must not be
+/// considered gone before its lease has expired.
 #[test]
 fn a_machine_that_a_list_lacks_ends_no_life() {
     let mut world = World::new(1);
@@ -117,8 +116,9 @@
     world.check();
 }
 
-/// The same at a takeover. A successor had read no entries yet when the list
-/// of machines came, so that it knew of none that the store lists.
+/// Like the test above, but at a takeover. The successor has read no entries
+/// yet when the list of machines arrives, so it knows none of those that are
+/// in the store.
 #[test]
 fn a_machine_that_a_list_lacks_ends_no_life_before_entries_are_read() {
     let mut world = World::new(1);
@@ -138,11 +138,12 @@
     world.check();
 }
 
-/// Tasks waited for a dozen seconds after a change of leaders. A machine had
-/// gone off for good, and the leader before had found its executor to be
-/// over. Its entry still stood in the store. The successor enrolled it anew,
-/// did not know its machine, and took the takeover for settled only when a
-/// lease that nobody could have given had run out.
+/// Guards against tasks that wait for a dozen seconds after a change of
+/// leaders. A machine is down for good, and the former leader has found its
+/// executor to be over, but the entry of the executor is still in the store.
+/// If the successor enrolls the executor anew without knowing its machine, the
+/// takeover completes only when a lease that nobody can have granted has
+/// expired.
 #[test]
 fn an_entry_of_an_executor_that_is_over_holds_no_takeover_up() {
     let mut world = World::new(2);
@@ -160,15 +161,16 @@
     );
     world.replace_leader();
     world.list_entry(0);
-    // Two tasks are done, and one is at work. Two wait for room.
+    // Two tasks are done, and one is running. Two wait for capacity.
     world.run(9_000);
     world.check();
     assert_eq!(world.state(1), Some(JobState::Succeeded));
 }
 
-/// Nothing was ever run on an executor again. A wave had named its machine,
-/// and when it was called for, the platform said that it is not of the wave.
-/// The executor had been marked as about to go before the call, and stayed so.
+/// Guards against an executor that is never used again. A wave names its
+/// machine, and the platform answers the maintenance call by saying that the
+/// machine is not in the wave. The executor is marked as departing before the
+/// call and must not stay so.
 #[test]
 fn an_executor_whose_machine_is_not_of_the_wave_is_used_again() {
     let mut world = World::new(1);
@@ -182,8 +184,8 @@
     assert_eq!(world.state(1), Some(JobState::Succeeded));
 }
 
-/// The same where the operators take the machine out of the wave while a call
-/// for it is unanswered that was never carried out.
+/// Like the test above, but operators remove the machine from the wave while a
+/// call for it is unanswered, and the call is never carried out.
 #[test]
 fn an_executor_whose_machine_left_the_wave_is_used_again() {
     let mut world = World::new(1);
@@ -205,10 +207,10 @@
     assert_eq!(world.state(1), Some(JobState::Succeeded));
 }
 
-/// A wave never came to its end. The call for a machine was lost, so that its
-/// executor was marked as about to go though it went on. The task there then
-/// counted as away already, and once more as lost by the next call, which the
-/// step does not bear.
+/// Guards against a wave that never completes. A maintenance call is lost, so
+/// its executor is marked as departing although it goes on. If its task counts
+/// as away already, and once more as lost by the next call, the step can't
+/// afford the next call.
 #[test]
 fn a_call_for_upkeep_that_is_lost_is_made_again() {
     let mut world = World::new(2);
@@ -229,10 +231,10 @@
     assert!(world.waves[&7], "the wave has succeeded");
 }
 
-/// A wave took a machine down while the only other task of a step had been
-/// away for over a second, which was more than the step bears. The executor
-/// of that one had fallen silent; as long as it was not known to be over, its
-/// task counted as at work.
+/// Guards against a wave that takes a machine down while the only other task
+/// of a step has been away for over a second, which exceeds what the step
+/// allows. The executor of that task is silent but not known to be over; its
+/// task must not count as running.
 #[test]
 fn a_task_on_a_silent_executor_is_away() {
     let mut world = World::new(2);
@@ -255,9 +257,10 @@
     assert!(world.maintained.is_empty(), "{:?}", world.maintained);
 }
 
-/// What an upkeep has ended is started elsewhere long before the lease of its
-/// executor has run out. Not at once: that the platform has said that it is
-/// carried out may be about an earlier call, and the executor may live.
+/// Runs that maintenance has ended start elsewhere long before the lease of
+/// their executor expires. They don't start at once: the platform's statement
+/// that maintenance was done may refer to an earlier call, and the executor
+/// may be alive.
 #[test]
 fn what_an_upkeep_ends_is_started_elsewhere_soon() {
     let mut world = World::new(2);
@@ -280,10 +283,10 @@
     assert!(after < LEASE / 2, "{after} ms");
 }
 
-/// A wave showed as succeeded though one of its machines had not had its
-/// upkeep. The machine was in two waves; while it was down for the one, the
-/// list of machines showed it so, and that was taken for the upkeep of the
-/// other.
+/// Guards against a wave that is reported as succeeded although one of its
+/// machines has not had its maintenance. The machine is in two waves. While it
+/// is down for one of them, the list of machines shows it as down; that must
+/// not count as maintenance for the other wave.
 #[test]
 fn the_upkeep_of_one_wave_is_not_that_of_another() {
     let mut world = World::new(1);
@@ -295,9 +298,9 @@
     assert_eq!(world.maintained, ["x0", "x0"]);
 }
 
-/// Tasks ran once more after they were done. More of them had ended on one
-/// executor at a time than an account lists. The rest were neither among what
-/// ran nor among what had ended, and were taken for lost.
+/// Guards against tasks that run again after they were done. More tasks end on
+/// one executor at a time than one report lists. The rest are listed neither
+/// as running nor as ended, and must not be considered lost.
 #[test]
 fn ends_that_an_account_has_no_room_for_are_waited_for() {
     let mut world = World::new(1);
@@ -309,8 +312,8 @@
     assert_eq!(again, 0, "tasks were started again");
 }
 
-/// No node could lead after an upgrade: the list of executors that the
-/// version before had left in the store could not be read.
+/// Guards against an upgrade after which no node can lead: the executor list
+/// that the previous version has left in the store must be readable.
 #[test]
 fn a_list_of_executors_without_machines_is_readable() {
     let info = World::new(1).executors[0].info.clone();
@@ -333,17 +336,18 @@
     assert_eq!(restored.err(), None);
 }
 
-/// An executor was asked hundreds of times in a second. While an account that
-/// waits for an end was under way, it was asked for one at once, since another
-/// life was listed with its address. It was unhealthy and said so at once, and
-/// each such answer had it asked again without a pause.
+/// Guards against hundreds of renewals a second to one executor. While a
+/// renewal that waits for an end is open, another incarnation is listed at the
+/// executor's address, so the executor is asked again at once. It is unhealthy
+/// and answers at once; an answer like that must not cause another renewal
+/// without delay.
 #[test]
 fn an_executor_that_gives_no_account_is_not_asked_again_at_once() {
     let mut world = World::new(1);
     world.run(50);
     world.submit(job(1, "batch", vec![long(4 * LEASE)]));
     world.run(500);
-    // An account that waits for an end is under way.
+    // A renewal that waits for an end is open.
     let at = world.executors[0].info.address.clone();
     let before = world.renewals;
     world.run(100);
--- a/tests/jobs/accounts.rs
+++ b/tests/jobs/accounts.rs
@@ -1,5 +1,5 @@
-//! Client accounts: who may call, whose a job is, and how much of an account
-//! may run.
+//! Client accounts: who may call, which account owns a job, and how much of an
+//! account may run.
 
 use puffinknot_core::jobs::{
     Caller, Event, JobId, JobState, KeyDigest, Mechanism, Mechanisms, Outcome,
@@ -89,7 +89,7 @@
     });
     let id = world.request_as(FREE, state_of(1));
     assert_eq!(world.answer_to(id), Outcome::NoSuchKey);
-    // What was accepted goes on.
+    // Accepted jobs go on.
     world.run(3 * WORK);
     world.set_policy(|policy| {
         let fresh = account(FREE, 0);
@@ -147,8 +147,9 @@
     assert_eq!(world.answer_to(id), Outcome::OverLimit);
 }
 
-/// Small tasks of its own account took whatever got free of its limit, so
-/// that a gang waited until they had all been done.
+/// Guards against a gang that waits until all small tasks of its own account
+/// are done, because they take everything that becomes free below the limit of
+/// the account.
 #[test]
 fn a_gang_gets_its_part_of_the_limit_in_its_turn() {
     let mut world = World::new(4);
@@ -191,8 +192,8 @@
     world.check();
 }
 
-/// A world in which the limited account has started all that it may have
-/// running, and the executors that have it are cut off.
+/// A cell in which the limited account runs as much as it may, on executors
+/// that are isolated.
 fn limited_and_cut() -> (World, Vec<usize>) {
     let mut world = World::new(4);
     world.set_limit(4_000);
@@ -209,7 +210,7 @@
 }
 
 /// What a predecessor has started on an executor that does not answer counts
-/// against the limit though the successor does not see it.
+/// against the limit, although the successor does not see it.
 #[test]
 fn what_a_takeover_has_not_found_counts_against_the_limit() {
     let (mut world, _) = limited_and_cut();
@@ -230,8 +231,8 @@
     world.check();
 }
 
-/// Tasks of a cancelled job run on where the order to stop has not arrived.
-/// No job tells a successor of them.
+/// Tasks of a cancelled job keep running where the order to stop has not
+/// arrived. No stored job tells a successor of them.
 #[test]
 fn what_runs_on_of_a_cancelled_job_counts_after_a_takeover() {
     let (mut world, there) = limited_and_cut();
@@ -253,8 +254,9 @@
     world.check();
 }
 
-/// A successor that cancelled a job forgot its tasks before it had heard of
-/// them: what a predecessor had started ran on beside what took its place.
+/// Guards against a successor that cancels a job and forgets its tasks before
+/// it has heard of them. What a predecessor has started then runs beside the
+/// tasks that replace it.
 #[test]
 fn what_a_successor_cancels_unseen_counts_until_it_is_found() {
     let (mut world, there) = limited_and_cut();
@@ -298,8 +300,9 @@
     assert!(usage.all(|usage| usage.used == resources(0, 0)));
 }
 
-/// An account that sent far more than its due pushed others over their
-/// objectives: all were placed by the end of these.
+/// Guards against an account that sends far more than its share and makes
+/// others miss their objectives, because all jobs are ordered by their
+/// objectives alone.
 #[test]
 fn what_is_beyond_its_account_s_due_waits_for_others() {
     for (without, first) in [
@@ -315,7 +318,7 @@
     ] {
         let mut world = World::without(2, without);
         world.run(50);
-        // Its due is a job a second, and half of a full cell.
+        // Its share is a job a second, and half of a full cell.
         for id in 1..=40 {
             let one = step(1, resources(4_000, 100));
             world.submit_as(LIMITED, job(id, "owned", vec![one]));
--- a/tests/jobs/admission.rs
+++ b/tests/jobs/admission.rs
@@ -1,5 +1,5 @@
-//! More is handed in than can be done: what is refused, when refused clients
-//! come back, and what those get who were accepted.
+//! Overload: which jobs are refused, when refused clients retry, and how
+//! accepted jobs are served.
 
 use std::collections::BTreeMap;
 
@@ -11,20 +11,19 @@
     INHERITED_ORDER_LIFETIME, WORK,
 };
 
-/// The objective of each job here: twice its work and a second.
+/// The objective of each job here: twice its work plus a second.
 const OBJECTIVE: Millis = 2 * WORK + 1_000;
-/// Later ends are of no use.
+/// An end later than this is not useful.
 const OF_USE: Millis = 3 * OBJECTIVE;
-/// The tasks of a job, of a core each.
+/// The number of tasks of a job. Each needs one core.
 const TASKS: u32 = 4;
-/// The executors have four cores each, so that the cell does this many jobs
-/// a second.
+/// Each executor has four cores, so the cell does this many jobs a second.
 const EXECUTORS: usize = 8;
 const JOBS_PER_S: u64 = 1_000 / WORK * (EXECUTORS as u64) * 4 / TASKS as u64;
-/// How often a client comes back at the most.
+/// The most retries of a client.
 const RETRIES: u32 = 4;
 
-/// A job that clients hand in.
+/// A job that clients submit.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: Millis,
@@ -33,7 +32,7 @@
     account: Option<&'static str>,
 }
 
-/// What became of a job.
+/// The outcome of a job.
 #[derive(Clone, Copy, Debug, Default)]
 struct Fate {
     first: Millis,
@@ -56,7 +55,7 @@
     }
 }
 
-/// What became of all jobs of a play.
+/// The outcomes of all jobs of a simulation.
 struct Played(BTreeMap<u64, (Arrival, Fate)>);
 
 impl Played {
@@ -72,7 +71,8 @@
         self.count(|_, fate| fate.of_use())
     }
 
-    /// Accepted while they were of use, and not done while they were.
+    /// Jobs that were accepted while they were useful, and not done while they
+    /// were.
     fn wrongly_accepted(&self) -> usize {
         self.count(|_, fate| {
             let since = fate.accepted.map(|at| at - fate.first);
@@ -85,8 +85,8 @@
     }
 }
 
-/// Plays arrivals in turn with clients that come back when they are told to,
-/// in whole seconds, until everything accepted is done.
+/// Simulates arrivals, with clients that retry when they are told to, in whole
+/// seconds, until everything accepted is done.
 struct Play {
     world: World,
     due: BTreeMap<(Millis, u64), Arrival>,
@@ -164,7 +164,7 @@
     Mechanisms::all_except(off.iter().copied())
 }
 
-/// A world with this many accounts of one weight, `a0` to `a3`.
+/// A cell with four accounts of equal weight, `a0` to `a3`.
 fn world(off: &[Mechanism]) -> World {
     let mut world = World::without(EXECUTORS, without(off));
     world.set_policy(|policy| {
@@ -183,7 +183,7 @@
 
 const ACCOUNTS: [&str; 4] = ["a0", "a1", "a2", "a3"];
 
-/// So many jobs a second, evenly from `from` on for `lasting`.
+/// Arrivals at an even rate per second, starting at `from`, for `lasting`.
 fn stream(
     first_id: u64,
     per_s: u64,
@@ -206,16 +206,16 @@
 fn nothing_is_refused_while_there_is_room() {
     let mut arrivals =
         stream(1, JOBS_PER_S * 8 / 10, 2_000, 8_000, "batch", None);
-    // A wave that is worked off within the objectives.
+    // A burst that is worked off within the objectives.
     arrivals.extend(stream(10_000, 40, 4_000, 500, "batch", None));
     let played = Play::new(world(&[]), &arrivals).finish(20_000);
     assert_eq!(played.refused(), 0);
     assert_eq!(played.of_use(), arrivals.len());
 }
 
-/// Three times what can be done, for several objectives on end, with and
-/// without refusals. No more than a few in a hundred fewer are served, and of
-/// those that were accepted most are.
+/// Three times the cell's throughput, for a time of several objectives, with
+/// and without refusals. With refusals, at most a few percent fewer jobs are
+/// served, and most of the accepted ones are.
 #[test]
 fn what_cannot_be_served_is_refused_and_what_can_is_not() {
     let arrivals = stream(1, 3 * JOBS_PER_S, 2_000, 16_000, "batch", None);
@@ -242,8 +242,8 @@
     assert!(with.wrongly_accepted() * 4 <= all.wrongly_accepted());
 }
 
-/// One account sends six times its part. Its own are refused, nothing of the
-/// others is, and these are served as if it did not.
+/// One account sends six times its share. Its own jobs are refused, none of
+/// the others' are, and the others are served as if it did not.
 #[test]
 fn an_account_over_its_share_is_refused_first() {
     let quiet = JOBS_PER_S / 8;
@@ -272,7 +272,8 @@
     assert_eq!(late, 0);
 }
 
-/// Work that is due at its times, or lasts, is taken whatever waits.
+/// Jobs that run at fixed times, or that last, are accepted whatever the
+/// backlog.
 #[test]
 fn timed_and_lasting_jobs_are_never_refused() {
     let flood = stream(1, 6 * JOBS_PER_S, 2_000, 6_000, "batch", None);
@@ -294,7 +295,7 @@
     }
 }
 
-/// Refused clients come back spread over the time in which there is room, in
+/// Refused clients retry spread over the time in which there is capacity, in
 /// the order in which they came.
 #[test]
 fn refused_clients_come_back_in_turn() {
@@ -308,8 +309,8 @@
         .map(|((at, id), _)| (*id, *at))
         .collect();
     assert!(returns.len() > 100, "{}", returns.len());
-    // Whole seconds and the wait from each own arrival blur the order by so
-    // much.
+    // Retry times in whole seconds, and counted from each arrival, change the
+    // order by up to this much.
     let blur = 1_000;
     for (id, at) in &returns {
         let earlier = returns.iter().filter(|(other, _)| other < id);
@@ -324,16 +325,17 @@
     assert!(most <= 2 * JOBS_PER_S + 2, "{per_second:?}");
 }
 
-/// A client that was refused by a leader without a store is as old as its
-/// first attempt when it comes back: it goes before what is new.
+/// When a client that was refused during a store outage retries, its job is as
+/// old as its first attempt: it precedes newer jobs.
 #[test]
 fn who_returned_goes_before_who_is_new() {
-    // With it, jobs would wait for the store, and none would be refused.
+    // With this mechanism, jobs would wait for the store, and none would be
+    // refused.
     let mut world = world(&[Mechanism::AfterOutage]);
     world.store_down = true;
     let old = job(1, "batch", vec![step(TASKS, resources(1_000, 100))]);
     world.submit(job(2, "batch", vec![step(1, resources(100, 100))]));
-    // The commit of that one is found stuck.
+    // The commit of this job is found to be stuck.
     world.run(1_000);
     let refused = world.submit(old.clone());
     assert!(matches!(world.answer_to(refused), Outcome::Refused(_)));
@@ -355,16 +357,16 @@
     assert!((200..220).all(|id| ended(id).is_none_or(|new| old <= new)));
 }
 
-/// The leader is replaced in the midst of an overload. The successor has
-/// accepted jobs to go by, refuses what they leave no room for, and
-/// everything accepted is done.
+/// The leader is replaced in the middle of an overload. The successor takes
+/// the accepted jobs into account, refuses those that they leave no capacity
+/// for, and everything accepted is done.
 #[test]
 fn a_successor_refuses_by_what_was_accepted() {
     let arrivals = stream(1, 3 * JOBS_PER_S, 2_000, 12_000, "batch", None);
     let mut play = Play::new(world(&[]), &arrivals);
     play.run_until(9_000);
     play.world.replace_leader();
-    // Nobody answers what its predecessor was asked.
+    // Nobody answers the requests that the predecessor received.
     let lost: Vec<u64> = play.open.values().copied().collect();
     play.open.clear();
     for id in lost {
@@ -381,7 +383,7 @@
     assert_eq!(undone, 0);
 }
 
-/// A store that is away is told as such, not as want of room, and the jobs
+/// A store outage is reported as such, not as a lack of capacity, and the jobs
 /// that were refused never run.
 #[test]
 fn a_store_that_is_away_refuses_without_the_backlog() {
--- a/tests/jobs/backlog.rs
+++ b/tests/jobs/backlog.rs
@@ -1,10 +1,10 @@
-//! The model of what waits for room.
+//! The model of the backlog that waits for capacity.
 
 use puffinknot_core::jobs::backlog::{Backlog, ServiceCapacity, Work};
 
 use super::world::resources;
 
-/// A room of ten cores, of which some are free and others from later on.
+/// A capacity of ten cores: some are free, and others become free later.
 fn cores(free: u32, later: &[(u64, u32)]) -> ServiceCapacity {
     let mut all = ServiceCapacity::default();
     all.add(&resources(10_000, 1_000), &resources(free * 1_000, 1_000));
@@ -24,13 +24,13 @@
     let full = cores(10, &[]);
     assert_eq!(full.time_for(&work(0, 0), 1.0), Some(0));
     assert_eq!(full.time_for(&work(20, 500), 1.0), Some(1_000));
-    // A fifth of the room is five times as slow.
+    // A fifth of the capacity takes five times as long.
     assert_eq!(full.time_for(&work(20, 500), 0.2), Some(5_000));
-    // Half of it comes free after a second: 5 core-seconds by then, the other
-    // 5 in half a second.
+    // Half of it becomes free after a second: 5 core-seconds are done by then,
+    // and the other 5 within half a second.
     let half = cores(5, &[(1_000, 5)]);
     assert_eq!(half.time_for(&work(20, 500), 1.0), Some(1_500));
-    // What runs for longer than is foreseen delays no more than so long.
+    // Capacity that becomes free later than in 10 s counts as free after 10 s.
     let long = cores(0, &[(3_600_000, 10)]);
     assert_eq!(long.time_for(&work(10, 100), 1.0), Some(10_100));
 }
--- a/tests/jobs/behind.rs
+++ b/tests/jobs/behind.rs
@@ -1,5 +1,5 @@
-//! A leader that is behind on its news: nobody else counts as late for that,
-//! nor as silent.
+//! A leader that lags behind its events. It must not consider others late or
+//! silent for that.
 
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{Event, ExecutorReport, Job, JobState};
@@ -17,7 +17,8 @@
     world.scheduler.counters().get(name).copied().unwrap_or(0)
 }
 
-/// Nobody was found slow, and a run is reckoned as its guess says.
+/// Checks that no executor was found slow, and that the run time estimate
+/// equals the client's.
 fn check_reckoned_as_guessed(world: &mut World, id: u64) {
     for name in ["executors_found_slow", "executors_found_quick"] {
         assert_eq!(counted(world, name), 0, "{name}");
@@ -42,7 +43,8 @@
     assert_eq!(world.incarnations_over, []);
 }
 
-/// Ends that were heard of seconds late made executors seem slow.
+/// Guards against executors that seem slow because the leader hears of run
+/// ends seconds late.
 #[test]
 fn executors_are_not_slow_since_the_leader_is_behind() {
     let mut world = World::new(8);
@@ -62,8 +64,8 @@
     check_reckoned_as_guessed(&mut world, 100);
 }
 
-/// Ends that waited at their executors while the leader stood still made
-/// these seem slow.
+/// Guards against executors that seem slow because run ends wait there while
+/// the leader is stalled.
 #[test]
 fn executors_are_not_slow_since_the_leader_stood_still() {
     let mut world = World::new(8);
@@ -80,8 +82,8 @@
     check_reckoned_as_guessed(&mut world, 100);
 }
 
-/// A run that was listed in an account taken in late seemed to go on for as
-/// long as that.
+/// Guards against a run that seems to last too long because a report that
+/// lists it is processed late.
 #[test]
 fn no_run_is_overdue_since_the_leader_is_behind() {
     let mut world = World::new(4);
@@ -100,8 +102,8 @@
     check_reckoned_as_guessed(&mut world, 100);
 }
 
-/// A task is ordered where it is alone; then its executor is cut off until
-/// its lease has nearly lapsed. Returns when that was.
+/// Orders a task on the only executor, and isolates the executor until its
+/// lease has nearly expired. Returns the time at which that began.
 fn cut_off_until_nearly_lapsed(world: &mut World) -> Millis {
     world.run(500);
     world.submit(wide(1, 1));
@@ -115,7 +117,8 @@
     lapses
 }
 
-/// A task whose end waited in the leader's queue was started once more.
+/// Guards against a task that starts again while its end waits in the leader's
+/// queue.
 #[test]
 fn a_leader_that_stood_still_hears_what_waits_before_a_lease_counts_as_over() {
     let mut world = World::new(2);
@@ -127,7 +130,7 @@
     check_started_once(&mut world);
 }
 
-/// The same where all news wait.
+/// Like the test above, but all events wait.
 #[test]
 fn a_leader_that_is_behind_hears_what_waits_before_a_lease_counts_as_over() {
     let mut world = World::new(16);
@@ -143,7 +146,7 @@
     check_started_once(&mut world);
 }
 
-/// A lease that has lapsed is over all the same, a little later.
+/// A lease that has expired is over nevertheless, a little later.
 #[test]
 fn a_silent_executor_is_given_up_by_a_leader_that_is_behind() {
     let mut world = World::new(16);
@@ -158,8 +161,8 @@
     world.check();
 }
 
-/// A successor of a leader that has started tasks on all executors but one:
-/// what these answer to it is taken in so much later.
+/// The successor of a leader that has started tasks on all executors but one.
+/// It processes reports of these executors with a delay.
 fn successor_told_late(late: Millis) -> World {
     let mut world = World::new(4);
     world.run(100);
@@ -172,8 +175,8 @@
     world
 }
 
-/// What a predecessor had ordered counted as lapsed before an executor that
-/// lived was heard, and tasks that had ended there were started again.
+/// Guards against orders of a predecessor that count as expired before a live
+/// executor was heard. Tasks that have ended there would start again.
 #[test]
 fn a_successor_that_is_behind_hears_executors_before_all_counts_as_lapsed() {
     let mut world = successor_told_late(INHERITED_ORDER_LIFETIME + 1_000);
@@ -186,7 +189,7 @@
     check_started_once(&mut world);
 }
 
-/// An executor that answers nobody holds a successor up no longer than it did.
+/// An executor that does not answer delays a successor no longer than before.
 #[test]
 fn a_successor_starts_what_may_run_on_a_silent_executor_after_its_lease() {
     let mut world = World::new(4);
@@ -201,7 +204,7 @@
     world.check();
 }
 
-/// An account from before a start shows nothing of what the start did.
+/// A report from before a start says nothing about the start.
 #[test]
 fn no_run_is_harmless_by_an_account_from_before_its_start() {
     let mut world = World::new(1);
--- a/tests/jobs/cordons.rs
+++ b/tests/jobs/cordons.rs
@@ -1,4 +1,4 @@
-//! Data centres that take no new work.
+//! Data centres that accept no new work.
 
 use puffinknot_core::jobs::{
     Cordon, CordonSource, Cordons, Event, JobState, MaintenanceWave, Outcome,
@@ -8,7 +8,7 @@
 
 const HALF: u32 = 2_000;
 
-/// Where tasks of a job run, or an empty list.
+/// Whether all of these executors are in the first data centre.
 fn even(places: &[usize]) -> bool {
     places.iter().all(|at| at % 2 == 0)
 }
@@ -27,10 +27,10 @@
         .clone()
         .with(Cordon { dc: "d".into(), by: CordonSource::Command }, 9);
     assert!(one.covers("d") && !one.covers("e"));
-    // A later look at the same set changes nothing.
+    // Reading the same set again later changes nothing.
     let same = one.iter().map(|(cordon, at)| (cordon.clone(), at)).collect();
     assert_eq!(one.read(same, 30), one);
-    // A page that is newer than the first of its range.
+    // A page that is newer than the first page of its range.
     let newer =
         cordons("e", 50).iter().map(|(c, at)| (c.clone(), at)).collect();
     assert_eq!(one.read(newer, 40).since(), 50);
@@ -39,7 +39,7 @@
     let less = both.less(&cordon, 20);
     assert!(less.covers("d"), "the command still wants it");
     assert_eq!(less.since(), 20);
-    // What is not there can't be taken back.
+    // An absent cordon can't be removed.
     assert_eq!(less.clone().less(&cordon, 25), less);
 }
 
@@ -81,8 +81,8 @@
     world.check();
 }
 
-/// It is accepted work, and nobody knows for how long the data centre is
-/// away: it waits, and others use the room meanwhile.
+/// The job is accepted, and nobody knows for how long the data centre will be
+/// away: the job waits, and others use the capacity in the meantime.
 #[test]
 fn a_gang_that_no_longer_fits_waits_for_the_data_centre() {
     let mut world = World::in_two_dcs(4);
@@ -159,8 +159,8 @@
     world.check();
 }
 
-/// An order that was lost is withdrawn where it may still come, and its task
-/// goes elsewhere. One whose answer was lost is waited for.
+/// An order that was lost is withdrawn where it may still arrive, and its task
+/// goes elsewhere. An order whose answer was lost is waited for.
 #[test]
 fn an_order_under_way_is_settled_with_its_executor() {
     let mut world = World::in_two_dcs(2);
--- a/tests/jobs/crashing.rs
+++ b/tests/jobs/crashing.rs
@@ -1,5 +1,5 @@
-//! Tasks that crash the executors that start them, and tasks that were only
-//! beside them.
+//! Tasks that crash the executors that start them, and tasks that ran beside
+//! them.
 
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{JobState, TaskKey};
@@ -8,57 +8,53 @@
     job, resources, step, Crashes, World, RESTART_DELAY, WORK,
 };
 
-/// A crash that is seen at once: connections are reset.
+/// A crash that is visible at once: connections are reset.
 const SEEN: Crashes = Crashes { after: 10, silent: false };
-/// The number of the first job that crashes executors.
+/// The id of the first job that crashes executors.
 const CRASHING: u64 = 1_000;
-/// The time between two jobs on a cell whose executors crash by themselves.
+/// The time between two jobs in a cell whose executors crash by themselves.
 const ROUND: Millis = 100;
-/// The points within it at which that begins.
+/// The number of points within a round at which the crashes may begin.
 const OFFSETS: Millis = 25;
-/// Time enough for a task to crash executors as often as it may.
+/// Enough time for a task to crash executors as often as it may.
 const LONG_ENOUGH: Millis = 60_000;
 
 fn task(job: u64) -> TaskKey {
     format!("{job:016x}.0.0.0").parse().expect("a task")
 }
 
-/// Hands a job in whose first task crashes executors.
+/// Submits a job whose first task crashes executors.
 fn submit_crashing(world: &mut World, id: u64, queue: &str, how: Crashes) {
     world.crashing.insert(task(id), how);
     world.submit(job(id, queue, vec![step(2, resources(300, 100))]));
 }
 
-/// Hands a job in that harms nobody.
+/// Submits a job that crashes nothing.
 fn submit_harmless(world: &mut World, id: u64) {
     let mut work = step(2, resources(600, 100));
     work.estimate = 2 * WORK;
     world.submit(job(id, "batch", vec![work]));
 }
 
-/// How many executors a task has crashed.
+/// The number of executors that a task has crashed.
 fn crashed(world: &World, job: u64) -> usize {
     world.crashed.get(&task(job)).map_or(0, Vec::len)
 }
 
-/// Half of a service's executors had stopped to answer within seconds, and
-/// went on to do so all day. Two tasks were started three times more after
-/// three executors had crashed under each.
-///
-/// Order of events: a client hands in jobs of which one task each crashes its
-/// executor some milliseconds after its start. All that runs there is lost.
-/// A second later the leader learns that from the list of machines, and
-/// starts what was lost again, elsewhere. The same tasks crash the next
-/// executors.
+/// Guards against a few tasks that crash half of a service's executors within
+/// seconds, and go on to do so.
 ///
-/// Cause: nothing tied the loss of an executor to what had just been started
-/// there. What is lost with an executor went back among the tasks that wait,
-/// without a trace, and only ends that an executor reports count as attempts.
+/// Each of these tasks crashes its executor some milliseconds after its start,
+/// and everything that runs there is lost. A second later the leader learns
+/// that from the list of machines and starts the lost tasks elsewhere. Unless
+/// the loss of an executor is tied to the tasks that were just started there,
+/// the same tasks crash the next executors: only ends that an executor reports
+/// count as attempts.
 ///
-/// Evidence: in logs of such a day, connections to executors broke 4 to 16 ms
-/// after the start of one of the same twelve tasks, and what else ran there
-/// had run for 185 ms at the least; 479 lives were over, and no counter but
-/// that had moved. This test, and the others here, bring it about.
+/// In production, connections broke 4 to 16 ms after the start of one of
+/// twelve such tasks; all other tasks there had run for at least 185 ms. 479
+/// incarnations were over, and two tasks were started three more times after
+/// three executors had crashed under each.
 #[test]
 fn a_task_that_crashes_executors_is_given_up() {
     let mut world = World::new(12);
@@ -74,9 +70,9 @@
     world.check();
 }
 
-/// The greater harm was done to others: what ran on the executors was lost
-/// with them, again and again. Twelve such jobs among others cost a cell of
-/// 24 executors a few of them, and no other job.
+/// Guards against harm to others: everything else on the crashed executors is
+/// lost with them, again and again. Twelve such jobs among others may cost a
+/// cell of 24 executors a few of them, and no other job.
 #[test]
 fn few_executors_are_lost_and_no_other_job() {
     let mut world = World::new(24);
@@ -102,15 +98,15 @@
     }
 }
 
-/// The executor falls without a word: neither its connections nor its host
-/// say so. When it fell is known to a second or so only.
+/// The executor dies silently: neither its connections nor its host report it.
+/// The time of its death is known to a second or so only.
 #[test]
 fn a_task_that_silences_executors_is_given_up() {
     let silent = Crashes { after: 10, silent: true };
     given_up_in_time(silent, |_| {});
 }
 
-/// The executor falls some time after the start, when it has said already
+/// The executor dies some time after the start, when it has already reported
 /// that the task runs.
 #[test]
 fn a_task_that_crashes_executors_later_is_given_up() {
@@ -118,15 +114,15 @@
     given_up_in_time(later, |_| {});
 }
 
-/// Another leader takes over after each crash: what is known of the task has
-/// to be in the store by then.
+/// Another leader takes over after each crash: by then, the evidence against
+/// the task has to be in the store.
 #[test]
 fn what_is_known_of_a_task_outlives_its_leader() {
     given_up_in_time(SEEN, |world| world.replace_leader());
 }
 
-/// Plays one such task in a cell that has other work, with `between` after
-/// each crash once that was noticed.
+/// Simulates one such task in a cell that has other work. Calls `between`
+/// after each crash, once the leader has noticed it.
 fn given_up_in_time(how: Crashes, between: impl Fn(&mut World)) {
     let mut world = World::new(8);
     world.run(100);
@@ -150,8 +146,8 @@
     }
 }
 
-/// A member of a gang crashes its executor. Which one it is can't be told;
-/// the gang is given up as one.
+/// A member of a gang crashes its executor. Nothing shows which member it is,
+/// so the gang is given up as a whole.
 #[test]
 fn a_gang_that_crashes_executors_is_given_up() {
     let mut world = World::new(8);
@@ -166,7 +162,7 @@
     assert_eq!(world.state(CRASHING), Some(JobState::Failed));
 }
 
-/// The same in silence.
+/// Like the test above, but the crashes are silent.
 #[test]
 fn a_gang_that_silences_executors_is_given_up() {
     let mut world = World::new(8);
@@ -194,8 +190,8 @@
 }
 
 /// Executors crash by themselves, one after the other, so that each task is
-/// lost a few times. None of them is given up for that, wherever the leader is
-/// in its rounds when it begins.
+/// lost a few times. No task is given up for that, at whatever point of the
+/// leader's rounds the crashes begin.
 #[test]
 fn tasks_on_executors_that_crash_by_themselves_are_not_given_up() {
     for offset in 0..OFFSETS {
@@ -210,7 +206,7 @@
         submit_harmless(&mut world, round + 1);
         world.run(ROUND);
         if round % 4 == 0 {
-            // Whatever lives at the next address in turn.
+            // Whichever executor has the next address.
             let address = format!("x{}", (round / 4) % 12);
             let life = world
                 .executors
@@ -224,22 +220,22 @@
     all_succeed(world, 160);
 }
 
-/// How executors crash by themselves, one after the other.
+/// Executors that crash by themselves, one after the other.
 #[derive(Clone, Copy, Debug)]
 struct Storm {
     executors: usize,
     /// The time between two jobs.
     round: Millis,
-    /// One executor crashes with each so many jobs.
+    /// One executor crashes per this many jobs.
     each: u64,
-    /// One crash of so many is silent.
+    /// One crash in this many is silent.
     silent: u64,
-    /// When it begins within a round, in 25ths of it.
+    /// When the crashes begin within a round, in 25ths of the round.
     offset: u64,
 }
 
 impl Storm {
-    /// Plays so many jobs, and returns which of them were given up.
+    /// Simulates this many jobs, and returns those that were given up.
     fn play(self, jobs: u64) -> Vec<u64> {
         let mut world = World::new(self.executors);
         world.run(self.round + self.offset * self.round / OFFSETS);
@@ -259,7 +255,7 @@
     }
 }
 
-/// Whatever lives at the next address in turn crashes.
+/// Crashes whichever executor has this address.
 fn crash_next(world: &mut World, at: usize, silent: bool) {
     let address = format!("x{at}");
     let mut lives = world.executors.iter();
@@ -269,8 +265,8 @@
     }
 }
 
-/// Guards against harmless tasks that are given up as executors begin to crash
-/// in a cell of which nothing is known yet.
+/// Guards against harmless tasks that are given up when executors begin to
+/// crash in a cell of which nothing is known yet.
 #[test]
 fn the_first_tasks_of_a_small_cell_are_not_given_up() {
     let mut given_up = Vec::new();
@@ -292,8 +288,8 @@
     assert!(given_up.is_empty(), "{}: {given_up:#?}", given_up.len());
 }
 
-/// Half of the cell loses power, again and again, each time just after the
-/// lost tasks were started anew.
+/// Half of the cell loses power again and again, each time just after the lost
+/// tasks have been started anew.
 #[test]
 fn tasks_that_lose_power_together_are_not_given_up() {
     let mut world = World::new(12);
--- a/tests/jobs/displacing.rs
+++ b/tests/jobs/displacing.rs
@@ -1,10 +1,10 @@
-//! Tasks that save their progress give way to gangs that would be late.
+//! Tasks with checkpoints are preempted for gangs that would be late.
 
 use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms, Step};
 
 use super::world::{job, resources, step, World, WORK};
 
-/// A task that fills an executor for long, and saves its progress.
+/// A long task that fills an executor and writes checkpoints.
 fn long(id: u64) -> Job {
     let mut one = step(1, resources(4_000, 100));
     one.estimate = 20 * WORK;
@@ -18,7 +18,7 @@
     gang
 }
 
-/// A world whose executors are all taken by long tasks; then a gang comes.
+/// A cell whose executors are all occupied by long tasks when a gang arrives.
 fn full(without: Mechanisms, edit: impl Fn(&mut Job)) -> World {
     let mut world = World::without(4, without);
     world.run(50);
@@ -76,7 +76,7 @@
     }
 }
 
-/// What gave way is not asked again, or it would never end.
+/// A preempted task is not preempted again, or it would never end.
 #[test]
 fn a_task_gives_way_once() {
     let mut world = full(Mechanisms::default(), |_| {});
--- a/tests/jobs/faults.rs
+++ b/tests/jobs/faults.rs
@@ -1,5 +1,5 @@
-//! Faults that were found on the users' bench, each by the smallest sequence
-//! that brings it about. Each failed before it was mended.
+//! Faults of the scheduler, each reproduced by the shortest sequence of events
+//! that leads to it.
 
 use puffinknot_core::jobs::model::StepKey;
 use puffinknot_core::jobs::{
@@ -9,9 +9,9 @@
 
 use super::world::{job, resources, step, World, LEASE, WORK};
 
-/// A successor hears of a step whose dependencies it does not yet know to
-/// be done, since another executor lists their ends. Dropped, such reports
-/// made tasks start twice.
+/// A successor hears of a step whose dependencies it does not know to be done
+/// yet, because another executor lists their ends. If it drops such reports,
+/// tasks start twice.
 #[test]
 fn steps_may_be_heard_of_before_their_turn() {
     let mut world = World::new(2);
@@ -33,8 +33,9 @@
     world.check();
 }
 
-/// Each unanswered hold put off the time at which all on a dead executor has
-/// lapsed, so that its tasks were never started elsewhere.
+/// Guards against tasks of a dead executor that never start elsewhere, because
+/// each unanswered renewal postpones the time at which its leases have
+/// expired.
 #[test]
 fn what_ran_on_a_dead_executor_starts_elsewhere() {
     let mut world = World::new(2);
@@ -51,7 +52,7 @@
     world.check();
 }
 
-/// Operators are told by what a life of an executor was taken for over.
+/// Operators are told why an incarnation of an executor is considered over.
 #[test]
 fn by_what_a_life_was_over_is_told() {
     let mut world = World::new(1);
@@ -66,8 +67,8 @@
     assert_eq!(counted, 1);
 }
 
-/// A job counted as begun when a task of it was ordered, though the order
-/// never arrived.
+/// Guards against a job that counts as started once one of its tasks is
+/// ordered, although the order never arrives.
 #[test]
 fn a_job_waits_until_an_executor_says_that_it_runs() {
     let mut world = World::new(1);
@@ -79,8 +80,8 @@
     assert_eq!(world.state(1), Some(JobState::Queued));
 }
 
-/// While the store is stuck, jobs queued behind the commit under way until
-/// their clients had gone.
+/// Guards against jobs that queue behind a stuck commit until their clients
+/// have gone.
 #[test]
 fn a_stuck_store_takes_no_more_jobs() {
     let mut world = World::new(1);
@@ -102,7 +103,7 @@
     world.check();
 }
 
-/// An order whose answer is lost runs on, and is not started again.
+/// An order whose answer is lost keeps running, and is not started again.
 #[test]
 fn a_start_without_answer_is_found_by_the_next_account() {
     let mut world = World::new(1);
@@ -115,8 +116,8 @@
     world.check();
 }
 
-/// An order that is carried out seconds later must not run beside the one
-/// that has taken its place.
+/// An order that is carried out seconds later must not run beside the one that
+/// has replaced it.
 #[test]
 fn an_order_carried_out_late_does_nothing() {
     let mut world = World::new(2);
@@ -132,7 +133,8 @@
     world.check();
 }
 
-/// A successor starts nothing that may still run where it can't look.
+/// A successor starts nothing that may still run on executors which it can't
+/// reach.
 #[test]
 fn tasks_on_executors_that_are_cut_off_are_waited_for() {
     let mut world = World::new(2);
@@ -148,7 +150,8 @@
     world.check();
 }
 
-/// The predecessor dies between the write and all that follows from it.
+/// The predecessor dies after the write and before everything that follows
+/// from it.
 #[test]
 fn what_was_acknowledged_survives_the_leader() {
     let mut world = World::new(2);
@@ -162,8 +165,8 @@
     world.check();
 }
 
-/// Failures are named by their runs: a successor that hears of one again
-/// counted it twice.
+/// Guards against a failure that counts twice because a successor hears of it
+/// again. Failures are identified by their runs.
 #[test]
 fn a_failure_that_is_reported_again_counts_once() {
     let mut world = World::new(1);
@@ -185,7 +188,7 @@
     world.check();
 }
 
-/// What may still run under a lease is not started elsewhere.
+/// A task that may still run under a lease is not started elsewhere.
 #[test]
 fn a_long_task_on_a_cut_executor_is_not_doubled() {
     let mut world = World::new(2);
@@ -201,9 +204,9 @@
     world.check();
 }
 
-/// A node that asked for advice lost its link to the leader, and came back
-/// before the leader had noticed. The call was open for ever, and its step
-/// never started.
+/// Guards against an advice call that stays open forever, so that its step
+/// never starts. The node that made the call loses its link to the leader and
+/// returns before the leader has noticed.
 #[test]
 fn advice_that_never_comes_is_asked_for_again() {
     let mut world = World::new(4);
@@ -217,8 +220,8 @@
     world.check();
 }
 
-/// A store takes values of a megabyte. A burst of large jobs in one commit
-/// would be refused for ever.
+/// Guards against a commit that the store refuses forever: a burst of large
+/// jobs in one commit exceeds the megabyte that the store accepts.
 #[test]
 fn a_commit_is_never_larger_than_the_store_takes() {
     let mut world = World::new(4);
@@ -236,9 +239,10 @@
     world.check();
 }
 
-/// A leader that does not know yet that it is superseded can't reach an
-/// executor whose lease its successor renews. It took that lease for over and
-/// started the task once more, where its successor had not been heard yet.
+/// Guards against a superseded leader that starts a task a second time. It
+/// does not know yet that it is superseded and can't reach an executor whose
+/// lease its successor renews. It considers that lease expired, and starts the
+/// task on an executor that its successor has not reached yet.
 #[test]
 fn a_superseded_leader_takes_no_lease_for_over() {
     let mut world = World::new(2);
@@ -261,8 +265,9 @@
     world.check();
 }
 
-/// A gang had its tickets renewed for the executors that suited it best; by
-/// the time of the answer others suited it better, and so on without end.
+/// Guards against a gang that renews its tickets without end: it renews them
+/// for the executors that suit it best, and by the time of the answer others
+/// suit it better.
 #[test]
 fn a_gang_starts_although_the_best_executors_change() {
     const EXECUTORS: u64 = 40;
@@ -277,7 +282,7 @@
     let mut gang = step(2, resources(3_000, 100));
     gang.gang = true;
     world.submit(job(1, "advised", vec![gang]));
-    // Its first tickets are too old by now.
+    // Its first tickets have expired by now.
     world.run(3_000);
     for id in (0..EXECUTORS).rev() {
         let job = JobId(100 + id);
@@ -291,8 +296,8 @@
     world.check();
 }
 
-/// One hold a second to each of thousands of idle executors was more than
-/// the leader's machine could send.
+/// Guards against more renewals than the leader's machine can send: one per
+/// second to each of thousands of idle executors is too many.
 #[test]
 fn idle_executors_of_a_large_cell_are_asked_less_often() {
     const SECONDS: u64 = 6;
@@ -302,14 +307,15 @@
     world.run(SECONDS * 1_000);
     assert!(world.renewals <= 600 * SECONDS, "{} holds", world.renewals);
     assert!(world.renewals >= 400 * SECONDS, "{} holds", world.renewals);
-    // Where something runs, its end is heard of at once.
+    // Where something runs, its end is reported at once.
     world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(WORK + 150);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
 }
 
-/// Jobs that still wait some time after a data centre was cut off.
+/// The number of jobs that still wait some time after a data centre was
+/// isolated.
 fn stranded_by_a_cut(without: Mechanisms) -> usize {
     let mut world = World::without(16, without);
     for executor in &mut world.executors[8..] {
@@ -338,9 +344,9 @@
     stranded
 }
 
-/// Each executor of a data centre that was cut off was found out by an
-/// unanswered start of its own, and each such start left a task in doubt
-/// until the cut was over.
+/// Guards against an isolated data centre whose executors are found
+/// unreachable one by one, each by an unanswered start that leaves its task in
+/// doubt until the data centre is back.
 #[test]
 fn a_data_centre_that_is_cut_off_takes_few_tasks_with_it() {
     let off = [Mechanism::UnresponsiveExecutors, Mechanism::SuspectedDcs];
@@ -349,8 +355,8 @@
     assert!(2 * after < before, "{after} jobs wait, {before} without");
 }
 
-/// Executors that fail all that they start took run after run, until their
-/// tasks had used up their attempts.
+/// Guards against executors that fail everything they start, and receive run
+/// after run until the tasks have used up their attempts.
 #[test]
 fn an_executor_that_fails_all_gets_few_runs() {
     let mut world = World::new(8);
@@ -369,7 +375,8 @@
     world.check();
 }
 
-/// The members of a gang went back to the executor that had failed them.
+/// Guards against members of a gang that return to the executor that has
+/// failed them.
 #[test]
 fn a_gang_avoids_executors_on_which_it_has_failed() {
     let mut world = World::new(4);
@@ -385,8 +392,8 @@
     world.check();
 }
 
-/// Advice that was asked through a node out of reach was waited for until the
-/// link to it was given up.
+/// Guards against a wait for advice that lasts until the link to an
+/// unreachable node is given up.
 #[test]
 fn overdue_advice_is_asked_of_another_node() {
     let mut world = World::new(2);
@@ -400,11 +407,11 @@
     world.check();
 }
 
-/// A gang asked for the tickets of busy executors again and again, and never
-/// about others, which were free (LOST on litoral-grown scale-1, seed 2).
+/// Guards against a gang that asks for tickets of busy executors again and
+/// again, and never about others, which are free.
 #[test]
 fn a_gang_asks_about_further_executors_while_those_known_are_busy() {
-    // One call asks about a hundred.
+    // One call covers a hundred executors.
     let mut world = World::new(110);
     let mut busy = step(100, resources(4_000, 100));
     busy.lasting = true;
@@ -419,8 +426,8 @@
     world.check();
 }
 
-/// An end that is told after the executor's lease has lapsed is an end all the
-/// same: the task is done, and the next step may begin.
+/// An end that is reported after the lease of its executor has expired counts
+/// nevertheless: the task is done, and the next step may begin.
 #[test]
 fn an_end_told_late_lets_the_next_step_begin() {
     let mut world = World::new(1);
@@ -437,8 +444,8 @@
     world.check();
 }
 
-/// Ends were heard of only when the holds that waited for them on silent
-/// connections were given up.
+/// Guards against ends that are heard of only when the renewals that wait for
+/// them on silent connections time out.
 #[test]
 fn unanswered_orders_to_several_executors_have_all_asked_at_once() {
     let holds = |without: Mechanisms| {
@@ -462,12 +469,13 @@
     };
     let with = holds(Mechanisms::default());
     let without = holds(Mechanisms::all_except([Mechanism::SilenceAlarm]));
-    // Three were in doubt anyway; so the others are asked too.
+    // Three executors are suspected in any case, so the others are asked, too.
     assert!(with >= without + 3, "{with} holds, {without} without");
 }
 
-/// A successor that heard of a task's next run before the end of the last one
-/// stopped the next, and started the task anew while that still went on.
+/// Guards against a successor that hears of the next run of a task before it
+/// hears of the end of the previous one. It must not stop that run and start
+/// the task again while the run is still going on.
 #[test]
 fn a_task_that_a_predecessor_starts_again_meanwhile_runs_once() {
     for (gang, passed) in [false, true].into_iter().flat_map(|gang| {
--- a/tests/jobs/fuzz.rs
+++ b/tests/jobs/fuzz.rs
@@ -1,4 +1,5 @@
-//! Random sequences of jobs and faults, with the oracle of the world.
+//! Random sequences of jobs and faults, checked by the oracle of the simulated
+//! cell.
 
 use proptest::prelude::*;
 use puffinknot_core::jobs::model::StepKey;
@@ -10,13 +11,13 @@
     dc_of, job, resources, step, Crashes, World, FREE, LEASE, LIMITED, WORK,
 };
 
-/// The machines, which are named as the addresses of executors.
+/// The number of machines. Each is named like the address of its executors.
 const MACHINES: usize = 4;
-/// The leader stands still for no longer in all, or ended jobs are forgotten
-/// before they are asked for.
+/// The longest time in all for which the leader is stalled. After more, ended
+/// jobs are forgotten before the test asks for them.
 const STILL: u64 = 12_000;
 
-/// Which queue a job is handed in to, with whose key.
+/// The queue that a job is submitted to, and the account whose key is used.
 #[derive(Clone, Copy, Debug)]
 enum Door {
     Open,
@@ -56,18 +57,19 @@
     Full(Full),
 }
 
-/// What makes executors start again under their own names. They are named by
-/// their numbers among all that ever lived.
+/// Executors that restart under their own names. An executor is identified by
+/// its position among all that ever lived.
 #[derive(Clone, Debug)]
 enum Restart {
-    /// One does, with a clock that shows this; whether what waits there goes
-    /// in silence, and whether its entry is told.
+    /// An executor restarts with a clock that shows `clock`. The flags tell
+    /// whether renewals that wait there go unanswered, and whether the leader
+    /// is told of its entry.
     One { at: usize, clock: u64, silent: bool, told: bool },
-    /// The entry of a former life is told.
+    /// The leader is told of the entry of a former incarnation.
     FormerEntry(usize),
-    /// An entry can't be read any more.
+    /// An entry becomes unreadable.
     Misread(usize),
-    /// Executors that were away come back under their names, or others.
+    /// Whether executors return under their own names after an absence.
     KeepNames(bool),
 }
 
@@ -96,8 +98,8 @@
     ]
 }
 
-/// The leader is behind on its news by less than a lease bears, or stands
-/// still for less than its own lease.
+/// The leader lags behind its events by less than a lease can bear, or is
+/// stalled for less than its own lease.
 fn moves_with_a_late_leader() -> impl Strategy<Value = Move> {
     prop_oneof![
         6 => moves(),
@@ -107,18 +109,18 @@
     ]
 }
 
-/// What makes tasks give way to others, and move, while leaders change.
+/// A full cell, in which tasks are preempted and moved while leaders change.
 #[derive(Clone, Debug)]
 enum Full {
-    /// An executor gives notice, goes after so long, and is followed by
-    /// another after some time.
+    /// An executor gives notice, leaves after a time, and is replaced by
+    /// another after a further time.
     Leave(usize, u64, u64),
-    /// Commits are declined, or no more.
+    /// Commits are declined, or no longer.
     Declined(bool),
-    /// Another leader takes over. It reaches some executors for so long, then
-    /// the others only.
+    /// Another leader takes over. It reaches some executors for a time, and
+    /// after that only the others.
     InTurn(Vec<bool>, u64, u64),
-    /// The same, so long before a task of a new job fails.
+    /// Like `InTurn`, but a task of a new job fails shortly after.
     FailInTurn(u64, bool, Vec<bool>, u64, u64),
 }
 
@@ -161,16 +163,16 @@
     ]
 }
 
-/// What makes executors crash, and their room change. Executors are named by
-/// their numbers among all that ever lived.
+/// Executors that crash, and executors whose capacity changes. An executor is
+/// identified by its position among all that ever lived.
 #[derive(Clone, Debug)]
 enum Crash {
-    /// A task of the next job crashes each executor that starts it, so long
+    /// A task of the next job crashes each executor that starts it, this long
     /// after the start.
     ByTask(u32, u64),
-    /// One crashes by itself, in silence or not.
+    /// An executor crashes by itself, silently or not.
     ByItself(usize, bool),
-    /// One has so much processor time now.
+    /// An executor now has this much processor time.
     Room(usize, u32),
 }
 
@@ -193,36 +195,37 @@
     ]
 }
 
-/// What may let a leader take a life of an executor for over that goes on.
-/// Executors are named by their numbers among all that ever lived.
+/// Faults that may make a leader consider a live incarnation of an executor
+/// over. An executor is identified by its position among all that ever lived.
 #[derive(Clone, Debug)]
 enum Mistaken {
-    /// One of any life crashes; the entry of the next may be told later.
+    /// An executor crashes. The leader may be told of the next entry later.
     Crash(usize, bool),
-    /// One of any life is cut off, or no more.
+    /// An executor becomes isolated, or no longer is.
     Cut(usize, bool),
-    /// One is cut off from the present leader, or from its successor.
+    /// An executor is isolated from the present leader, or from its successor.
     CutFrom(usize, u64),
-    /// An entry is told, whether its executor lives or not.
+    /// The leader is told of an entry, whether its executor is alive or not.
     Told(usize),
-    /// An entry is gone from the store, whether its executor lives or not.
+    /// An entry disappears from the store, whether its executor is alive or
+    /// not.
     Gone(usize),
     /// Another leader takes over, and reads the entries of some executors in
     /// an order of their own.
     Takeover(Vec<(u8, bool)>),
-    /// Another leader takes over; an executor answers it so much later than
-    /// it is waited for, and is cut off after some time, for so long at least.
+    /// Another leader takes over. The answers of an executor come too late for
+    /// it, and after some time the executor is isolated, for a minimum time.
     Silence(usize, u64, u64, u64),
-    /// The list of machines shows a machine without an executor, or with a
-    /// former one, or as it is.
+    /// The list of machines shows a machine with no executor, with a former
+    /// one, or with the present one.
     Shown(usize, Shown),
     Unlistable(bool),
-    /// A wave wants a machine down.
+    /// A wave requests that a machine be taken down.
     Wave(usize),
     LateUpkeep,
 }
 
-/// Which executor the list of machines shows on one.
+/// Which executor the list of machines shows on a machine.
 #[derive(Clone, Copy, Debug)]
 enum Shown {
     Present,
@@ -298,7 +301,7 @@
     )
 }
 
-/// Plays what may let a leader take a life for over.
+/// Applies a fault that may make a leader consider an incarnation over.
 fn mistake(world: &mut World, one: Mistaken, lives: &mut usize) {
     let all = world.executors.len();
     match one {
@@ -369,7 +372,7 @@
     }
 }
 
-/// Plays what makes executors crash, or their room change.
+/// Applies a crash of an executor, or a change of its capacity.
 fn crash(world: &mut World, one: Crash, next: u64) {
     let all = world.executors.len();
     match one {
@@ -388,7 +391,7 @@
     }
 }
 
-/// Plays what makes executors start again. `former` are the entries of lives
+/// Applies a restart of an executor. `former` are the entries of incarnations
 /// that are over.
 fn restart(world: &mut World, one: Restart, former: &mut Vec<ExecutorInfo>) {
     let all = world.executors.len();
@@ -417,7 +420,7 @@
     }
 }
 
-/// Plays what goes on in a full cell.
+/// Applies an event of a full cell.
 fn fill(world: &mut World, one: Full, jobs: &mut u64, lives: &mut usize) {
     let all = world.executors.len();
     match one {
@@ -453,7 +456,7 @@
     }
 }
 
-/// Another leader takes over, and reaches some executors before others.
+/// Makes another leader take over that reaches some executors before others.
 fn take_over_in_turn(
     world: &mut World,
     first: &[bool],
@@ -477,7 +480,7 @@
     }
 }
 
-/// No life can be mistaken for over any more, and all entries are told.
+/// Ends all faults that make incarnations seem over, and lists all entries.
 fn no_more_mistakes(world: &mut World) {
     for at in 0..world.executors.len() {
         world.executors[at].isolated_from = None;
@@ -507,7 +510,7 @@
         match one.clone() {
             Move::Submit { tasks, cpu, gang, steps, door, work } => {
                 jobs += 1;
-                // What could never be placed is not asked for.
+                // A job that could never be placed is not submitted.
                 let tight = gang && !matches!(door, Door::Open);
                 let tasks = if tight { tasks.min(2) } else { tasks };
                 let cpu = if gang { cpu.min(1_900) } else { cpu };
@@ -577,7 +580,7 @@
         }
     }
     world.event_lag = 0;
-    // All faults end; then everything that was accepted has to end too.
+    // All faults end; then everything that was accepted has to end, too.
     for executor in &mut world.executors {
         executor.isolated = false;
         executor.lost_answers = 0;
@@ -606,7 +609,7 @@
     world
 }
 
-/// No rule breaks, and all that was accepted ends.
+/// Checks that no rule is violated, and that everything accepted ends.
 fn keeps_all_rules(sequence: &[Move]) -> Result<(), TestCaseError> {
     let mut world = play(sequence);
     prop_assert!(world.broken.is_empty(), "{:#?}", world.broken);
@@ -716,9 +719,10 @@
     Move::Submit { tasks: 1, cpu, gang: false, steps: 1, door, work }
 }
 
-/// A leader calls for a machine's upkeep and is replaced before it is carried
-/// out. Its successor starts a task there, which the upkeep ends; what the
-/// task crashes then is one executor, not two.
+/// A leader makes a maintenance call and is replaced before the call is
+/// carried out. Its successor starts a task on that machine, which the
+/// maintenance ends. If the task crashes another executor later, that counts
+/// as one crash, not as two.
 #[test]
 fn an_upkeep_that_a_predecessor_called_for_is_no_crash() {
     use Crash::{ByItself, ByTask, Room};
@@ -847,9 +851,10 @@
     keeps_all_rules(&sequence).expect("all rules are kept");
 }
 
-/// Guards against a gang that is started a sixth time: it was beside other
-/// suspects, which said nothing of it, or executors crashed by themselves
-/// meanwhile, and each leader begins with a rate of crashes that is not known.
+/// Guards against a gang that is started a sixth time. It runs beside other
+/// suspects, which gives no evidence against it, or executors crash by
+/// themselves in the meantime, and each leader starts without a known crash
+/// rate.
 #[test]
 fn a_gang_that_crashes_executors_is_not_started_a_sixth_time() {
     use Crash::{ByItself, ByTask, Room};
--- a/tests/jobs/holds.rs
+++ b/tests/jobs/holds.rs
@@ -1,4 +1,4 @@
-//! Which executors are asked for their accounts.
+//! Which executors have their leases renewed.
 
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{Mechanism, Mechanisms};
@@ -6,10 +6,11 @@
 use super::world::{job, resources, step, World};
 
 const EXECUTORS: usize = 320;
-/// The time between two turns of a leader that is busy.
+/// The time between two iterations of a busy leader.
 const TURN: Millis = 100;
 
-/// Those that were known first were asked again and again, others never.
+/// Guards against a leader that renews with the executors it knew first again
+/// and again, and never with the others.
 #[test]
 fn no_executor_is_passed_over_while_the_turns_of_a_leader_are_long() {
     let mut world = World::without(
--- a/tests/jobs/latest.rs
+++ b/tests/jobs/latest.rs
@@ -1,5 +1,5 @@
-//! Steps are ordered by what can still be reached: played against the
-//! decisions, in virtual time.
+//! Steps are ordered by which deadlines they can still meet. These tests
+//! simulate the decisions in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use super::world::{job, resources, step, World, WORK};
 
 const EXECUTORS: usize = 8;
-/// What the queues of the world add to twice the chain of a job.
+/// The slack that the queues of the cell add to twice the run time of a job.
 const TARGET: Millis = 1_000;
-/// A late step gets a turn so long after the one before has started, and room
-/// when a run ends.
+/// A late step may start this long after the late step before it, and when a
+/// run has ended.
 const TURN: Millis = 1_000 + WORK;
 
 fn first_task(id: u64) -> TaskKey {
@@ -30,8 +30,8 @@
     job(id, queue, steps.collect())
 }
 
-/// Twice what the cell can do, for some seconds: short jobs, and chains.
-/// Returns how many were done in time.
+/// Twice the cell's throughput for some seconds, from short jobs and from
+/// chains. Returns how many were done in time.
 fn in_time(queue: &str, without: Mechanisms) -> usize {
     let mut world = World::without(EXECUTORS, without);
     world.run(100);
@@ -76,8 +76,8 @@
     }
 }
 
-/// What can't be in time any more gets a turn, also while there is always
-/// enough that can.
+/// Steps that can't be in time any more start eventually, even while there are
+/// always enough that can.
 #[test]
 fn what_is_late_is_not_starved() {
     for queue in ["urgent", "batch"] {
@@ -87,7 +87,8 @@
             world.submit(chain(id, queue, 1, 20 * WORK));
             world.run(20);
         }
-        // Three of them wait until they are late; what comes then never is.
+        // Three of them wait until they are late; the jobs that arrive later
+        // are never late.
         let since = world.now;
         let mut next = 100;
         while !world.starts.contains_key(&first_task(4)) {
@@ -101,8 +102,8 @@
     }
 }
 
-/// A step wider than the room takes several rounds, and has to start so much
-/// earlier.
+/// A step that is wider than the cell takes several rounds, and has to start
+/// that much earlier.
 #[test]
 fn a_step_wider_than_the_room_goes_by_its_rounds() {
     let mut world = World::new(2);
--- a/tests/jobs/leaving.rs
+++ b/tests/jobs/leaving.rs
@@ -1,11 +1,11 @@
-//! What runs on executors that give notice is moved before they go.
+//! Executors that give notice: their tasks are moved before they leave.
 
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{JobState, Mechanism, Mechanisms, Step};
 
 use super::world::{job, resources, step, World, LEASE, WORK};
 
-/// How much longer an executor stays that gives notice.
+/// How long an executor stays after it has given notice.
 const STAYS: Millis = 2_000;
 
 fn without_leaving() -> Mechanisms {
@@ -20,7 +20,7 @@
 }
 
 impl World {
-    /// An executor gives notice.
+    /// Makes an executor give notice.
     fn give_notice(&mut self, at: usize, stays: Millis) {
         self.executors[at].info.draining = true;
         self.executors[at].info.remaining = Some(stays);
@@ -28,8 +28,9 @@
     }
 }
 
-/// Has the executor of a job leave, and tells what runs the job's task had
-/// and its state a while after: long before any lease has lapsed.
+/// Makes the executor of a job leave. Returns how often the task of the job
+/// has started, and the state of the job some time later, long before any
+/// lease has expired.
 fn moved(without: Mechanisms, first: Step) -> (u32, Option<JobState>) {
     let work = first.estimate;
     let mut world = World::without(3, without);
@@ -54,7 +55,7 @@
     for saves in [true, false] {
         let (starts, state) = moved(Mechanisms::default(), long(8, saves));
         assert_eq!((starts, state), (2, Some(JobState::Succeeded)));
-        // It has to be waited for until its lease has lapsed.
+        // The leader has to wait until the lease of the executor has expired.
         let (starts, state) = moved(without_leaving(), long(8, saves));
         assert_eq!((starts, state), (1, Some(JobState::Running)));
     }
@@ -66,7 +67,8 @@
     assert_eq!((starts, state), (1, Some(JobState::Succeeded)));
 }
 
-/// When the task of a job was stopped, after its executor gave notice.
+/// The time from the notice of its executor until the task of a job is
+/// stopped.
 fn stopped_after(first: Step) -> Millis {
     let mut world = World::new(2);
     world.run(50);
@@ -82,7 +84,8 @@
     world.now - noticed
 }
 
-/// What saves its progress loses nothing by going on until shortly before.
+/// A task that writes checkpoints loses nothing by running until shortly
+/// before.
 #[test]
 fn what_saves_its_progress_stays_longer_than_what_does_not() {
     let (saves, loses) = (long(40, true), long(40, false));
@@ -115,8 +118,8 @@
     }
 }
 
-/// Executors leave one after the other while jobs come without pause: with
-/// notice taken, all of them end within less than twice their work.
+/// Executors leave one after the other while jobs keep arriving. If notices
+/// are taken into account, all jobs end within less than twice their run time.
 #[test]
 fn under_load_no_job_waits_for_an_executor_that_has_left() {
     for without in [Mechanisms::default(), without_leaving()] {
@@ -146,7 +149,7 @@
     }
 }
 
-/// The successor learns of the notice by the executor's entry.
+/// The successor learns of the notice from the entry of the executor.
 #[test]
 fn a_takeover_in_the_middle_moves_it_too() {
     let mut world = World::new(3);
--- a/tests/jobs/lives.rs
+++ b/tests/jobs/lives.rs
@@ -1,21 +1,23 @@
-//! Lives of executors that were taken for over though they went on: each way
-//! by which a task came to run on two executors at once.
+//! Incarnations of executors that are considered over although they go on.
+//! Each test covers one way by which a task may come to run on two executors
+//! at once.
 
 use puffinknot_core::jobs::{Event, JobState, MaintenanceWave, Step, TaskKey};
 
 use super::world::{job, resources, step, World, LEASE};
 
-/// The former life at the address of [`LIFE`].
+/// The former incarnation at the address of [`LIFE`].
 const FORMER: usize = 0;
-/// The life that runs the task.
+/// The incarnation that runs the task.
 const LIFE: usize = 1;
-/// An executor with room for the task.
+/// An executor with capacity for the task.
 const OTHER: usize = 2;
-/// After this time the leader has read on which machines executors live.
+/// After this time the leader has read which executor each machine hosts.
 const SHOWN: u64 = 4_500;
-/// Within this time a silent executor is looked for in the list of machines.
+/// Within this time the leader looks for a silent executor in the list of
+/// machines.
 const SEEN: u64 = 4_500;
-/// How long the task works.
+/// The duration of the task.
 const LONG: u64 = 5_000;
 
 fn task() -> TaskKey {
@@ -28,8 +30,8 @@
     world.submit(job(1, "batch", vec![long]));
 }
 
-/// An executor has crashed, and its next life runs a long task. Another
-/// executor has room for it.
+/// A cell in which an executor has crashed and its next incarnation runs a
+/// long task. Another executor has capacity for that task.
 fn next_life_at_work() -> World {
     let mut world = World::new(1);
     world.run(50);
@@ -44,8 +46,8 @@
     world
 }
 
-/// Two executors of their own addresses. The first runs a long task that is
-/// over before its lease would be, and the second has room for it.
+/// Two executors with addresses of their own. The first runs a long task that
+/// ends before its lease would expire, and the second has capacity for it.
 fn two_executors() -> World {
     let mut world = World::new(1);
     world.run(50);
@@ -58,7 +60,7 @@
     world
 }
 
-/// The task runs to its end where it is.
+/// Checks that the task runs to its end where it is.
 fn ends_after_one_start(mut world: World) {
     world.run(LONG + LEASE);
     world.check();
@@ -66,8 +68,8 @@
     assert_eq!(world.starts[&task()], 1);
 }
 
-/// The living one is cut off while another leader takes over and reads these
-/// entries. It ends its task all the same.
+/// Isolates the live incarnation while another leader takes over and reads
+/// these entries. The task must still end where it is.
 fn ends_though_cut_off_while_read(entries: &[usize]) {
     let mut world = next_life_at_work();
     world.executors[LIFE].isolated = true;
@@ -77,7 +79,7 @@
     ends_after_one_start(world);
 }
 
-/// Another leader takes over and is told these entries, one after another.
+/// Makes another leader take over and tells it of these entries in order.
 fn takes_over_and_reads(world: &mut World, entries: &[usize], pause: u64) {
     world.take_over();
     for at in entries {
@@ -86,12 +88,13 @@
     }
 }
 
-/// A task ran on two executors after a change of leaders. An executor had
-/// crashed and started again at the same address, and its next life ran the
-/// task. The entry of the former life still stood in the store when the
-/// successor read the list, after that of the living one. The successor took
-/// the name that it did not know for a newer life, gave up what the living
-/// one ran, and waited no more for its account.
+/// Guards against a task that runs on two executors after a change of leaders.
+/// An executor has crashed and restarted at the same address, and its next
+/// incarnation runs the task. The entry of the former incarnation is still in
+/// the store when the successor reads the list, after that of the live one.
+/// The successor must not consider the name that it does not know a newer
+/// incarnation: it would give up what the live one runs and no longer wait for
+/// its report.
 #[test]
 fn a_former_entry_read_last_at_a_takeover_ends_no_life() {
     let mut world = next_life_at_work();
@@ -99,8 +102,8 @@
     ends_after_one_start(world);
 }
 
-/// The same with the entry of the former life read first: the living one is
-/// enrolled anew, and its account has to be waited for.
+/// Like the test above, but the entry of the former incarnation is read first:
+/// the live one is enrolled anew, and its report has to be waited for.
 #[test]
 fn a_former_entry_read_first_at_a_takeover_ends_no_life() {
     let mut world = next_life_at_work();
@@ -108,10 +111,9 @@
     ends_after_one_start(world);
 }
 
-/// A task ran on two executors after a change of leaders, as above. The
-/// successor was told of the former life first, and of the living one shortly
-/// after, when the former had been found to be over and nothing more was
-/// waited for.
+/// Guards against the same fault. The successor is told of the former
+/// incarnation first, and of the live one shortly after, when the former one
+/// has been found to be over and nothing else is waited for.
 #[test]
 fn a_former_entry_told_before_the_living_one_ends_no_life() {
     let mut world = next_life_at_work();
@@ -119,9 +121,10 @@
     ends_after_one_start(world);
 }
 
-/// A task ran on two executors while one node led all the time. The entry of
-/// a former life was told once more, as all entries are after some seconds,
-/// and the leader took it for a newer life at the address of the living one.
+/// Guards against a task that runs on two executors under a single leader. The
+/// leader is told of the entry of a former incarnation once more, as it is of
+/// all entries after some seconds, and must not consider it a newer
+/// incarnation at the address of the live one.
 #[test]
 fn a_former_entry_told_once_more_ends_no_life() {
     let mut world = next_life_at_work();
@@ -129,7 +132,8 @@
     ends_after_one_start(world);
 }
 
-/// The same, and then both entries are told in turn, again and again.
+/// Like the test above, but then both entries are told alternately, many
+/// times.
 #[test]
 fn entries_of_two_lives_told_in_turn_end_no_life() {
     let mut world = next_life_at_work();
@@ -142,21 +146,22 @@
     ends_after_one_start(world);
 }
 
-/// A task ran on two executors after a change of leaders, while the executor
-/// that ran it was cut off. It had no way to say that it lives; the entry of
-/// its former life was read, and the successor took that for its end.
+/// Guards against a task that runs on two executors after a change of leaders,
+/// while the executor that runs it is isolated. The executor can't show that
+/// it is alive. The entry of its former incarnation is read, which must not
+/// count as its end.
 #[test]
 fn a_former_entry_read_last_ends_no_life_that_is_cut_off() {
     ends_though_cut_off_while_read(&[LIFE, FORMER, OTHER]);
 }
 
-/// The same with the entry of the former life read first.
+/// Like the test above, but the entry of the former incarnation is read first.
 #[test]
 fn a_former_entry_read_first_ends_no_life_that_is_cut_off() {
     ends_though_cut_off_while_read(&[FORMER, LIFE, OTHER]);
 }
 
-/// The same where only the successor can't reach the executor.
+/// Like the test above, but only the successor can't reach the executor.
 #[test]
 fn a_former_entry_ends_no_life_that_a_successor_cannot_reach() {
     let mut world = next_life_at_work();
@@ -167,8 +172,8 @@
     ends_after_one_start(world);
 }
 
-/// The same while one node led all the time: the entry of the former life was
-/// told once more while the living one was cut off from its leader.
+/// The same under a single leader: it is told of the entry of the former
+/// incarnation once more while the live one is isolated from it.
 #[test]
 fn a_former_entry_told_once_more_ends_no_life_that_is_cut_off() {
     let mut world = next_life_at_work();
@@ -180,20 +185,20 @@
     ends_after_one_start(world);
 }
 
-/// A task ran on two executors after a change of leaders. The successor heard
-/// the executor once, by an answer that came after it was given up; the next
-/// hold was under way then and carried no lease, as the first had not. Then
-/// the executor was cut off. No lease had been given to it in that tenure, so
-/// that the end of its lease was still at zero, and what the predecessor had
-/// started there counted as lapsed.
+/// Guards against a task that runs on two executors after a change of leaders.
+/// The successor hears the executor once, by an answer that arrives after its
+/// renewal has timed out. The next renewal is already open then and grants no
+/// lease, like the first. Then the executor is isolated. This leader term has
+/// granted it no lease, so the end of its lease is still zero; what the
+/// predecessor started there must not count as expired.
 #[test]
 fn silence_before_the_first_lease_is_no_lapse() {
     let mut world = two_executors();
-    // An answer takes 900 ms, and a hold is given up after 700 ms.
+    // An answer takes 900 ms, and a renewal times out after 700 ms.
     world.executors[0].answer_delay = Some(200);
     world.replace_leader();
     world.run(800);
-    // The answer to the first hold is on its way.
+    // The answer to the first renewal is in flight.
     world.executors[0].isolated = true;
     world.run(3_000);
     world.executors[0].isolated = false;
@@ -201,8 +206,8 @@
     ends_after_one_start(world);
 }
 
-/// The same where the store lists the executor no more when it falls silent:
-/// its life was then taken for over, too.
+/// Like the test above, but the executor is no longer in the store when it
+/// falls silent. Its incarnation must not be considered over, either.
 #[test]
 fn silence_of_an_unlisted_executor_before_its_first_lease_is_no_lapse() {
     let mut world = two_executors();
@@ -219,10 +224,10 @@
     ends_after_one_start(world);
 }
 
-/// A task ran on two executors while one node led all the time. The executor
-/// that ran it was cut off, and the list of machines showed its machine as up
-/// and named no executor there. It was taken for gone before its lease had
-/// run out.
+/// Guards against a task that runs on two executors under a single leader. The
+/// executor that runs it is isolated, and the list of machines shows its
+/// machine as up without an executor. The executor must not be considered gone
+/// before its lease has expired.
 #[test]
 fn a_machine_without_an_executor_ends_no_life() {
     let mut world = two_executors();
@@ -232,7 +237,8 @@
     world.check();
 }
 
-/// The same where the list still showed the former life on that machine.
+/// Like the test above, but the list still shows the former incarnation on
+/// that machine.
 #[test]
 fn a_machine_that_shows_a_former_life_ends_no_life() {
     let mut world = next_life_at_work();
@@ -242,10 +248,10 @@
     world.check();
 }
 
-/// A task ran on two executors after a change of leaders. The executor that
-/// ran it could not be reached for a second, and the list of machines showed
-/// its former life. So the successor took it for gone, before it had heard it
-/// at all, and had nobody left to wait for.
+/// Guards against a task that runs on two executors after a change of leaders.
+/// The executor that runs it is unreachable for a second, and the list of
+/// machines shows its former incarnation. If the successor considers it gone
+/// before it has heard it, it has nothing left to wait for.
 #[test]
 fn a_list_that_lags_at_a_takeover_ends_no_life() {
     let mut world = next_life_at_work();
@@ -257,10 +263,11 @@
     ends_after_one_start(world);
 }
 
-/// A task ran on two executors during a wave of upkeep. A machine had had its
-/// upkeep under one leader, whose successor did not know that and called for
-/// it once more. The call was answered with Ok, since it had been carried out,
-/// and the life that was born after it was taken for over.
+/// Guards against a task that runs on two executors during a maintenance wave.
+/// A machine has its maintenance under one leader, whose successor does not
+/// know that and makes the call again. The call returns Ok, because it has
+/// already been carried out; the incarnation that started after the
+/// maintenance must not be considered over.
 #[test]
 fn an_upkeep_carried_out_before_ends_no_later_life() {
     let wave = MaintenanceWave {
@@ -272,8 +279,8 @@
     let mut world = World::new(1);
     world.run(50);
     world.event(Event::Wave(wave.clone()));
-    // The machine is down at once, and its next executor is there after two
-    // seconds. It is not listed as done by then.
+    // The machine is down at once, and its next executor starts after two
+    // seconds. The machine is not listed as done by then.
     world.run(600);
     assert_eq!(world.maintained, ["x0"]);
     world.run(1_600);
@@ -292,10 +299,10 @@
     assert_eq!(world.maintained, ["x0"]);
 }
 
-/// The same while one node led all the time. Its first call was carried out
-/// late and left unanswered, and the machines could not be listed until the
-/// machine was back. The task had gone to its new executor by the time of the
-/// second call, and the wave was late by then.
+/// The same under a single leader. Its first call is carried out late and left
+/// unanswered, and the list of machines is unavailable until the machine is
+/// back. By the time of the second call the task has moved to the machine's
+/// new executor, and the wave is late.
 #[test]
 fn an_upkeep_carried_out_late_ends_no_later_life() {
     let wave = MaintenanceWave {
@@ -310,7 +317,7 @@
     world.event(Event::Wave(wave));
     world.run(1_000);
     world.list_unavailable = true;
-    // It is carried out after 1.5 s and takes 2 s.
+    // The call is carried out after 1.5 s, and the maintenance takes 2 s.
     world.run(2_700);
     assert_eq!(world.maintained, ["x0"]);
     assert_eq!(world.executors.len() - 1, LIFE);
@@ -323,11 +330,11 @@
     ends_after_one_start(world);
 }
 
-/// A task ran on two executors after a change of leaders. The leader before
-/// had taken the executor for gone, since the list of machines named no
-/// executor for its machine, and there was no room for the task elsewhere. So
-/// the list of executors that it left in the store lacked the one that ran
-/// the task, and the successor had nobody to wait for.
+/// Guards against a task that runs on two executors after a change of leaders.
+/// The former leader considers the executor gone, since the list of machines
+/// shows its machine without an executor, and there is no capacity for the
+/// task elsewhere. If the executor list that it leaves in the store lacks the
+/// executor that runs the task, the successor has nothing to wait for.
 #[test]
 fn an_executor_that_a_predecessor_took_for_gone_is_waited_for() {
     let mut world = World::new(1);
@@ -343,7 +350,8 @@
     world.executors[0].isolated = true;
     world.run(4_200);
     assert!(world.executors[0].runs(&task()));
-    // The entry of the executor has lapsed; another one has room by now.
+    // The entry of the executor has expired; another executor has capacity by
+    // now.
     world.add_executor("x10");
     takes_over_and_reads(&mut world, &[1, 2], 0);
     world.run(400);
@@ -355,8 +363,8 @@
     assert_eq!(world.state(1), Some(JobState::Succeeded));
 }
 
-/// The same where the leader before had taken the living executor for over by
-/// the entry of its former life.
+/// Like the test above, but the former leader considers the live executor over
+/// because of the entry of its former incarnation.
 #[test]
 fn an_executor_that_a_predecessor_took_for_replaced_is_waited_for() {
     let mut world = World::new(1);
@@ -375,8 +383,8 @@
     ends_after_one_start(world);
 }
 
-/// The machine of an executor goes off, and the list of machines shows that:
-/// what ran there starts elsewhere long before its lease has run out.
+/// The machine of an executor goes down, and the list of machines shows that:
+/// its tasks start elsewhere long before its lease expires.
 #[test]
 fn a_machine_that_is_off_ends_the_life_there() {
     let mut world = two_executors();
@@ -388,8 +396,8 @@
     world.check();
 }
 
-/// The same where a successor takes over at that moment: it knows from its
-/// predecessor which machine the executor was on.
+/// Like the test above, but a successor takes over at that moment. It knows
+/// from its predecessor which machine hosted the executor.
 #[test]
 fn a_successor_knows_which_machines_executors_are_on() {
     let mut world = two_executors();
@@ -402,8 +410,9 @@
     world.check();
 }
 
-/// An executor that no list of machines has shown yet, and that the store
-/// lists no more, is cut off: what runs there goes on until its lease is over.
+/// An executor that no list of machines has shown yet, and that is no longer
+/// in the store, becomes isolated: its tasks go on until its lease has
+/// expired.
 #[test]
 fn an_executor_that_no_list_has_shown_ends_by_its_lease() {
     let mut world = two_executors();
@@ -417,8 +426,8 @@
     assert_eq!(world.starts[&task()], 1, "its lease runs on");
 }
 
-/// A machine comes back with another life, which listens elsewhere. Once that
-/// one answers, the former life is over.
+/// A machine returns with another incarnation, which listens elsewhere. Once
+/// that one answers, the former incarnation is over.
 #[test]
 fn another_life_that_answers_on_the_machine_ends_the_former() {
     let mut world = two_executors();
@@ -435,8 +444,8 @@
     world.check();
 }
 
-/// An executor goes on to be used after an upkeep that was carried out
-/// before: its machine is not called for again.
+/// An executor remains in use after maintenance that was carried out before:
+/// there is no further call for its machine.
 #[test]
 fn an_executor_is_used_again_after_its_wave() {
     let wave = MaintenanceWave {
@@ -449,7 +458,7 @@
     world.run(50);
     world.event(Event::Wave(wave.clone()));
     world.run(600);
-    // The successor does not hear of it, and calls once more.
+    // The successor does not hear of it, and makes the call again.
     world.replace_leader();
     world.event(Event::Wave(wave));
     world.run(3 * LEASE);
@@ -460,8 +469,8 @@
     world.check();
 }
 
-/// An executor whose clock loses two percent runs on for longer than it was
-/// told, under one leader and under its successor. The leader's reckoning of
+/// An executor whose clock loses two percent runs for longer than it was told,
+/// under one leader and under its successor. The leader's calculation of
 /// leases covers that.
 #[test]
 fn a_slow_clock_is_no_reason_to_run_twice() {
@@ -483,25 +492,25 @@
     }
 }
 
-/// The first run of a task fails, shortly after its executor has given an
-/// account that still lists it. That account is held up on its way. The next
-/// one is not, and by that the task is started again at the same executor.
+/// The first run of a task fails shortly after its executor has made a report
+/// that still lists it. That report is delayed. The next one is not, and it
+/// makes the leader start the task again on the same executor.
 fn account_of_a_run_that_has_failed_since() -> World {
     let mut world = World::new(1);
     world.run(50);
     world.failing.insert(task(), 1);
     submit_long(&mut world, 2_500);
-    // Answers take 2.2 s, and a hold is given up after 0.7 s.
+    // Answers take 2.2 s, and a renewal times out after 0.7 s.
     world.executors[0].answer_delay = Some(1_500);
     world.run(1_200);
     world.executors[0].answer_delay = None;
     world
 }
 
-/// A run was stopped for nothing. An account that came late listed an earlier
-/// run of its task at the same executor, which had failed since. That run took
-/// the place of the later one among the runs of the executor, so that the
-/// later one was not known any more when the next account listed it.
+/// Guards against a run that is stopped needlessly. A late report lists an
+/// earlier run of its task on the same executor, which has failed since. If
+/// that run replaces the later one among the runs of the executor, the later
+/// one is unknown when the next report lists it.
 #[test]
 fn an_account_that_comes_late_stops_no_later_run() {
     let mut world = account_of_a_run_that_has_failed_since();
@@ -511,9 +520,10 @@
     world.check();
 }
 
-/// A task was never started again, and its job never ended. As above, and then
-/// the executor crashed before it had listed the later run, which was not
-/// among the runs that were given up with it.
+/// Guards against a task that never starts again, so that its job never ends.
+/// The events are those of the test above; then the executor crashes before it
+/// has listed the later run. That run must be among those that are given up
+/// with the executor.
 #[test]
 fn an_account_that_comes_late_loses_no_later_run() {
     let mut world = account_of_a_run_that_has_failed_since();
@@ -525,12 +535,12 @@
     world.check();
 }
 
-/// A task was started again after its end was written. A leader that had not
-/// heard one executor yet was superseded and did not know it. Its successor
-/// took the task over there and wrote that it is done. Then the executor
-/// crashed, and its next life answered the superseded leader: nobody was left
-/// to wait for, so that it started the task on an executor that its successor
-/// had not reached yet.
+/// Guards against a task that starts again after its end was written. A
+/// superseded leader does not know that it is superseded and has not heard one
+/// executor yet. Its successor adopts the task there and writes that it is
+/// done. Then the executor crashes, and its next incarnation answers the
+/// superseded leader. Nothing is left to wait for, so the superseded leader
+/// may start the task on an executor that its successor has not reached yet.
 #[test]
 fn a_superseded_leader_starts_nothing_for_the_end_of_a_life() {
     let mut world = two_executors();
@@ -551,11 +561,12 @@
     assert_eq!(world.starts[&task()], 1);
 }
 
-/// A gang's member ran on two executors after a change of leaders. While the
-/// successor was still hearing executors, one with a member crashed, so that
-/// it stopped the others. One more member was heard of then and stopped, but
-/// not counted: when those stopped before had ended, the whole gang was
-/// started again, and that member was still there.
+/// Guards against a gang member that runs on two executors after a change of
+/// leaders. While the successor is still hearing executors, one with a member
+/// crashes, so the successor stops the other members. Another member is heard
+/// of only then and is stopped. If it is not counted, the whole gang starts
+/// again once the members stopped before have ended, while that one is still
+/// running.
 #[test]
 fn a_member_that_is_heard_of_last_is_waited_for() {
     // A stop takes 200 ms; a silent executor is asked again within 1.3 s.
@@ -582,18 +593,16 @@
     Step { estimate: LONG, ..step(3, resources(3_000, 100)) }
 }
 
-/// A task was started again eight seconds after a run of it had ended as
-/// done, and that end had been acknowledged.
+/// Guards against a task that starts again after one of its runs was reported
+/// done and that end was acknowledged.
 ///
-/// Order of events: the executor is silent, and the list shows its machine as
-/// off, as it does for one that leaves. Its life counts as over, and the task
-/// is started elsewhere. The former one is heard after all, tells that its
-/// run is done, and the leader takes note of that. The later run is lost, and
-/// the task starts a third time.
-///
-/// Cause: of the end of an earlier run only a failure counted while a later
-/// one was placed. Evidence: one report with these runs, of which the later
-/// one is missing, since its start never arrived; and this test.
+/// The executor is silent, and the list shows its machine as down, as it does
+/// for an executor that leaves. Its incarnation counts as over, and the task
+/// starts elsewhere. The former executor is heard after all and reports that
+/// its run is done, and the leader acknowledges that. Then the later run,
+/// whose start never arrived, is missing from a report and is lost. If only a
+/// failure of an earlier run counts while a later one is placed, the task
+/// starts a third time.
 #[test]
 fn an_earlier_run_that_is_done_ends_its_task() {
     let mut world = two_executors();
@@ -603,7 +612,7 @@
     let first = (0..2).find(|at| world.executors[*at].runs(&second()));
     let first = first.expect("it runs");
     world.executors[first].isolated = true;
-    // Its run ends before its machine shows as off.
+    // Its run ends before its machine is shown as down.
     world.run(SECOND);
     world.powered_off.insert(world.executors[first].info.address.clone());
     let other = 1 - first;
@@ -628,10 +637,10 @@
     "0000000000000002.0.0.0".parse().expect("a task")
 }
 
-/// How long the second task works.
+/// The duration of the second task.
 const SECOND: u64 = 800;
 
-/// A task that is done while its executor is not heard.
+/// A task that ends while its executor is not heard.
 fn submit_second(world: &mut World) {
     let mut work = step(1, resources(900, 100));
     work.estimate = SECOND;
--- a/tests/jobs/looked.rs
+++ b/tests/jobs/looked.rs
@@ -1,4 +1,4 @@
-//! How much placing looks through.
+//! How much placement examines.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::world::{job, resources, step, World, WORK};
 
 const EXECUTORS: usize = 8;
-/// Steps that wait.
+/// The number of steps that wait.
 const CROWD: u64 = 256;
 
 const NAMES: [&str; 5] = [
@@ -24,7 +24,7 @@
         .map(|name| world.scheduler.counters().get(name).copied().unwrap_or(0))
 }
 
-/// What was looked through while this went on.
+/// What placement examines during `goes`.
 fn during(world: &mut World, goes: impl FnOnce(&mut World)) -> PlacementStats {
     let before = world.scheduler.placement_stats();
     goes(world);
@@ -36,7 +36,7 @@
 }
 
 fn full(executors: usize) -> World {
-    // What waits for longer than it is of use is to be let in.
+    // Jobs that wait for longer than they are useful have to be admitted.
     let without = Mechanisms::all_except([Mechanism::Admission]);
     let mut world = World::without(executors, without);
     world.run(200);
@@ -47,7 +47,8 @@
     world
 }
 
-/// A leader that is behind showed nothing of what its rounds went over.
+/// The counters show what placement rounds examine, so that operators see why
+/// a leader lags behind its events.
 #[test]
 fn steps_and_executors_that_are_looked_at_are_counted() {
     let mut world = full(EXECUTORS);
@@ -76,7 +77,7 @@
     assert!(more.executors > 3 * one.executors, "{more:?} after {one:?}");
 }
 
-/// Room for a gang is looked for among the runs that go on.
+/// To reserve capacity for a gang, the leader examines the runs in progress.
 #[test]
 fn runs_that_are_looked_at_for_a_gang_are_counted() {
     let mut world = full(EXECUTORS);
--- a/tests/jobs/outage.rs
+++ b/tests/jobs/outage.rs
@@ -1,4 +1,4 @@
-//! What becomes of jobs while the store is away, and after its return.
+//! How jobs are handled during a store outage and after it.
 
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{
@@ -7,7 +7,7 @@
 
 use super::world::{job, resources, step, World, WORK};
 
-/// When a refused client comes back.
+/// The delay after which a refused client retries.
 const COME_BACK: Millis = 1_000;
 /// How long a client waits for an answer in all, and how often it asks.
 const PATIENCE: Millis = 3_000;
@@ -69,8 +69,8 @@
     world.check();
 }
 
-/// The store may turn away this leader only; its clients are served by the
-/// next one sooner than if they came back.
+/// The store may reject this leader only. The next leader then serves its
+/// clients sooner than if they retried.
 #[test]
 fn nobody_is_refused_before_another_node_could_lead() {
     let mut world = World::new(2);
@@ -88,7 +88,8 @@
     world.check();
 }
 
-/// It may be written yet, so that its client can't be told that it is not.
+/// The commit may still be written, so the client can't be told that it was
+/// not.
 #[test]
 fn what_may_be_written_yet_is_not_refused() {
     let mut world = World::new(2);
@@ -108,8 +109,8 @@
     world.check();
 }
 
-/// Once outages are known to end by then, a job waits for the end of one
-/// rather than come back after it.
+/// Once the leader knows that outages end before a retry would be due, a job
+/// waits for the end of the outage instead.
 #[test]
 fn how_long_outages_last_is_learnt() {
     for (learns, answer) in
@@ -172,20 +173,20 @@
     world.check();
 }
 
-/// A client that hands a job in, and comes back when told to.
+/// A client that submits a job, and retries when told to.
 struct Client {
     id: u64,
     since: Millis,
     asks_at: Millis,
     tries: u32,
     request: Option<u64>,
-    /// How long its last try has waited for an answer.
+    /// How long its latest attempt has waited for an answer.
     waited: Millis,
     accepted: bool,
 }
 
-/// Clients come without pause, one every `gap`, and the store declines all for
-/// four seconds. Returns them.
+/// Simulates an outage: the store declines every commit for four seconds, and
+/// a client arrives every `gap`. Returns the clients.
 fn outage(without: Mechanisms, gap: Millis) -> Vec<Client> {
     let mut world = World::without(20, without);
     world.run(100);
@@ -241,8 +242,8 @@
     }
 }
 
-/// Nobody is held for longer than half of the time after which it would be
-/// back, and all that may still be served after the return are.
+/// No client waits for longer than half of its retry delay, and everything
+/// that can still be served after the outage is served.
 #[test]
 fn under_load_nobody_is_held_in_vain_and_all_that_come_back_are_served() {
     let clients = outage(Mechanisms::default(), 20);
@@ -250,12 +251,12 @@
     for client in &clients {
         let (from, waited) = (client.since - began, client.waited);
         assert!(waited <= COME_BACK / 2 + 60, "{from}: held {waited}");
-        // The last try is a second before the client gives up, at most.
+        // The last attempt is at most a second before the client gives up.
         if from + PATIENCE - COME_BACK > 5_000 {
             assert!(client.accepted, "from {from} ms on");
         }
     }
-    // What is in the commit that was declined would be held to its end.
+    // The jobs in a declined commit would be held until the outage ends.
     let clients = outage(Mechanisms::all_except([Mechanism::AfterOutage]), 20);
     let longest = clients.iter().map(|client| client.waited).max();
     assert!(longest > Some(PATIENCE), "held {longest:?}");
--- a/tests/jobs/reborn.rs
+++ b/tests/jobs/reborn.rs
@@ -1,20 +1,20 @@
-//! Executors that start again under the name that they had. Operators saw a
-//! task started again after its end was noted, and gangs that ran nowhere for
-//! the rest of a day while most of the room was free.
+//! Executors that restart under their former name. These tests guard against
+//! tasks that start again after their end was acknowledged, and against gangs
+//! that never run although most of the capacity is free.
 //!
-//! The order of events: a third of the executors crashed, and were back within
-//! a second under their own names, before they were given up. The leader took
-//! each for the executor that it had been. Numbers of ends begin anew with a
-//! life, so that those of the next life were dropped as known, and were taken
-//! note of by the number of the former one's last end: what was done there
-//! counted as missing, and started again. Where the clock of the next life
-//! showed less than the former one's, all that it said counted as late, so
-//! that what had run on the former one counted as running for ever.
+//! Executors crash, and return within a second under their own names, before
+//! they are given up. If the leader takes a restarted executor for the one
+//! that it was, run ends go wrong: an incarnation numbers its ends from the
+//! start again. Those of the next incarnation are dropped as known, and are
+//! acknowledged by the number of the former incarnation's last end, so that
+//! tasks done there count as missing and start again. If the clock of the next
+//! incarnation shows less than that of the former one, all its reports count
+//! as late, and what ran on the former one counts as running forever.
 //!
-//! The evidence: of each day all tasks that were started again after their end
-//! had run on executors that had crashed and were not given up, the first two
-//! runs of each on the same one; on the day of the gangs 121 of the 122 lives
-//! that had fallen silent were never given up. These tests failed before.
+//! In production, a third of the executors crashed like this. All tasks that
+//! started again after their end had run on such executors, the first two runs
+//! of each task on the same one; of 122 incarnations that fell silent on the
+//! day when gangs did not run, 121 were never given up.
 
 use puffinknot_core::jobs::message::ExecutorIndex;
 use puffinknot_core::jobs::record;
@@ -27,15 +27,16 @@
     job, resources, step, Crashes, World, LEASE, RESTART_DELAY,
 };
 
-/// How long long tasks work.
+/// The duration of long tasks.
 const LONG: u64 = 5_000;
-/// How long short tasks work.
+/// The duration of short tasks.
 const SHORT: u64 = 400;
-/// By this time executors have lived for long.
+/// By this time the executors have been running for long.
 const OLD: u64 = 20_000;
-/// Within this time a loss is found and mended, if the next life answers.
+/// A loss is found and repaired within this time if the next incarnation
+/// answers.
 const SOON: u64 = 700;
-/// A clock that shows less than that of a former life.
+/// A clock that shows less than that of a former incarnation.
 const EARLIER: u64 = 0;
 /// A clock that shows more.
 const LATER: u64 = 900_000;
@@ -44,14 +45,15 @@
     format!("{job:016x}.0.0.0").parse().expect("a task")
 }
 
-/// A task that takes most of an executor's room.
+/// A task that takes most of the capacity of an executor.
 fn wide(work: u64) -> Step {
     let mut step = step(1, resources(3_000, 100));
     step.estimate = work;
     step
 }
 
-/// So many executors that have lived for long; the first runs a long task.
+/// A cell of executors that have been running for long. The first one runs a
+/// long task.
 fn at_work(executors: usize) -> World {
     let mut world = World::new(1);
     world.run(OLD);
@@ -66,7 +68,7 @@
     world
 }
 
-/// One executor, five ends of which were taken note of.
+/// A cell of one executor, five ends of which were acknowledged.
 fn with_five_ends() -> World {
     let mut world = World::new(1);
     for id in 1..=5 {
@@ -76,8 +78,8 @@
     world
 }
 
-/// Lets time pass until an order to start a task is on its way. Returns the
-/// executor that it is for.
+/// Advances time until an order to start a task is in flight. Returns the
+/// executor that it is meant for.
 fn run_until_ordered(world: &mut World) -> usize {
     for _ in 0..100 {
         world.run(1);
@@ -88,7 +90,7 @@
     panic!("nothing is started");
 }
 
-/// The long task is soon at work again, and ends.
+/// Checks that the long task soon runs again, and ends.
 fn starts_again_and_ends(mut world: World) {
     world.run(SOON);
     assert_eq!(world.starts[&task(1)], 2, "it starts again");
@@ -101,8 +103,8 @@
     assert_eq!(world.state(1), Some(JobState::Succeeded));
 }
 
-/// What ran on a former life is lost at once, and starts again, whatever the
-/// clock of the next one shows.
+/// The runs of a former incarnation are lost at once and start again, whatever
+/// the clock of the next incarnation shows.
 #[test]
 fn what_ran_on_a_former_life_starts_again() {
     for clock in [EARLIER, LATER] {
@@ -112,7 +114,8 @@
     }
 }
 
-/// The same if nothing tells of the crash: what waits there is silent.
+/// Like the test above, but nothing reports the crash: renewals that wait
+/// there go unanswered.
 #[test]
 fn a_life_that_went_in_silence_is_found_by_its_follower() {
     let mut world = at_work(1);
@@ -122,7 +125,8 @@
     starts_again_and_ends(world);
 }
 
-/// Ends of a next life count though their numbers have been seen before.
+/// The ends of a next incarnation count although their numbers have been seen
+/// before.
 #[test]
 fn what_is_done_on_a_next_life_stays_done() {
     for clock in [EARLIER, LATER] {
@@ -142,8 +146,8 @@
     }
 }
 
-/// A start that was meant for a former life is carried out by the next one,
-/// which fails it at once: its end is heard, and counts as an attempt.
+/// A start that was meant for a former incarnation is carried out by the next
+/// one, where it fails at once: its end is heard, and counts as an attempt.
 #[test]
 fn an_end_on_a_life_that_is_not_known_yet_is_heard() {
     let mut world = with_five_ends();
@@ -159,8 +163,8 @@
     assert_eq!(world.starts[&task(6)], 1);
 }
 
-/// A start is under way when its executor starts again: it is carried out by
-/// the next life, and goes on there.
+/// A start is in flight when its executor restarts: the next incarnation
+/// carries it out, and the run goes on there.
 #[test]
 fn a_start_that_reaches_the_next_life_goes_on_there() {
     let mut world = World::new(2);
@@ -174,8 +178,8 @@
     ends(world);
 }
 
-/// A start that is delayed finds the next life sealed: its task has been
-/// started elsewhere.
+/// A start that is delayed is rejected by the seal of the next incarnation,
+/// since its task has started elsewhere.
 #[test]
 fn a_start_that_comes_late_finds_the_next_life_sealed() {
     let mut world = World::new(1);
@@ -193,8 +197,8 @@
     ends(world);
 }
 
-/// An executor that starts again twice in a row: neither of the two former
-/// lives keeps what ran there.
+/// An executor restarts twice in a row: neither of the two former incarnations
+/// keeps its runs.
 #[test]
 fn two_restarts_in_a_row_are_two_lives() {
     let mut world = at_work(1);
@@ -204,7 +208,8 @@
     starts_again_and_ends(world);
 }
 
-/// Entries come late: that of a former life says nothing of the next one.
+/// An entry may arrive late: that of a former incarnation says nothing about
+/// the next one.
 #[test]
 fn an_entry_of_a_former_life_changes_nothing() {
     let mut world = at_work(1);
@@ -222,8 +227,8 @@
     ends(world);
 }
 
-/// The room of the next life may be another: nothing is started there before
-/// its entry was read.
+/// The capacity of the next incarnation may differ: nothing starts there
+/// before its entry has been read.
 #[test]
 fn nothing_starts_on_a_life_whose_room_is_unknown() {
     let mut world = at_work(1);
@@ -235,7 +240,7 @@
     starts_again_and_ends(world);
 }
 
-/// The entry of the next life may be read before the executor is heard.
+/// The entry of the next incarnation may be read before the executor is heard.
 #[test]
 fn an_entry_that_comes_first_counts_once_the_life_is_heard() {
     let mut world = at_work(1);
@@ -247,8 +252,8 @@
     starts_again_and_ends(world);
 }
 
-/// An account of a former life that was held up says nothing of the next one:
-/// it comes after the next life was heard, and was asked for before.
+/// A delayed report of a former incarnation says nothing about the next one.
+/// It arrives after the next one was heard, and was requested before.
 #[test]
 fn an_account_of_a_former_life_that_comes_late_is_passed_over() {
     let mut world = at_work(1);
@@ -273,7 +278,8 @@
     ends(world);
 }
 
-/// A successor knows a former life from the store, and hears the next one.
+/// A successor knows a former incarnation from the store, and hears the next
+/// one.
 #[test]
 fn a_successor_hears_another_life_than_it_has_read_of() {
     for told in [true, false] {
@@ -290,7 +296,8 @@
     }
 }
 
-/// Executors that were lost with what they ran are told by their follower.
+/// Operators are told that the answer of the next incarnation shows the former
+/// one to be over.
 #[test]
 fn a_life_that_has_a_follower_is_over() {
     let mut world = at_work(1);
@@ -300,7 +307,7 @@
     assert_eq!(world.incarnations_over, over);
 }
 
-/// A crash is weighed also if the executor was back before it was missed:
+/// A crash is evidence even if the executor has returned before it was missed:
 /// tasks that crash executors are given up.
 #[test]
 fn a_task_that_crashes_executors_that_are_back_at_once_is_given_up() {
@@ -317,8 +324,8 @@
     assert!(world.starts[&task(1)] <= 6, "{}", world.starts[&task(1)]);
 }
 
-/// What an executor says without naming its life, where its lives are told
-/// apart, is no account of any.
+/// If an executor's incarnations have birth times, a report without one counts
+/// as a report of none of them.
 #[test]
 fn an_account_that_names_no_life_counts_as_none() {
     let mut world = at_work(1);
@@ -335,8 +342,8 @@
     assert_eq!(world.incarnations_over.len(), 1);
     ends(world);
 }
-/// An entry that can't be read any more names no executor to use. What runs
-/// there goes on.
+/// An entry that is no longer readable names no usable executor. Its runs go
+/// on.
 #[test]
 fn an_entry_that_is_unreadable_now_gets_nothing_new() {
     let mut world = at_work(1);
@@ -352,9 +359,9 @@
     world.check();
 }
 
-/// A job was given up though only one executor had crashed under its task: an
-/// order that was on its way when the crash was seen counted as having been
-/// there.
+/// Guards against a job that is given up although only one executor has
+/// crashed under its task: an order that was in flight when the crash was
+/// noticed must not count as a run there.
 #[test]
 fn an_order_that_never_arrived_was_under_no_crash() {
     let mut world = World::new(4);
@@ -370,8 +377,8 @@
     world.check();
 }
 
-/// A machine whose executor comes back from its upkeep under its name has had
-/// it, and the next one takes its turn.
+/// A machine whose executor returns from maintenance under its name has had
+/// its maintenance, and the next machine follows.
 #[test]
 fn an_upkeep_is_over_though_the_name_is_the_same() {
     let mut world = World::new(2);
@@ -390,8 +397,8 @@
     world.check();
 }
 
-/// An entry of a service that no policy names is nobody to ask: a successor
-/// would wait for it.
+/// An entry of a service that is not in the policy must not be enrolled: a
+/// successor would wait for that executor.
 #[test]
 fn an_entry_of_an_unknown_service_is_passed_over() {
     let mut world = World::new(1);
@@ -407,8 +414,8 @@
     assert_eq!(world.scheduler.executor_count(), 1);
 }
 
-/// An executor whose lives are not told apart, and of which an entry by
-/// another writer was read first, is used once its own entry is read.
+/// An executor whose incarnations have no birth times, and of which an entry
+/// by another writer was read first, is used once its own entry has been read.
 #[test]
 fn an_entry_of_another_writer_keeps_no_executor_from_use() {
     let mut world = World::new(0);
@@ -426,8 +433,8 @@
     ends(world);
 }
 
-/// A successor waits for no life that was followed before it led: what it was
-/// left in the store names the newest one only.
+/// A successor does not wait for an incarnation that was replaced before the
+/// successor led: the store names only the newest one.
 #[test]
 fn a_successor_waits_for_no_life_that_was_followed() {
     let mut world = at_work(2);
@@ -442,9 +449,10 @@
     ends(world);
 }
 
-/// A successor has asked a life that it has not heard yet, and the next one
-/// answers first. The answer of the former one comes after that: it was asked
-/// for before the next one was heard, so that it may be the older.
+/// A successor has asked an incarnation that it has not heard yet, and the
+/// next incarnation answers first. The answer of the former one arrives
+/// afterwards. It was requested before the next one was heard, so it may be
+/// from the older of the two.
 #[test]
 fn a_former_life_that_answers_last_is_not_the_newer_one() {
     let mut world = at_work(1);
@@ -459,7 +467,7 @@
     let answer =
         ExecutorReport { born, clock: LATER, ..ExecutorReport::default() };
     let lives = world.incarnations_over.len();
-    // Whether a hold is open there or not.
+    // Whether a renewal is open there or not.
     world.executors[0].isolated = true;
     for _ in 0..200 {
         world.run(10);
@@ -479,10 +487,10 @@
     ends(world);
 }
 
-/// A start was on its way when its executor crashed, and the next life has
-/// carried it out, unanswered, and ended it before anybody knew of that life.
-/// It is not told the number of a former life's last end: it would forget its
-/// own.
+/// A start was in flight when its executor crashed. The next incarnation has
+/// carried it out without an answer, and the run has ended, before the leader
+/// knows of that incarnation. The next incarnation must not be sent the number
+/// of the former one's last end: it would discard its own end.
 #[test]
 fn an_end_that_nobody_has_read_is_not_forgotten() {
     for clock in [EARLIER, LATER] {
@@ -502,9 +510,9 @@
     }
 }
 
-/// An executor has gone with an order that it had left unanswered, and is back
-/// under its name when the order is carried out: the task waits until that is
-/// sealed, though another executor has room.
+/// An executor has died with an order that it had left unanswered, and is back
+/// under its name when the order is carried out. The task waits until the
+/// order is sealed, although another executor has capacity.
 #[test]
 fn an_order_that_outlives_its_executor_is_sealed_on_the_next_life() {
     let mut world = World::new(1);
@@ -521,7 +529,8 @@
     ends(world);
 }
 
-/// The same if nobody comes back: the task waits no longer than any order.
+/// Like the test above, but the executor does not return: the task waits no
+/// longer than the longest delay of an order.
 #[test]
 fn an_order_whose_executor_stays_away_holds_its_task_for_a_while_only() {
     let mut world = World::new(1);
@@ -537,15 +546,15 @@
     ends(world);
 }
 
-/// What the store keeps of executors.
+/// The executors that are in the store.
 fn shards(world: &World) -> Vec<(String, Vec<u8>)> {
     let kept = world.store.iter();
     let kept = kept.filter(|(name, _)| name.starts_with(record::SHARD_PREFIX));
     kept.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
 
-/// A life that was followed is not in what a successor is left, though it is
-/// not given up yet.
+/// An incarnation that was replaced is not left to a successor, even if it has
+/// not been given up yet.
 #[test]
 fn a_followed_life_is_left_to_nobody() {
     let mut world = at_work(2);
@@ -563,9 +572,9 @@
     ends(world);
 }
 
-/// A job was given up though only one executor had crashed under its task:
-/// an order that an executor had left for later when it crashed counted as
-/// having been there. A soak of processes had shown such a job once.
+/// Guards against a job that is given up although only one executor has
+/// crashed under its task: an order that the executor had deferred when it
+/// crashed must not count as a run there.
 #[test]
 fn an_order_that_was_left_for_later_was_under_no_crash() {
     let mut world = World::new(4);
@@ -584,10 +593,11 @@
     world.check();
 }
 
-/// An executor has crashed with an order that it had left unanswered, and the
-/// list of machines tells so after its follower, under another name, was
-/// heard: the task starts again at once. It had waited for as long as any
-/// order may be late, and gangs with it, though most of the room was free.
+/// Guards against a task that waits for the longest delay of an order, and
+/// against gangs that wait with it, although most of the capacity is free. An
+/// executor has crashed with an order that it had left unanswered. The list of
+/// machines shows the crash after the executor's replacement, which has
+/// another name, was heard: the task starts again at once.
 #[test]
 fn an_order_that_the_follower_refuses_holds_no_task() {
     let mut world = World::new(1);
--- a/tests/jobs/room.rs
+++ b/tests/jobs/room.rs
@@ -1,21 +1,21 @@
-//! The room of executors that shrinks and grows while they run.
+//! Executors whose capacity shrinks and grows while they run.
 
 use puffinknot_core::jobs::{Event, JobState};
 
 use super::world::{job, resources, step, World, WORK};
 
-/// Time enough for what has shrunk to bind.
+/// Enough time for reduced capacity to bind.
 const BINDS: u64 = 5_000;
 
-/// An executor was given more than it had room for, after a change of
-/// leaders. Its room had shrunk while the former one led. The successor knew
-/// it from the list of executors that its predecessor had written before
-/// that, heard it, and filled the room of then, while the store was slow to
-/// tell it of entries.
+/// Guards against an executor that is given more than its capacity after a
+/// change of leaders. Its capacity has shrunk under the former leader. The
+/// successor knows its former capacity from the executor list that its
+/// predecessor wrote earlier. It must not fill that capacity when it has heard
+/// the executor but the store is slow to deliver entries.
 #[test]
 fn a_successor_uses_no_room_of_which_it_has_not_read() {
     let mut world = World::new(1);
-    // It has written on which machine the executor lives.
+    // The leader has written which machine hosts the executor.
     world.run(2 * BINDS);
     world.resize(0, resources(1_000, 8_000));
     world.list_entry(0);
@@ -35,8 +35,8 @@
     }
 }
 
-/// An executor whose entry is gone when a successor reads them all is as it
-/// was known: what the store does not list is no reason to wait.
+/// An executor without an entry when a successor reads all entries keeps its
+/// known capacity: a missing entry is no reason to wait.
 #[test]
 fn a_successor_uses_an_executor_that_is_not_listed() {
     let mut world = World::new(1);
@@ -48,9 +48,9 @@
     assert_eq!(world.state(1), Some(JobState::Succeeded));
 }
 
-/// Room shrinks under what runs, and under what is kept for a gang, and grows
-/// again. Nothing is stopped for it, nothing is started beyond it, and no job
-/// is given up that was too large for a while.
+/// Capacity shrinks below what runs, and below what is reserved for a gang,
+/// and grows again. Nothing is stopped for that, nothing starts beyond the
+/// capacity, and no job is given up because it was too large for a while.
 #[test]
 fn room_that_shrinks_for_a_while_gives_up_nothing() {
     let mut world = World::new(4);
@@ -83,8 +83,8 @@
     }
 }
 
-/// Waves and shrinking room overlap: what comes back from its upkeep is as
-/// large as it says.
+/// Maintenance waves and shrinking capacity overlap: an executor that returns
+/// from maintenance has the capacity that it reports.
 #[test]
 fn a_gang_keeps_to_room_that_has_shrunk_under_it() {
     let mut world = World::new(3);
--- a/tests/jobs/rounds.rs
+++ b/tests/jobs/rounds.rs
@@ -1,4 +1,4 @@
-//! How much of the time the placing of tasks takes.
+//! The share of the time that placement takes.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 const EXECUTORS: usize = 320;
 const GANGS: u64 = 300;
-/// How long the leader is looked at.
+/// How long the leader is observed.
 const WATCHED: Millis = 10_000;
 
-/// A cell that is full, with hundreds of gangs that wait for half of it.
+/// A full cell, with hundreds of gangs that wait for half of it.
 fn crowded() -> World {
     let without = Mechanisms::all_except([Mechanism::Admission]);
     let mut world = World::without(EXECUTORS, without);
@@ -30,7 +30,8 @@
     world
 }
 
-/// It heard of ends seconds late: each round went over all that waits.
+/// Guards against a leader that hears of run ends seconds late, because each
+/// placement round examines everything that waits.
 #[test]
 fn placing_leaves_time_to_what_comes_in_while_hundreds_of_gangs_wait() {
     let mut world = crowded();
--- a/tests/jobs/rules.rs
+++ b/tests/jobs/rules.rs
@@ -162,8 +162,8 @@
     world.check();
 }
 
-/// Whether a task that needs a whole executor ends while small ones keep
-/// coming.
+/// Whether a task that needs a whole executor ends while small tasks keep
+/// arriving.
 fn wide_task_ends(without: Mechanisms) -> bool {
     let mut world = World::without(2, without);
     world.run(100);
@@ -187,8 +187,8 @@
     ended
 }
 
-/// Small tasks took what got free, and a wide one that was no gang waited for
-/// as long as they came (map renders on tally-tbilisi).
+/// Guards against small tasks that take everything that becomes free, so that
+/// a wide task that is not a gang waits for as long as they arrive.
 #[test]
 fn a_wide_task_gets_its_turn_while_small_ones_come() {
     let off = Mechanisms::all_except([Mechanism::GangReservations]);
@@ -196,9 +196,10 @@
     assert!(wide_task_ends(Mechanisms::default()));
 }
 
-/// Each step asked for advice about the same hundred executors, the first of
-/// the list, which were full for that; of 1,100, wide gangs waited for 5 s
-/// while two fifths of the cell were idle.
+/// Guards against steps that all ask for advice about the same hundred
+/// executors, the first of the list, which are full because of that. In a cell
+/// of 1,100 executors, wide gangs waited for 5 s while two fifths of the cell
+/// were idle.
 #[test]
 fn advice_is_asked_of_executors_with_room() {
     const EXECUTORS: usize = 300;
@@ -220,9 +221,9 @@
     world.check();
 }
 
-/// A gang on more executors than one call may ask about asked for all of its
-/// tickets anew in one call, which was refused each time, and waited for ever
-/// in an empty cell.
+/// Guards against a gang that waits forever in an empty cell. A gang on more
+/// executors than one call may cover must not renew all its tickets in one
+/// call, which would be refused each time.
 #[test]
 fn a_gang_gets_tickets_from_several_calls_at_one_time() {
     const EXECUTORS: usize = 300;
@@ -241,8 +242,8 @@
     world.check();
 }
 
-/// A gang waited for its first advice for as long as one node takes to be
-/// advised on all executors.
+/// Guards against a gang whose first advice takes as long as one node needs to
+/// obtain advice on all executors.
 #[test]
 fn long_calls_for_advice_are_made_in_parts_while_nodes_are_free() {
     let asked = |without: Mechanisms| {
--- a/tests/jobs/services.rs
+++ b/tests/jobs/services.rs
@@ -1,4 +1,4 @@
-//! Tasks that last, tasks that fill beside them, and waves of upkeep.
+//! Serving tasks, filler tasks that run beside them, and maintenance waves.
 
 use puffinknot_core::jobs::{JobId, JobState, MaintenanceWave, Request, Step};
 
@@ -107,8 +107,8 @@
     world.check();
 }
 
-/// A successor goes on with the wave: no machine has its upkeep twice, and
-/// it is not said to be done before it is.
+/// A successor continues a wave: no machine has its maintenance twice, and the
+/// wave is not reported done before it is.
 #[test]
 fn a_wave_survives_the_leader() {
     let mut world = World::new(3);
@@ -127,8 +127,8 @@
     assert_eq!(upkeeps, ["x0", "x1", "x2"]);
 }
 
-/// A call that was not answered may be carried out later, so that its
-/// machine counts as down meanwhile.
+/// A call that was not answered may be carried out later, so its machine
+/// counts as down until then.
 #[test]
 fn a_call_for_upkeep_without_answer_counts() {
     let mut world = World::new(3);
--- a/tests/jobs/shares.rs
+++ b/tests/jobs/shares.rs
@@ -1,5 +1,6 @@
-//! A full cell, one account that sends many times its usual, and what the
-//! others get: played against the decisions, in virtual time.
+//! A full cell in which one account sends many times its usual load, and how
+//! the other accounts are served. These tests simulate the decisions in
+//! virtual time.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -12,22 +13,22 @@
 use super::world::{account, job, owned_queue, resources, step, World};
 
 const EXECUTORS: usize = 40;
-/// Accounts of unequal weight; the first is the largest.
+/// The number of accounts. Their weights differ; the first is the largest.
 const ACCOUNTS: usize = 20;
-/// How long an urgent task takes, and a patient one.
+/// The durations of urgent (`SHORT`) and normal (`LONG`) tasks.
 const SHORT: Millis = 600;
 const LONG: Millis = 2_700;
-/// Jobs a second on a calm day: they take four fifths of the cell.
+/// The rates of jobs under normal load, which take four fifths of the cell.
 const URGENT_PER_S: f64 = 15.0;
 const PATIENT_PER_S: f64 = 3.7;
-/// The flood: the largest account sends so many times its usual.
+/// During a flood, the largest account sends this many times its usual load.
 const FLOOD: f64 = 6.0;
-/// What an urgent job may take beside its work.
+/// The slack of an urgent job beyond its run time.
 const TARGET: Millis = 250;
-/// A patient job may wait for so long and meet its objective, in a world in
-/// which its queue adds a second to four times the work.
+/// A normal job may wait for this long and meet its objective, since its queue
+/// adds a second to four times the run time.
 const SLACK: Millis = 3 * LONG + 1_000;
-/// The time between two looks at the world.
+/// The interval at which the cell is observed.
 const LOOK: Millis = 10;
 
 fn name(at: usize) -> String {
@@ -38,7 +39,7 @@
     1.0 / ((at + 1) as f64).powf(1.2)
 }
 
-/// A world of accounts, with an urgent and a patient queue.
+/// A cell with accounts, an urgent queue and a normal queue.
 fn world(executors: usize, without: Mechanisms) -> World {
     let mut world = World::without(executors, without);
     world.set_policy(|policy| {
@@ -72,15 +73,17 @@
     format!("{id:016x}.0.0.0").parse().expect("a task")
 }
 
-/// A day: what accounts hand in, and when it starts.
+/// A simulated load: the jobs that accounts submit, and their waits.
 struct Day {
     world: World,
-    /// Who has handed in which kind of jobs, and how much of the next.
+    /// The kinds of jobs that each account submits, and the fraction of the
+    /// next job that is due.
     due: BTreeMap<(usize, bool), f64>,
     next: u64,
-    /// Jobs that have not started: of whom, whether urgent, and since when.
+    /// Jobs that have not started: the account, whether it is urgent, and the
+    /// time of submission.
     waiting: BTreeMap<u64, (usize, bool, Millis)>,
-    /// How long jobs waited for their first start.
+    /// How long jobs have waited for their first start.
     waited: BTreeMap<(usize, bool), Vec<Millis>>,
 }
 
@@ -95,8 +98,8 @@
         }
     }
 
-    /// Plays so much time, in which the first account sends so many times its
-    /// usual.
+    /// Simulates this much time, in which the first account sends `times` its
+    /// usual load.
     fn play(&mut self, time: Millis, times: f64) {
         let sum: f64 = (0..ACCOUNTS).map(weight).sum();
         let end = self.world.now + time;
@@ -148,8 +151,8 @@
         });
     }
 
-    /// The 90th percentile of what jobs of all but the first account have
-    /// waited since the last time, with those that still do.
+    /// The 90th percentile of the waits of all accounts but the first since
+    /// the last call, including the jobs that still wait.
     fn others_waited(&mut self, urgent: bool) -> Millis {
         let kind = |at: usize, is: bool| at > 0 && is == urgent;
         let started = self.waited.iter();
@@ -167,7 +170,7 @@
     }
 }
 
-/// No protection at all.
+/// Without any protection.
 fn unprotected() -> Mechanisms {
     Mechanisms::all_except([
         Mechanism::CapacityShares,
@@ -175,8 +178,8 @@
     ])
 }
 
-/// Whether urgent jobs of the others wait no longer than on a calm day and
-/// what their objective adds to the work, and patient ones not so much longer.
+/// Whether the urgent jobs of the others wait no longer than under normal load
+/// plus the slack of their objective, and normal ones at most `longer` more.
 fn served(day: &mut Day, calm: (Millis, Millis), longer: Millis) -> bool {
     let (urgent, patient) =
         (day.others_waited(true), day.others_waited(false));
@@ -194,7 +197,7 @@
         day.play(LONG, FLOOD);
         day.others_waited(false);
         day.play(8_000, FLOOD);
-        // What is lent comes back as runs end.
+        // Lent capacity is returned as runs end.
         assert_eq!(served(&mut day, calm, LONG), spared);
         let told = day.world.scheduler.counters().get("accounts_over_share");
         assert_eq!(told.is_some(), spared);
@@ -202,8 +205,8 @@
     }
 }
 
-/// A successor begins the means at zero, and what accounts hold is known when
-/// executors have answered.
+/// A successor starts its averages at zero, and knows what accounts have
+/// running once executors have answered.
 #[test]
 fn a_takeover_amid_a_flood_spares_the_others_again() {
     let mut day = Day::new(Mechanisms::default());
@@ -236,8 +239,8 @@
     day.world.check();
 }
 
-/// While the store is away nothing is accepted; what came meanwhile does not
-/// let the flood overtake the others.
+/// Nothing is accepted during a store outage. The jobs that arrive in the
+/// meantime must not let the flood overtake the others.
 #[test]
 fn a_store_that_was_away_amid_a_flood_leaves_the_shares() {
     let mut day = Day::new(Mechanisms::default());
@@ -255,12 +258,14 @@
     day.world.check();
 }
 
-/// The thousandths of a core that a job's tasks hold.
+/// The processor time in use by the tasks of these jobs, in thousandths of a
+/// core.
 fn held(world: &World, jobs: impl Iterator<Item = u64>) -> usize {
     jobs.map(|id| world.executors_with(id).len() * 1_000).sum()
 }
 
-/// Two accounts of one weight; the first has more to do than there is room.
+/// Two accounts of equal weight; the first has more jobs than there is
+/// capacity.
 fn two(executors: usize, jobs: u64) -> World {
     let mut world = world(executors, Mechanisms::default());
     world.set_policy(|policy| {
@@ -298,7 +303,7 @@
     for id in 100..110 {
         world.submit_as(&name(1), of(id, "patient", 1, LONG));
     }
-    // Whose patient runs hold more than their share has urgent work.
+    // An account whose normal runs exceed its share has urgent jobs.
     world.submit_as(&name(0), of(200, "preview", 1, SHORT));
     while !world.starts.contains_key(&first_task(200)) {
         assert!(!world.starts.contains_key(&first_task(100)));
@@ -324,7 +329,8 @@
             world.submit_as(&name(0), of(id, "preview", 1, SHORT));
         }
         world.run(2 * SHORT);
-        // Its urgent work alone holds more than half of what is urgent.
+        // The urgent jobs of the account alone use more than half of the
+        // urgent total.
         world.submit_as(&name(1), of(400, "preview", 1, SHORT));
         for id in 500..510 {
             world.submit_as(&name(1), of(id, "patient", 1, LONG));
@@ -337,8 +343,9 @@
     }
 }
 
-/// Two accounts of one weight, the first of which hands in so many urgent jobs
-/// at one moment; returned as the first of them would have ended twice.
+/// Two accounts of equal weight, the first of which submits this many urgent
+/// jobs at one moment. Returns the cell at the time by which the first of
+/// these jobs could have run twice.
 fn flooded(executors: usize, jobs: u64, begun: Millis) -> World {
     let mut world = two(executors, 0);
     world.run(begun);
@@ -349,15 +356,15 @@
     world
 }
 
-/// How many of these jobs have started.
+/// The number of these jobs that have started.
 fn started(world: &World, jobs: Range<u64>) -> usize {
     let started = |id: &u64| world.starts.contains_key(&first_task(*id));
     jobs.filter(started).count()
 }
 
-/// Guards against a flood that keeps the whole cell until it has ended: its
-/// tasks ended together, so that its account held nothing whenever starts
-/// were decided.
+/// Guards against a flood that occupies the whole cell until it has ended: its
+/// tasks end together, so its account has nothing running whenever starts are
+/// decided.
 #[test]
 fn patient_work_starts_in_a_flood_of_any_size_at_any_moment() {
     let mut late = Vec::new();
@@ -378,8 +385,8 @@
     assert!(late.is_empty(), "{} floods: {late:?}", late.len());
 }
 
-/// Guards against an account within its share that is let into a flood, but
-/// gets less than its share: half, give or take a task.
+/// Guards against an account within its share that receives less than its
+/// share during a flood. The share is half, give or take a task.
 #[test]
 fn an_account_gets_its_share_of_the_room_in_a_flood() {
     let mut short = Vec::new();
@@ -405,7 +412,8 @@
     assert!(short.is_empty(), "{short:?}");
 }
 
-/// What an account may not use of its share for its limit is lent.
+/// The part of its share that an account can't use because of its limit is
+/// lent.
 #[test]
 fn a_share_beyond_a_limit_is_lent() {
     let mut world = two(10, 0);
@@ -426,7 +434,8 @@
     world.check();
 }
 
-/// A gang of a small account gets its room though a flood fills the cell.
+/// A gang of a small account obtains its capacity although a flood fills the
+/// cell.
 #[test]
 fn a_gang_within_its_share_gets_room_in_a_flood() {
     let mut day = Day::new(Mechanisms::default());
@@ -446,7 +455,8 @@
     day.world.check();
 }
 
-/// Without accounts, and in a cell that has room, all starts as before.
+/// Without accounts, and in a cell with free capacity, all jobs start as
+/// before.
 #[test]
 fn shares_change_nothing_where_nothing_competes() {
     let starts = |without: Mechanisms, owned: bool, jobs: u64| {
--- a/tests/jobs/size.rs
+++ b/tests/jobs/size.rs
@@ -1,4 +1,4 @@
-//! What must not grow with the whole cell for each event in it.
+//! Work and writes per event that must not grow with the size of the cell.
 
 use std::collections::BTreeMap;
 
@@ -13,15 +13,16 @@
 
 const EXECUTORS: usize = 320;
 
-/// What the store keeps of executors.
+/// The executors that are in the store.
 fn shards(world: &World) -> BTreeMap<String, Vec<u8>> {
     let kept = world.store.iter();
     let kept = kept.filter(|(name, _)| name.starts_with(record::SHARD_PREFIX));
     kept.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
 
-/// The whole list was written again when one executor came or went, in one
-/// value, which the store would have refused in a cell of some ten thousand.
+/// Guards against a leader that writes the whole executor list in one value
+/// whenever one executor comes or goes. In a cell of some ten thousand
+/// executors the store would refuse that value.
 #[test]
 fn an_executor_that_comes_has_a_part_of_the_list_written() {
     let mut world = World::new(EXECUTORS);
@@ -40,7 +41,7 @@
     assert_eq!(written.count(), 1);
 }
 
-/// Nobody is forgotten by it: a successor asks each of them.
+/// Sharding forgets no executor: a successor asks each of them.
 #[test]
 fn a_successor_knows_the_executors_of_all_shards() {
     let mut world = World::new(EXECUTORS);
@@ -59,7 +60,7 @@
 }
 
 /// A leader of this version takes over from one of an earlier version: the
-/// whole list goes once all of it stands in shards.
+/// whole list is removed once all of it is in shards.
 #[test]
 fn a_whole_list_of_an_earlier_version_becomes_shards() {
     let mut world = World::new(8);
@@ -85,7 +86,7 @@
     assert_eq!(kept.sum::<usize>(), 8);
 }
 
-/// Each step that waited looked through all executors in each placing.
+/// Guards against placement that examines all executors for each waiting step.
 #[test]
 fn steps_that_wait_do_not_search_executors_that_were_all_asked_about() {
     let mut world = World::new(8);
@@ -103,7 +104,7 @@
     let before = counted(&world, "advice_searches");
     world.run(2_000);
     assert_eq!(counted(&world, "advice_searches"), before);
-    // Those that come are found.
+    // New executors are found.
     for number in 8..12 {
         world.add_executor(&format!("comes-{number}"));
         world.list_entry(number);
--- a/tests/jobs/speeds.rs
+++ b/tests/jobs/speeds.rs
@@ -1,4 +1,5 @@
-//! How fast executors are is learnt from runs, and what callers get by it.
+//! The speeds of executors are learnt from runs, and callers benefit from
+//! that.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +10,7 @@
 
 use super::world::{job, resources, step, World, LEASE, WORK};
 
-/// An executor that takes as long as this, in percent, counts as quick.
+/// The run times on a quick executor, in percent of normal.
 const QUICK: u64 = 50;
 
 fn without_speeds() -> Mechanisms {
@@ -21,7 +22,7 @@
     job(id, queue, vec![step(tasks, resources(4_000, 100))])
 }
 
-/// A world whose last executors are quick.
+/// A cell whose last executors are quick.
 fn uneven(executors: usize, quick: usize, without: Mechanisms) -> World {
     let mut world = World::without(executors, without);
     for executor in &mut world.executors[executors - quick..] {
@@ -31,7 +32,7 @@
     world
 }
 
-/// Runs jobs that take all executors, so often.
+/// Runs jobs that occupy all executors, this many times.
 fn teach(world: &mut World, first: u64, rounds: u64) {
     let all = world.executors.len() as u32;
     for id in first..first + rounds {
@@ -40,7 +41,8 @@
     }
 }
 
-/// Leaves urgent work a fifth of its time, and a little.
+/// Tightens the objective of urgent jobs to a fifth of their run time and a
+/// little more.
 fn tighten(world: &mut World) {
     world.set_policy(|policy| {
         let queue = policy.queues.get_mut("urgent").expect("a queue");
@@ -103,7 +105,7 @@
         let at = slow as usize;
         world.executors[at - 1].run_time_percent = 100 * slow;
     }
-    // Three runs of it each, which go on for longer than their steps.
+    // Three runs on each, which last longer than their steps should.
     for id in 20..23 {
         world.submit(wide(id, "batch", 8));
         world.run(8 * WORK);
@@ -111,7 +113,7 @@
     for at in [3, 7] {
         assert!(percent(&world, at) > 200, "{at}: {}", percent(&world, at));
     }
-    // Urgent work goes elsewhere while others have room.
+    // Urgent tasks go elsewhere while others have capacity.
     for id in 30..40 {
         world.submit(wide(id, "urgent", 1));
         world.run(20);
@@ -133,7 +135,7 @@
     }
     assert!(percent(&world, 0) > 200);
     world.executors[0].run_time_percent = 100;
-    // Nothing needs it, and evidence fades.
+    // No job needs the executor, and the evidence fades.
     world.run(60_000);
     assert_eq!(percent(&world, 0), 100);
     teach(&mut world, 30, 4);
@@ -141,8 +143,8 @@
     world.check();
 }
 
-/// An executor that gets hard work over and over is no slow one: all tasks of
-/// a step are as hard, wherever they run.
+/// An executor that receives hard tasks over and over is not slow: all tasks
+/// of a step are equally hard, wherever they run.
 #[test]
 fn hard_work_is_not_slowness() {
     let mut world = uneven(4, 0, Mechanisms::default());
@@ -178,8 +180,8 @@
     world.check();
 }
 
-/// A successor places by what its predecessor has learnt, and its predecessor
-/// has written it a few times only.
+/// A successor places tasks by what its predecessor has learnt, which the
+/// predecessor writes only a few times.
 #[test]
 fn a_successor_knows_the_speeds() {
     let mut world = uneven(8, 2, Mechanisms::default());
@@ -216,7 +218,7 @@
     let names: Vec<String> = names.cloned().collect();
     for name in names {
         let shard = Shard::read(&world.store[&name]).expect("a shard");
-        // It held the executors only.
+        // An earlier version wrote the executors only.
         let former = record::encode(&shard.executors);
         let read = Shard::read(&former).expect("a former shard");
         assert_eq!(read.executors, shard.executors);
@@ -227,9 +229,9 @@
     assert_eq!(world.scheduler.executor_count(), 4);
 }
 
-/// What callers get: urgent work beside patient work on executors of which a
-/// quarter is quick and the rest is slow. Returns how many urgent jobs were in
-/// time, of how many.
+/// Urgent jobs beside normal jobs, on executors of which a quarter are quick
+/// and the others slow. Returns how many urgent jobs were in time, and their
+/// total.
 fn urgent_in_time(without: Mechanisms, takeover: bool) -> (usize, usize) {
     let mut world = uneven(8, 2, without);
     tighten(&mut world);
@@ -287,8 +289,8 @@
     assert!(with >= all * 9 / 10, "{with} of {all} in time");
 }
 
-/// The members of a gang end with the slowest: patient ones leave the quick
-/// alone where others have room for all.
+/// The members of a gang end with the slowest one: normal gangs avoid the
+/// quick executors where others have capacity for all members.
 #[test]
 fn members_of_a_gang_are_alike() {
     let mut world = uneven(8, 2, Mechanisms::default());
@@ -301,7 +303,8 @@
     assert_eq!(at.len(), 4);
     assert!(at.iter().all(|at| *at < 6), "{at:?}");
     world.run(4 * WORK);
-    // There is no room for all on executors that are alike.
+    // There is not enough capacity for all of them on executors of equal
+    // speed.
     members.count = 8;
     world.submit(job(51, "background", vec![members]));
     world.run(4 * WORK);
@@ -309,8 +312,8 @@
     world.check();
 }
 
-/// Guesses that are all too small by the same factor are corrected, and the
-/// tasks that are left of a step are reckoned by those that have ended.
+/// Estimates that are all too low by the same factor are corrected, and the
+/// remaining tasks of a step are estimated from those that have ended.
 #[test]
 fn the_error_of_guesses_is_learnt() {
     let mut error = EstimateError::default();
@@ -328,13 +331,14 @@
     }
     let corrected = error.run_time(1_000, &none);
     assert!((1_800..2_100).contains(&corrected), "{corrected}");
-    // Nearer to what was seen than to the guess.
+    // Closer to the observed run time than to the estimate.
     let seen = error.run_time(1_000, &alike(4_000));
     assert!((2_829..4_000).contains(&seen), "{seen}");
     assert_eq!(EstimateError::default().run_time(1_000, &none), 1_000);
 }
 
-/// Runs of one step differ by chance; no executor differs by that.
+/// The run times within one step vary at random; that must not make executors
+/// differ.
 #[test]
 fn chance_makes_no_executor_differ() {
     let mut speeds = [Speed::default(); 20];
@@ -345,11 +349,11 @@
         (random >> 33) as f64 / f64::from(1_u32 << 31)
     };
     let error = EstimateError::default();
-    // The mean of what the work below is.
+    // The mean of the run times below.
     let expected = 1_000_f64.ln() + 1.0;
     let mut differ = 0;
     for round in 0..200 {
-        // The guess is off by a factor of its own each time.
+        // The estimate is off by a different factor each time.
         let work = 1_000.0 * (draw() * 2.0).exp();
         let mut times = StepTimes::default();
         for (at, speed) in speeds.iter().enumerate() {
@@ -365,7 +369,7 @@
             differ += usize::from(speed.slowness() != 0.0);
         }
     }
-    // One in a hundred of 4,000.
+    // One percent of 4,000.
     assert!(differ <= 40, "{differ}");
 }
 
@@ -377,7 +381,8 @@
     assert_eq!(Speed::from_stored(0, 0), Speed::default());
 }
 
-/// All members of a gang take the same time, and tell of one guess.
+/// All members of a gang take the same time, and count as one sample of the
+/// estimate's error.
 #[test]
 fn a_gang_tells_once_how_far_its_guess_is_off() {
     let mut world = uneven(8, 0, Mechanisms::default());
--- a/tests/jobs/urgent.rs
+++ b/tests/jobs/urgent.rs
@@ -1,4 +1,4 @@
-//! Urgent tasks in a cell that is full, and what may wait beside them.
+//! Urgent tasks in a full cell, and the jobs beside them that may wait.
 
 use std::collections::BTreeMap;
 
@@ -12,11 +12,11 @@
 use super::world::{job, resources, step, World, WORK};
 
 const EXECUTORS: usize = 8;
-/// Urgent jobs have numbers from here on.
+/// The ids of urgent jobs start here.
 const URGENT: u64 = 1_000;
-/// The objective of an urgent job: twice its work, and a second.
+/// The objective of an urgent job: twice its run time plus a second.
 const OBJECTIVE: Millis = 2 * WORK + 1_000;
-/// A start later than this after the job was handed in is late.
+/// A start later than this after the submission of the job is late.
 const AT_ONCE: Millis = 400;
 
 fn patient(id: u64, count: u32, works: u64, saves: bool) -> Job {
@@ -38,7 +38,7 @@
     world.scheduler.counters().get(name).copied().unwrap_or(0)
 }
 
-/// When each urgent job was handed in, and how long it waited for its start.
+/// When each urgent job was submitted, and how long it waited for its start.
 #[derive(Default)]
 struct Waits {
     handed_in: BTreeMap<u64, Millis>,
@@ -52,7 +52,7 @@
         world.submit(job);
     }
 
-    /// Lets time pass and notes what starts and ends meanwhile.
+    /// Advances time, and records starts and ends.
     fn run(&mut self, world: &mut World, time: Millis) {
         const GRAIN: Millis = 10;
         for _ in 0..time / GRAIN {
@@ -84,8 +84,8 @@
     }
 }
 
-/// A cell whose executors are all taken for long by tasks that save their
-/// progress.
+/// A cell whose executors are all occupied for long by tasks that write
+/// checkpoints.
 fn full(without: Mechanisms) -> World {
     let mut world = World::without(EXECUTORS, without);
     world.run(50);
@@ -97,7 +97,7 @@
     world
 }
 
-/// A burst of urgent jobs on a full cell, over two seconds.
+/// Submits a burst of urgent jobs to a full cell, over two seconds.
 fn burst(world: &mut World) -> Waits {
     let mut waits = Waits::default();
     for id in 1..=20 {
@@ -120,7 +120,7 @@
     let waits = burst(&mut without);
     assert_eq!(waits.at_once(), 0);
     assert_eq!(counted(&without, "urgent_displacements"), 0);
-    // What gave way has only moved: all is done by when it should be.
+    // Preempted tasks have only moved: all are done in due time.
     for world in [&mut world, &mut without] {
         world.run(2 * 16 * WORK);
         assert!(world.unfinished().is_empty());
@@ -161,8 +161,8 @@
     }
 }
 
-/// Room that is bought is not lost to others while the victims stop, and the
-/// rest of the executor is not kept.
+/// Capacity that preemption frees is not lost to others while the preempted
+/// tasks stop, and the rest of the executor is not reserved.
 #[test]
 fn an_urgent_gang_gets_all_of_its_room() {
     let mut world = full(Mechanisms::default());
@@ -215,8 +215,8 @@
     world.check();
 }
 
-/// Four waves of small urgent jobs beside a backlog that saves no progress and
-/// has not waited for twice its objective at their end.
+/// Four bursts of small urgent jobs, beside a backlog that writes no
+/// checkpoints and has not waited for twice its objective at the end.
 fn waves(without: Mechanisms) -> (World, Waits) {
     let mut world = World::without(EXECUTORS, without);
     world.run(50);
@@ -243,7 +243,7 @@
     let only = [Mechanism::UrgentPreemption, Mechanism::UrgentHeadroom];
     let (_, before) = waves(off(&only));
     let (mut world, after) = waves(off(&only[..1]));
-    // The first wave finds the cell full.
+    // The first burst finds the cell full.
     let later = |waits: &Waits| {
         let later = waits.waited.range(URGENT + 5..);
         later.filter(|(_, waited)| **waited <= AT_ONCE).count()
@@ -252,8 +252,9 @@
     assert!(later(&before) <= 6, "waited {:?}", before.waited);
     assert!(after.in_time >= before.in_time);
     assert!(counted(&world, "starts_held_back") > 0);
-    // All that may wait is done by when all executors but the part that may be
-    // kept have worked it off, and a second for each start.
+    // The jobs that may wait are done in the time that all executors, except
+    // for the part that may be reserved, need for them, plus a second for each
+    // start.
     let work = 200 * 5 * WORK / (4 * EXECUTORS as u64);
     let bound =
         work * MAX_RESERVED_DIVISOR / (MAX_RESERVED_DIVISOR - 1) + 10_000;
@@ -262,7 +263,8 @@
     world.check();
 }
 
-/// Whoever is held back starts in the kept room before it would be late.
+/// A job that is held back starts in the reserved capacity before it would be
+/// late.
 #[test]
 fn nothing_that_waits_starves_by_urgent_work() {
     let mut world = World::without(2, off(&[Mechanism::UrgentPreemption]));
@@ -282,8 +284,8 @@
     world.check();
 }
 
-/// Where nothing is urgent, where all is, and where there is room, everything
-/// goes as without.
+/// If nothing is urgent, if everything is, and if there is free capacity, all
+/// jobs run as without the mechanism.
 #[test]
 fn without_need_nothing_changes() {
     let both = [Mechanism::UrgentPreemption, Mechanism::UrgentHeadroom];
