--- a/tests/jobs/shares.rs
+++ b/tests/jobs/account_shares.rs
@@ -20,7 +20,7 @@
 const LONG: Millis = 2_700;
 /// The rates of jobs under normal load, which take four fifths of the cell.
 const URGENT_PER_S: f64 = 15.0;
-const PATIENT_PER_S: f64 = 3.7;
+const NORMAL_PER_S: f64 = 3.7;
 /// During a flood, the largest account sends this many times its usual load.
 const FLOOD: f64 = 6.0;
 /// The slack of an urgent job beyond its run time.
@@ -29,7 +29,7 @@
 /// adds a second to four times the run time.
 const SLACK: Millis = 3 * LONG + 1_000;
 /// The interval at which the cell is observed.
-const LOOK: Millis = 10;
+const OBSERVATION_INTERVAL: Millis = 10;
 
 fn name(at: usize) -> String {
     format!("a{at:02}")
@@ -49,8 +49,8 @@
             target: TARGET,
             ..owned_queue("preview")
         };
-        let patient = Queue { stretch: 4.0, ..owned_queue("patient") };
-        for queue in [urgent, patient] {
+        let normal = Queue { stretch: 4.0, ..owned_queue("patient") };
+        for queue in [urgent, normal] {
             policy.queues.insert(queue.name.clone(), queue);
         }
         for at in 0..ACCOUNTS {
@@ -63,7 +63,7 @@
     world
 }
 
-fn of(id: u64, queue: &str, count: u32, time: Millis) -> Job {
+fn job_of(id: u64, queue: &str, count: u32, time: Millis) -> Job {
     let mut work = step(count, resources(1_000, 100));
     work.estimate = time;
     job(id, queue, vec![work])
@@ -74,7 +74,7 @@
 }
 
 /// A simulated load: the jobs that accounts submit, and their waits.
-struct Day {
+struct Simulation {
     world: World,
     /// The kinds of jobs that each account submits, and the fraction of the
     /// next job that is due.
@@ -87,9 +87,9 @@
     waited: BTreeMap<(usize, bool), Vec<Millis>>,
 }
 
-impl Day {
-    fn new(without: Mechanisms) -> Day {
-        Day {
+impl Simulation {
+    fn new(without: Mechanisms) -> Simulation {
+        Simulation {
             world: world(EXECUTORS, without),
             due: BTreeMap::new(),
             next: 1,
@@ -100,35 +100,35 @@
 
     /// Simulates this much time, in which the first account sends `times` its
     /// usual load.
-    fn play(&mut self, time: Millis, times: f64) {
+    fn simulate(&mut self, time: Millis, times: f64) {
         let sum: f64 = (0..ACCOUNTS).map(weight).sum();
         let end = self.world.now + time;
         while self.world.now < end {
             for at in 0..ACCOUNTS {
                 for (urgent, per_s) in
-                    [(true, URGENT_PER_S), (false, PATIENT_PER_S)]
+                    [(true, URGENT_PER_S), (false, NORMAL_PER_S)]
                 {
                     let times = if at == 0 { times } else { 1.0 };
                     let part = per_s * times * weight(at) / sum;
                     let due = self.due.entry((at, urgent)).or_default();
-                    *due += part * LOOK as f64 / 1_000.0;
+                    *due += part * OBSERVATION_INTERVAL as f64 / 1_000.0;
                     if *due >= 1.0 {
                         *due -= 1.0;
-                        self.hand_in(at, urgent);
+                        self.submit(at, urgent);
                     }
                 }
             }
-            self.world.run(LOOK);
-            self.look();
+            self.world.run(OBSERVATION_INTERVAL);
+            self.record_starts();
         }
     }
 
-    fn hand_in(&mut self, at: usize, urgent: bool) {
+    fn submit(&mut self, at: usize, urgent: bool) {
         let id = self.next;
         self.next += 1;
         let job = match urgent {
-            true => of(id, "preview", 3, SHORT),
-            false => of(id, "patient", 10, LONG),
+            true => job_of(id, "preview", 3, SHORT),
+            false => job_of(id, "patient", 10, LONG),
         };
         let request = self.world.submit_as(&name(at), job);
         let answer = self.world.replies.get(&request);
@@ -137,7 +137,7 @@
         }
     }
 
-    fn look(&mut self) {
+    fn record_starts(&mut self) {
         let now = self.world.now;
         let starts = &self.world.starts;
         let waited = &mut self.waited;
@@ -180,28 +180,37 @@
 
 /// Whether the urgent jobs of the others wait no longer than under normal load
 /// plus the slack of their objective, and normal ones at most `longer` more.
-fn served(day: &mut Day, calm: (Millis, Millis), longer: Millis) -> bool {
-    let (urgent, patient) =
-        (day.others_waited(true), day.others_waited(false));
-    urgent <= calm.0 + TARGET && patient <= calm.1 + longer
+fn others_are_served(
+    simulation: &mut Simulation,
+    baseline: (Millis, Millis),
+    longer: Millis,
+) -> bool {
+    let (urgent, normal) =
+        (simulation.others_waited(true), simulation.others_waited(false));
+    urgent <= baseline.0 + TARGET && normal <= baseline.1 + longer
 }
 
 #[test]
 fn a_flood_of_one_account_spares_the_others() {
-    for (without, spared) in
+    for (without, protected) in
         [(Mechanisms::default(), true), (unprotected(), false)]
     {
-        let mut day = Day::new(without);
-        day.play(8_000, 1.0);
-        let calm = (day.others_waited(true), day.others_waited(false));
-        day.play(LONG, FLOOD);
-        day.others_waited(false);
-        day.play(8_000, FLOOD);
+        let mut simulation = Simulation::new(without);
+        simulation.simulate(8_000, 1.0);
+        let baseline =
+            (simulation.others_waited(true), simulation.others_waited(false));
+        simulation.simulate(LONG, FLOOD);
+        simulation.others_waited(false);
+        simulation.simulate(8_000, FLOOD);
         // Lent capacity is returned as runs end.
-        assert_eq!(served(&mut day, calm, LONG), spared);
-        let told = day.world.scheduler.counters().get("accounts_over_share");
-        assert_eq!(told.is_some(), spared);
-        day.world.check();
+        assert_eq!(
+            others_are_served(&mut simulation, baseline, LONG),
+            protected
+        );
+        let told =
+            simulation.world.scheduler.counters().get("accounts_over_share");
+        assert_eq!(told.is_some(), protected);
+        simulation.world.check();
     }
 }
 
@@ -209,64 +218,67 @@
 /// running once executors have answered.
 #[test]
 fn a_takeover_amid_a_flood_spares_the_others_again() {
-    let mut day = Day::new(Mechanisms::default());
-    day.play(8_000, 1.0);
-    let calm = (day.others_waited(true), day.others_waited(false));
-    day.play(LONG, FLOOD);
-    day.world.replace_leader();
-    day.play(LONG, FLOOD);
-    day.others_waited(true);
-    day.others_waited(false);
-    day.play(6_000, FLOOD);
-    assert!(served(&mut day, calm, SLACK));
-    day.world.check();
+    let mut simulation = Simulation::new(Mechanisms::default());
+    simulation.simulate(8_000, 1.0);
+    let baseline =
+        (simulation.others_waited(true), simulation.others_waited(false));
+    simulation.simulate(LONG, FLOOD);
+    simulation.world.replace_leader();
+    simulation.simulate(LONG, FLOOD);
+    simulation.others_waited(true);
+    simulation.others_waited(false);
+    simulation.simulate(6_000, FLOOD);
+    assert!(others_are_served(&mut simulation, baseline, SLACK));
+    simulation.world.check();
 }
 
 #[test]
 fn executors_that_leave_amid_a_flood_take_from_the_flood() {
-    let mut day = Day::new(Mechanisms::default());
-    day.play(8_000, 1.0);
-    let calm = (day.others_waited(true), day.others_waited(false));
-    day.play(LONG, FLOOD);
+    let mut simulation = Simulation::new(Mechanisms::default());
+    simulation.simulate(8_000, 1.0);
+    let baseline =
+        (simulation.others_waited(true), simulation.others_waited(false));
+    simulation.simulate(LONG, FLOOD);
     for at in 0..EXECUTORS / 8 {
-        day.world.executors[at].dead = true;
+        simulation.world.executors[at].dead = true;
     }
-    day.play(2 * LONG, FLOOD);
-    day.others_waited(true);
-    day.others_waited(false);
-    day.play(6_000, FLOOD);
-    assert!(served(&mut day, calm, SLACK));
-    day.world.check();
+    simulation.simulate(2 * LONG, FLOOD);
+    simulation.others_waited(true);
+    simulation.others_waited(false);
+    simulation.simulate(6_000, FLOOD);
+    assert!(others_are_served(&mut simulation, baseline, SLACK));
+    simulation.world.check();
 }
 
 /// Nothing is accepted during a store outage. The jobs that arrive in the
 /// meantime must not let the flood overtake the others.
 #[test]
 fn a_store_that_was_away_amid_a_flood_leaves_the_shares() {
-    let mut day = Day::new(Mechanisms::default());
-    day.play(8_000, 1.0);
-    let calm = (day.others_waited(true), day.others_waited(false));
-    day.play(LONG, FLOOD);
-    day.world.store_down = true;
-    day.play(1_000, FLOOD);
-    day.world.store_up();
-    day.play(LONG, FLOOD);
-    day.others_waited(true);
-    day.others_waited(false);
-    day.play(6_000, FLOOD);
-    assert!(served(&mut day, calm, SLACK));
-    day.world.check();
+    let mut simulation = Simulation::new(Mechanisms::default());
+    simulation.simulate(8_000, 1.0);
+    let baseline =
+        (simulation.others_waited(true), simulation.others_waited(false));
+    simulation.simulate(LONG, FLOOD);
+    simulation.world.store_down = true;
+    simulation.simulate(1_000, FLOOD);
+    simulation.world.store_up();
+    simulation.simulate(LONG, FLOOD);
+    simulation.others_waited(true);
+    simulation.others_waited(false);
+    simulation.simulate(6_000, FLOOD);
+    assert!(others_are_served(&mut simulation, baseline, SLACK));
+    simulation.world.check();
 }
 
 /// The processor time in use by the tasks of these jobs, in thousandths of a
 /// core.
-fn held(world: &World, jobs: impl Iterator<Item = u64>) -> usize {
+fn cpu_in_use(world: &World, jobs: impl Iterator<Item = u64>) -> usize {
     jobs.map(|id| world.executors_with(id).len() * 1_000).sum()
 }
 
 /// Two accounts of equal weight; the first has more jobs than there is
 /// capacity.
-fn two(executors: usize, jobs: u64) -> World {
+fn two_accounts(executors: usize, jobs: u64) -> World {
     let mut world = world(executors, Mechanisms::default());
     world.set_policy(|policy| {
         for at in 0..2 {
@@ -275,22 +287,22 @@
         }
     });
     for id in 1..=jobs {
-        world.submit_as(&name(0), of(id, "patient", 1, LONG));
-        world.run(LOOK);
+        world.submit_as(&name(0), job_of(id, "patient", 1, LONG));
+        world.run(OBSERVATION_INTERVAL);
     }
     world
 }
 
 #[test]
 fn what_is_lent_comes_back_within_a_run_and_is_lent_again() {
-    let mut world = two(10, 400);
+    let mut world = two_accounts(10, 400);
     world.run(LONG);
-    assert!(held(&world, 1..=400) >= 38_000, "all is lent");
+    assert!(cpu_in_use(&world, 1..=400) >= 38_000, "all is lent");
     for id in 500..700 {
-        world.submit_as(&name(1), of(id, "patient", 1, LONG));
+        world.submit_as(&name(1), job_of(id, "patient", 1, LONG));
     }
     world.run(LONG + LONG / 2);
-    let back = held(&world, 500..700);
+    let back = cpu_in_use(&world, 500..700);
     assert!((16_000..=24_000).contains(&back), "half: {back}");
     world.run(40 * LONG);
     assert!(world.unfinished().is_empty());
@@ -299,15 +311,15 @@
 
 #[test]
 fn urgent_work_of_an_account_over_its_share_goes_before_what_may_wait() {
-    let mut world = two(2, 30);
+    let mut world = two_accounts(2, 30);
     for id in 100..110 {
-        world.submit_as(&name(1), of(id, "patient", 1, LONG));
+        world.submit_as(&name(1), job_of(id, "patient", 1, LONG));
     }
     // An account whose normal runs exceed its share has urgent jobs.
-    world.submit_as(&name(0), of(200, "preview", 1, SHORT));
+    world.submit_as(&name(0), job_of(200, "preview", 1, SHORT));
     while !world.starts.contains_key(&first_task(200)) {
         assert!(!world.starts.contains_key(&first_task(100)));
-        world.run(LOOK);
+        world.run(OBSERVATION_INTERVAL);
     }
     world.run(40 * LONG);
     assert!(world.unfinished().is_empty());
@@ -315,7 +327,7 @@
 
 #[test]
 fn a_flood_of_urgent_work_goes_behind_what_may_wait_within_its_share() {
-    for (without, spared) in
+    for (without, protected) in
         [(Mechanisms::default(), true), (unprotected(), false)]
     {
         let mut world = world(4, without);
@@ -326,31 +338,31 @@
             }
         });
         for id in 1..=300 {
-            world.submit_as(&name(0), of(id, "preview", 1, SHORT));
+            world.submit_as(&name(0), job_of(id, "preview", 1, SHORT));
         }
         world.run(2 * SHORT);
         // The urgent jobs of the account alone use more than half of the
         // urgent total.
-        world.submit_as(&name(1), of(400, "preview", 1, SHORT));
+        world.submit_as(&name(1), job_of(400, "preview", 1, SHORT));
         for id in 500..510 {
-            world.submit_as(&name(1), of(id, "patient", 1, LONG));
+            world.submit_as(&name(1), job_of(id, "patient", 1, LONG));
         }
         world.run(3 * SHORT);
         let start = |id: u64| world.starts.contains_key(&first_task(id));
         assert!(start(400));
-        let patient = (500..510).filter(|id| start(*id)).count();
-        assert_eq!(patient > 0, spared);
+        let normal = (500..510).filter(|id| start(*id)).count();
+        assert_eq!(normal > 0, protected);
     }
 }
 
 /// Two accounts of equal weight, the first of which submits this many urgent
 /// jobs at one moment. Returns the cell at the time by which the first of
 /// these jobs could have run twice.
-fn flooded(executors: usize, jobs: u64, begun: Millis) -> World {
-    let mut world = two(executors, 0);
-    world.run(begun);
+fn flooded(executors: usize, jobs: u64, start: Millis) -> World {
+    let mut world = two_accounts(executors, 0);
+    world.run(start);
     for id in 1..=jobs {
-        world.submit_as(&name(0), of(id, "preview", 1, SHORT));
+        world.submit_as(&name(0), job_of(id, "preview", 1, SHORT));
     }
     world.run(2 * SHORT);
     world
@@ -370,14 +382,14 @@
     let mut late = Vec::new();
     for executors in [3, 4, 6, 10] {
         for jobs in [150, 300, 400, 600] {
-            for begun in (0..50).step_by(10) {
-                let mut world = flooded(executors, jobs, begun);
+            for start in (0..50).step_by(10) {
+                let mut world = flooded(executors, jobs, start);
                 for id in 5_000..5_010 {
-                    world.submit_as(&name(1), of(id, "patient", 1, LONG));
+                    world.submit_as(&name(1), job_of(id, "patient", 1, LONG));
                 }
                 world.run(3 * SHORT);
                 if started(&world, 5_000..5_010) == 0 {
-                    late.push((executors, jobs, begun));
+                    late.push((executors, jobs, start));
                 }
             }
         }
@@ -388,24 +400,24 @@
 /// Guards against an account within its share that receives less than its
 /// share during a flood. The share is half, give or take a task.
 #[test]
-fn an_account_gets_its_share_of_the_room_in_a_flood() {
+fn an_account_gets_its_share_of_the_capacity_in_a_flood() {
     let mut short = Vec::new();
     for executors in [4, 10] {
-        for begun in (0..50).step_by(10) {
-            let mut world = flooded(executors, 1_500, begun);
+        for start in (0..50).step_by(10) {
+            let mut world = flooded(executors, 1_500, start);
             for id in 5_000..5_100 {
-                world.submit_as(&name(1), of(id, "patient", 1, LONG));
+                world.submit_as(&name(1), job_of(id, "patient", 1, LONG));
             }
             world.run(3 * SHORT);
             let mut sum = 0;
-            let looks = 2 * LONG / LOOK;
+            let looks = 2 * LONG / OBSERVATION_INTERVAL;
             for _ in 0..looks {
-                world.run(LOOK);
-                sum += held(&world, 5_000..5_100);
+                world.run(OBSERVATION_INTERVAL);
+                sum += cpu_in_use(&world, 5_000..5_100);
             }
             let part = sum as f64 / looks as f64 / (4_000 * executors) as f64;
             if !(0.4..=0.6).contains(&part) {
-                short.push((executors, begun, part));
+                short.push((executors, start, part));
             }
         }
     }
@@ -416,7 +428,7 @@
 /// lent.
 #[test]
 fn a_share_beyond_a_limit_is_lent() {
-    let mut world = two(10, 0);
+    let mut world = two_accounts(10, 0);
     world.set_policy(|policy| {
         let mut limited = account(&name(0), 4_000);
         limited.weight = 1.0;
@@ -424,11 +436,11 @@
     });
     for id in 1..=300 {
         let at = usize::from(id > 100);
-        world.submit_as(&name(at), of(id, "patient", 1, LONG));
+        world.submit_as(&name(at), job_of(id, "patient", 1, LONG));
     }
     world.run(3 * LONG);
-    assert_eq!(held(&world, 1..=100), 4_000);
-    assert!(held(&world, 101..=300) >= 35_000);
+    assert_eq!(cpu_in_use(&world, 1..=100), 4_000);
+    assert!(cpu_in_use(&world, 101..=300) >= 35_000);
     world.run(40 * LONG);
     assert!(world.unfinished().is_empty());
     world.check();
@@ -437,22 +449,22 @@
 /// A gang of a small account obtains its capacity although a flood fills the
 /// cell.
 #[test]
-fn a_gang_within_its_share_gets_room_in_a_flood() {
-    let mut day = Day::new(Mechanisms::default());
-    day.play(2_000, 1.0);
-    day.play(LONG, FLOOD);
+fn a_gang_within_its_share_gets_capacity_in_a_flood() {
+    let mut simulation = Simulation::new(Mechanisms::default());
+    simulation.simulate(2_000, 1.0);
+    simulation.simulate(LONG, FLOOD);
     let mut work = step(12, resources(2_000, 100));
     work.gang = true;
     work.estimate = LONG;
     let gang = job(100_000, "patient", vec![work]);
-    day.world.submit_as(&name(1), gang);
-    let since = day.world.now;
-    while !day.world.starts.contains_key(&first_task(100_000)) {
-        day.play(LOOK, FLOOD);
-        let waited = day.world.now - since;
+    simulation.world.submit_as(&name(1), gang);
+    let since = simulation.world.now;
+    while !simulation.world.starts.contains_key(&first_task(100_000)) {
+        simulation.simulate(OBSERVATION_INTERVAL, FLOOD);
+        let waited = simulation.world.now - since;
         assert!(waited < 3 * LONG, "its objective leaves it so much");
     }
-    day.world.check();
+    simulation.world.check();
 }
 
 /// Without accounts, and in a cell with free capacity, all jobs start as
@@ -469,13 +481,13 @@
                 (false, 0) => "urgent",
                 (false, _) => "batch",
             };
-            let job = of(id, queue, 1 + (id % 5) as u32, SHORT);
+            let job = job_of(id, queue, 1 + (id % 5) as u32, SHORT);
             match owned {
                 true => world.submit_as(&name(id as usize % 3), job),
                 false => world.submit(job),
             };
             for _ in 0..5 {
-                world.run(LOOK);
+                world.run(OBSERVATION_INTERVAL);
                 starts.push(world.starts.clone());
             }
         }
--- a/tests/jobs/accounts.rs
+++ b/tests/jobs/accounts.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_leader_that_is_behind_neither_lets_in_nor_refuses() {
+fn a_leader_that_lags_neither_admits_nor_refuses() {
     let mut world = World::new(2);
     world.run(50);
     let newer = world.scheduler_policy() + 1;
@@ -194,7 +194,7 @@
 
 /// A cell in which the limited account runs as much as it may, on executors
 /// that are isolated.
-fn limited_and_cut() -> (World, Vec<usize>) {
+fn limit_in_use_on_isolated_executors() -> (World, Vec<usize>) {
     let mut world = World::new(4);
     world.set_limit(4_000);
     world.run(50);
@@ -202,18 +202,18 @@
     long.estimate = 6 * WORK;
     world.submit_as(LIMITED, job(1, "owned", vec![long]));
     world.run(100);
-    let there = world.executors_with(1);
-    for at in &there {
+    let holders = world.executors_with(1);
+    for at in &holders {
         world.executors[*at].isolated = true;
     }
-    (world, there)
+    (world, holders)
 }
 
 /// What a predecessor has started on an executor that does not answer counts
 /// against the limit, although the successor does not see it.
 #[test]
 fn what_a_takeover_has_not_found_counts_against_the_limit() {
-    let (mut world, _) = limited_and_cut();
+    let (mut world, _) = limit_in_use_on_isolated_executors();
     assert_eq!(world.limited_runs(), 4_000);
     world.replace_leader();
     world.run(100);
@@ -235,7 +235,7 @@
 /// arrived. No stored job tells a successor of them.
 #[test]
 fn what_runs_on_of_a_cancelled_job_counts_after_a_takeover() {
-    let (mut world, there) = limited_and_cut();
+    let (mut world, holders) = limit_in_use_on_isolated_executors();
     world.request_as(LIMITED, cancel_of(1));
     world.run(100);
     world.replace_leader();
@@ -246,7 +246,7 @@
     );
     world.run(2 * WORK);
     world.check();
-    for at in there {
+    for at in holders {
         world.executors[at].isolated = false;
     }
     world.run(2 * LEASE + 10 * WORK);
@@ -259,7 +259,7 @@
 /// tasks that replace it.
 #[test]
 fn what_a_successor_cancels_unseen_counts_until_it_is_found() {
-    let (mut world, there) = limited_and_cut();
+    let (mut world, holders) = limit_in_use_on_isolated_executors();
     world.replace_leader();
     world.run(100);
     world.request_as(LIMITED, cancel_of(1));
@@ -269,7 +269,7 @@
     );
     world.run(2 * WORK);
     world.check();
-    for at in there {
+    for at in holders {
         world.executors[at].isolated = false;
     }
     world.run(2 * LEASE + 10 * WORK);
@@ -304,7 +304,7 @@
 /// others miss their objectives, because all jobs are ordered by their
 /// objectives alone.
 #[test]
-fn what_is_beyond_its_account_s_due_waits_for_others() {
+fn what_exceeds_its_account_s_share_waits_for_others() {
     for (without, first) in [
         (Mechanisms::default(), true),
         (Mechanisms::all_except([Mechanism::CapacityShares]), true),
--- a/tests/jobs/admission.rs
+++ b/tests/jobs/admission.rs
@@ -14,7 +14,7 @@
 /// The objective of each job here: twice its work plus a second.
 const OBJECTIVE: Millis = 2 * WORK + 1_000;
 /// An end later than this is not useful.
-const OF_USE: Millis = 3 * OBJECTIVE;
+const USEFUL_FOR: Millis = 3 * OBJECTIVE;
 /// The number of tasks of a job. Each needs one core.
 const TASKS: u32 = 4;
 /// Each executor has four cores, so the cell does this many jobs a second.
@@ -32,100 +32,108 @@
     account: Option<&'static str>,
 }
 
-/// The outcome of a job.
+/// The result of a job.
 #[derive(Clone, Copy, Debug, Default)]
-struct Fate {
+struct JobResult {
     first: Millis,
     accepted: Option<Millis>,
     refusals: u32,
     ended: Option<Millis>,
 }
 
-impl Fate {
-    fn took(&self) -> Option<Millis> {
+impl JobResult {
+    fn response_time(&self) -> Option<Millis> {
         Some(self.ended?.saturating_sub(self.first))
     }
 
     fn in_time(&self) -> bool {
-        self.took().is_some_and(|took| took <= OBJECTIVE)
+        self.response_time()
+            .is_some_and(|response_time| response_time <= OBJECTIVE)
     }
 
-    fn of_use(&self) -> bool {
-        self.took().is_some_and(|took| took <= OF_USE)
+    fn useful(&self) -> bool {
+        self.response_time()
+            .is_some_and(|response_time| response_time <= USEFUL_FOR)
     }
 }
 
-/// The outcomes of all jobs of a simulation.
-struct Played(BTreeMap<u64, (Arrival, Fate)>);
+/// The results of all jobs of a simulation.
+struct Results(BTreeMap<u64, (Arrival, JobResult)>);
 
-impl Played {
-    fn count(&self, which: impl Fn(&Arrival, &Fate) -> bool) -> usize {
-        self.0.values().filter(|(arrival, fate)| which(arrival, fate)).count()
+impl Results {
+    fn count(&self, which: impl Fn(&Arrival, &JobResult) -> bool) -> usize {
+        self.0
+            .values()
+            .filter(|(arrival, result)| which(arrival, result))
+            .count()
     }
 
     fn in_time(&self) -> usize {
-        self.count(|_, fate| fate.in_time())
+        self.count(|_, result| result.in_time())
     }
 
-    fn of_use(&self) -> usize {
-        self.count(|_, fate| fate.of_use())
+    fn useful(&self) -> usize {
+        self.count(|_, result| result.useful())
     }
 
     /// Jobs that were accepted while they were useful, and not done while they
     /// were.
     fn wrongly_accepted(&self) -> usize {
-        self.count(|_, fate| {
-            let since = fate.accepted.map(|at| at - fate.first);
-            since.is_some_and(|since| since <= OF_USE) && !fate.of_use()
+        self.count(|_, result| {
+            let since = result.accepted.map(|at| at - result.first);
+            since.is_some_and(|since| since <= USEFUL_FOR) && !result.useful()
         })
     }
 
     fn refused(&self) -> usize {
-        self.count(|_, fate| fate.accepted.is_none())
+        self.count(|_, result| result.accepted.is_none())
     }
 }
 
 /// Simulates arrivals, with clients that retry when they are told to, in whole
 /// seconds, until everything accepted is done.
-struct Play {
+struct Simulation {
     world: World,
     due: BTreeMap<(Millis, u64), Arrival>,
-    fates: BTreeMap<u64, (Arrival, Fate)>,
-    open: BTreeMap<u64, u64>,
+    results: BTreeMap<u64, (Arrival, JobResult)>,
+    open_requests: BTreeMap<u64, u64>,
 }
 
-impl Play {
-    fn new(world: World, arrivals: &[Arrival]) -> Play {
+impl Simulation {
+    fn new(world: World, arrivals: &[Arrival]) -> Simulation {
         let due = arrivals.iter().map(|a| ((a.at, a.id), *a)).collect();
-        let fate = |a: &Arrival| (*a, Fate { first: a.at, ..Fate::default() });
-        let fates = arrivals.iter().map(|a| (a.id, fate(a))).collect();
-        Play { world, due, fates, open: BTreeMap::new() }
+        let result = |a: &Arrival| {
+            (*a, JobResult { first: a.at, ..JobResult::default() })
+        };
+        let results = arrivals.iter().map(|a| (a.id, result(a))).collect();
+        Simulation { world, due, results, open_requests: BTreeMap::new() }
     }
 
-    fn hand_in(&mut self, arrival: Arrival) {
+    fn submit(&mut self, arrival: Arrival) {
         let work = vec![step(TASKS, resources(1_000, 100))];
         let job = job(arrival.id, arrival.queue, work);
         let request = match arrival.account {
             Some(account) => self.world.submit_as(account, job),
             None => self.world.submit(job),
         };
-        self.open.insert(request, arrival.id);
+        self.open_requests.insert(request, arrival.id);
     }
 
-    fn take_answers(&mut self) {
+    fn process_answers(&mut self) {
         let (world, now) = (&self.world, self.world.now);
-        let answered = self.open.iter().filter_map(|(request, id)| {
-            Some((*request, *id, *world.replies.get(request)?))
-        });
+        let answered =
+            self.open_requests.iter().filter_map(|(request, id)| {
+                Some((*request, *id, *world.replies.get(request)?))
+            });
         let answered: Vec<(u64, u64, Outcome)> = answered.collect();
         for (request, id, outcome) in answered {
-            self.open.remove(&request);
-            let (arrival, fate) = self.fates.get_mut(&id).expect("known");
+            self.open_requests.remove(&request);
+            let (arrival, result) = self.results.get_mut(&id).expect("known");
             match outcome {
-                Outcome::Accepted => fate.accepted = Some(now),
+                Outcome::Accepted => result.accepted = Some(now),
                 Outcome::Refused(after) => {
-                    fate.refusals += 1;
-                    if fate.refusals <= RETRIES {
+                    result.refusals += 1;
+                    if result.refusals <= RETRIES {
                         let wait = after.div_ceil(1_000) * 1_000;
                         self.due.insert((now + wait, id), *arrival);
                     }
@@ -143,30 +151,30 @@
                     break;
                 }
                 let arrival = entry.remove();
-                self.hand_in(arrival);
+                self.submit(arrival);
             }
             self.world.run(10);
-            self.take_answers();
+            self.process_answers();
         }
     }
 
-    fn finish(mut self, end: Millis) -> Played {
+    fn finish(mut self, end: Millis) -> Results {
         self.run_until(end);
         self.world.check();
-        for (id, (_, fate)) in &mut self.fates {
-            fate.ended = self.world.ended_at.get(&JobId(*id)).copied();
+        for (id, (_, result)) in &mut self.results {
+            result.ended = self.world.ended_at.get(&JobId(*id)).copied();
         }
-        Played(self.fates)
+        Results(self.results)
     }
 }
 
-fn without(off: &[Mechanism]) -> Mechanisms {
-    Mechanisms::all_except(off.iter().copied())
+fn without(disabled: &[Mechanism]) -> Mechanisms {
+    Mechanisms::all_except(disabled.iter().copied())
 }
 
 /// A cell with four accounts of equal weight, `a0` to `a3`.
-fn world(off: &[Mechanism]) -> World {
-    let mut world = World::without(EXECUTORS, without(off));
+fn world(disabled: &[Mechanism]) -> World {
+    let mut world = World::without(EXECUTORS, without(disabled));
     world.set_policy(|policy| {
         for name in ACCOUNTS {
             let mut account = account(name, 0);
@@ -203,14 +211,14 @@
 }
 
 #[test]
-fn nothing_is_refused_while_there_is_room() {
+fn nothing_is_refused_while_there_is_capacity() {
     let mut arrivals =
         stream(1, JOBS_PER_S * 8 / 10, 2_000, 8_000, "batch", None);
     // A burst that is worked off within the objectives.
     arrivals.extend(stream(10_000, 40, 4_000, 500, "batch", None));
-    let played = Play::new(world(&[]), &arrivals).finish(20_000);
-    assert_eq!(played.refused(), 0);
-    assert_eq!(played.of_use(), arrivals.len());
+    let results = Simulation::new(world(&[]), &arrivals).finish(20_000);
+    assert_eq!(results.refused(), 0);
+    assert_eq!(results.useful(), arrivals.len());
 }
 
 /// Three times the cell's throughput, for a time of several objectives, with
@@ -219,25 +227,25 @@
 #[test]
 fn what_cannot_be_served_is_refused_and_what_can_is_not() {
     let arrivals = stream(1, 3 * JOBS_PER_S, 2_000, 16_000, "batch", None);
-    let off = [Mechanism::Admission, Mechanism::ReturnTimes];
+    let disabled = [Mechanism::Admission, Mechanism::ReturnTimes];
     let end = 80_000;
-    let with = Play::new(world(&[]), &arrivals).finish(end);
-    let all = Play::new(world(&off), &arrivals).finish(end);
+    let with = Simulation::new(world(&[]), &arrivals).finish(end);
+    let all = Simulation::new(world(&disabled), &arrivals).finish(end);
     println!(
         "with: {} in time, {} of use, {} wrongly accepted, {} refused; \
          without: {}, {}, {}, {}; of {}",
         with.in_time(),
-        with.of_use(),
+        with.useful(),
         with.wrongly_accepted(),
         with.refused(),
         all.in_time(),
-        all.of_use(),
+        all.useful(),
         all.wrongly_accepted(),
         all.refused(),
         arrivals.len(),
     );
     assert_eq!(all.refused(), 0);
-    assert!(with.of_use() * 100 >= all.of_use() * 98);
+    assert!(with.useful() * 100 >= all.useful() * 98);
     assert!(with.in_time() * 100 >= all.in_time() * 98);
     assert!(with.wrongly_accepted() * 4 <= all.wrongly_accepted());
 }
@@ -256,19 +264,19 @@
     let hot = JOBS_PER_S * 6 / 4;
     let flood = stream(1, hot, 4_000, 10_000, "owned", Some("a0"));
     arrivals.extend(flood);
-    let played = Play::new(world(&[]), &arrivals).finish(60_000);
+    let results = Simulation::new(world(&[]), &arrivals).finish(60_000);
     let hot = |arrival: &Arrival| arrival.account == Some("a0");
-    let refused = played.count(|_, f| f.refusals > 0);
-    let refused_hot = played.count(|a, f| hot(a) && f.refusals > 0);
+    let refused = results.count(|_, f| f.refusals > 0);
+    let refused_hot = results.count(|a, f| hot(a) && f.refusals > 0);
     println!(
         "{refused_hot} of {refused} refused at first are of the hot account; \
          {} wrongly accepted of {}",
-        played.wrongly_accepted(),
+        results.wrongly_accepted(),
         arrivals.len()
     );
     assert!(refused_hot > 0);
     assert_eq!(refused, refused_hot);
-    let late = played.count(|a, f| !hot(a) && !f.in_time());
+    let late = results.count(|a, f| !hot(a) && !f.in_time());
     assert_eq!(late, 0);
 }
 
@@ -277,21 +285,25 @@
 #[test]
 fn timed_and_lasting_jobs_are_never_refused() {
     let flood = stream(1, 6 * JOBS_PER_S, 2_000, 6_000, "batch", None);
-    let mut play = Play::new(world(&[]), &flood);
-    play.run_until(7_000);
-    let refused = |play: &Play| {
-        play.fates.values().filter(|(_, fate)| fate.refusals > 0).count()
+    let mut simulation = Simulation::new(world(&[]), &flood);
+    simulation.run_until(7_000);
+    let refused = |simulation: &Simulation| {
+        simulation
+            .results
+            .values()
+            .filter(|(_, result)| result.refusals > 0)
+            .count()
     };
-    assert!(refused(&play) > 0);
+    assert!(refused(&simulation) > 0);
     let mut timed = job(50_000, "batch", vec![step(1, resources(100, 10))]);
     timed.repeats = Some(Repeats { first: 9_000, every: 500, times: 2 });
     let mut lasting = step(1, resources(100, 10));
     lasting.lasting = true;
     let lasting = job(50_001, "batch", vec![lasting]);
     for job in [timed, lasting] {
-        let id = play.world.submit(job);
-        play.world.run(200);
-        assert_eq!(play.world.answer_to(id), Outcome::Accepted);
+        let id = simulation.world.submit(job);
+        simulation.world.run(200);
+        assert_eq!(simulation.world.answer_to(id), Outcome::Accepted);
     }
 }
 
@@ -300,22 +312,22 @@
 #[test]
 fn refused_clients_come_back_in_turn() {
     let flood = stream(1, 6 * JOBS_PER_S, 2_000, 4_000, "batch", None);
-    let mut play = Play::new(world(&[]), &flood);
-    play.run_until(6_100);
-    let returns: Vec<(u64, Millis)> = play
+    let mut simulation = Simulation::new(world(&[]), &flood);
+    simulation.run_until(6_100);
+    let returns: Vec<(u64, Millis)> = simulation
         .due
         .iter()
-        .filter(|(_, arrival)| play.fates[&arrival.id].1.refusals == 1)
+        .filter(|(_, arrival)| simulation.results[&arrival.id].1.refusals == 1)
         .map(|((at, id), _)| (*id, *at))
         .collect();
     assert!(returns.len() > 100, "{}", returns.len());
     // Retry times in whole seconds, and counted from each arrival, change the
     // order by up to this much.
-    let blur = 1_000;
+    let tolerance = 1_000;
     for (id, at) in &returns {
         let earlier = returns.iter().filter(|(other, _)| other < id);
         let latest = earlier.map(|(_, at)| *at).max().unwrap_or(0);
-        assert!(*at + blur > latest, "{id} before its elders");
+        assert!(*at + tolerance > latest, "{id} before its elders");
     }
     let mut per_second: BTreeMap<Millis, u64> = BTreeMap::new();
     for (_, at) in &returns {
@@ -357,29 +369,29 @@
     assert!((200..220).all(|id| ended(id).is_none_or(|new| old <= new)));
 }
 
-/// The leader is replaced in the middle of an overload. The successor takes
-/// the accepted jobs into account, refuses those that they leave no capacity
-/// for, and everything accepted is done.
+/// The leader is replaced in the middle of an overload. The successor knows
+/// the accepted jobs, refuses those that they leave no capacity for, and
+/// everything accepted is done.
 #[test]
 fn a_successor_refuses_by_what_was_accepted() {
     let arrivals = stream(1, 3 * JOBS_PER_S, 2_000, 12_000, "batch", None);
-    let mut play = Play::new(world(&[]), &arrivals);
-    play.run_until(9_000);
-    play.world.replace_leader();
+    let mut simulation = Simulation::new(world(&[]), &arrivals);
+    simulation.run_until(9_000);
+    simulation.world.replace_leader();
     // Nobody answers the requests that the predecessor received.
-    let lost: Vec<u64> = play.open.values().copied().collect();
-    play.open.clear();
+    let lost: Vec<u64> = simulation.open_requests.values().copied().collect();
+    simulation.open_requests.clear();
     for id in lost {
-        let arrival = play.fates[&id].0;
-        play.hand_in(arrival);
+        let arrival = simulation.results[&id].0;
+        simulation.submit(arrival);
     }
-    play.run_until(9_000 + INHERITED_ORDER_LIFETIME);
-    let counters = play.world.scheduler.counters();
+    simulation.run_until(9_000 + INHERITED_ORDER_LIFETIME);
+    let counters = simulation.world.scheduler.counters();
     let refused = counters.get("refused_no_room_in_time").copied();
     assert!(refused.unwrap_or(0) > 0);
-    let played = play.finish(80_000);
+    let results = simulation.finish(80_000);
     let undone =
-        played.count(|_, f| f.accepted.is_some() && f.ended.is_none());
+        results.count(|_, f| f.accepted.is_some() && f.ended.is_none());
     assert_eq!(undone, 0);
 }
 
@@ -388,17 +400,17 @@
 #[test]
 fn a_store_that_is_away_refuses_without_the_backlog() {
     let arrivals = stream(1, 2 * JOBS_PER_S, 2_000, 9_000, "batch", None);
-    let mut play = Play::new(world(&[]), &arrivals);
-    play.run_until(4_000);
-    play.world.store_down = true;
-    play.run_until(8_000);
-    let counters = play.world.scheduler.counters();
+    let mut simulation = Simulation::new(world(&[]), &arrivals);
+    simulation.run_until(4_000);
+    simulation.world.store_down = true;
+    simulation.run_until(8_000);
+    let counters = simulation.world.scheduler.counters();
     assert!(counters.get("refused_store_trouble").copied() > Some(0));
-    play.world.store_up();
-    let played = play.finish(80_000);
+    simulation.world.store_up();
+    let results = simulation.finish(80_000);
     let undone =
-        played.count(|_, f| f.accepted.is_some() && f.ended.is_none());
+        results.count(|_, f| f.accepted.is_some() && f.ended.is_none());
     assert_eq!(undone, 0);
-    let ran = played.count(|_, f| f.accepted.is_none() && f.ended.is_some());
+    let ran = results.count(|_, f| f.accepted.is_none() && f.ended.is_some());
     assert_eq!(ran, 0);
 }
--- a/tests/jobs/backlog.rs
+++ b/tests/jobs/backlog.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn nothing_is_told_without_room_of_the_kind() {
+fn no_wait_is_known_without_capacity_of_the_kind() {
     let none = ServiceCapacity::default();
     assert_eq!(none.time_for(&work(1, 1), 1.0), None);
     let backlog: Backlog<u64> = Backlog::new(none);
--- a/tests/jobs/room.rs
+++ b/tests/jobs/capacity.rs
@@ -5,7 +5,7 @@
 use super::world::{job, resources, step, World, WORK};
 
 /// Enough time for reduced capacity to bind.
-const BINDS: u64 = 5_000;
+const BINDING_DELAY: u64 = 5_000;
 
 /// Guards against an executor that is given more than its capacity after a
 /// change of leaders. Its capacity has shrunk under the former leader. The
@@ -13,13 +13,13 @@
 /// predecessor wrote earlier. It must not fill that capacity when it has heard
 /// the executor but the store is slow to deliver entries.
 #[test]
-fn a_successor_uses_no_room_of_which_it_has_not_read() {
+fn a_successor_uses_no_capacity_of_which_it_has_not_read() {
     let mut world = World::new(1);
     // The leader has written which machine hosts the executor.
-    world.run(2 * BINDS);
+    world.run(2 * BINDING_DELAY);
     world.resize(0, resources(1_000, 8_000));
     world.list_entry(0);
-    world.run(BINDS);
+    world.run(BINDING_DELAY);
     world.take_over();
     world.run(500);
     for id in 1..=4 {
@@ -52,7 +52,7 @@
 /// and grows again. Nothing is stopped for that, nothing starts beyond the
 /// capacity, and no job is given up because it was too large for a while.
 #[test]
-fn room_that_shrinks_for_a_while_gives_up_nothing() {
+fn capacity_that_shrinks_for_a_while_gives_up_nothing() {
     let mut world = World::new(4);
     world.run(200);
     for id in 1..=8 {
@@ -68,13 +68,13 @@
         world.resize(at, resources(1_000, 1_000));
         world.list_entry(at);
     }
-    world.run(2 * BINDS);
+    world.run(2 * BINDING_DELAY);
     assert_eq!(world.state(9), Some(JobState::Queued));
     for at in 0..4 {
         world.resize(at, resources(4_000, 8_000));
         world.list_entry(at);
     }
-    world.run(8 * BINDS);
+    world.run(8 * BINDING_DELAY);
     world.check();
     for id in 1..=8 {
         assert_eq!(world.state(id), Some(JobState::Succeeded));
@@ -86,7 +86,7 @@
 /// Maintenance waves and shrinking capacity overlap: an executor that returns
 /// from maintenance has the capacity that it reports.
 #[test]
-fn a_gang_keeps_to_room_that_has_shrunk_under_it() {
+fn a_gang_keeps_to_capacity_that_has_shrunk_under_it() {
     let mut world = World::new(3);
     world.run(200);
     let mut first = step(3, resources(3_000, 100));
@@ -98,11 +98,11 @@
     world.run(300);
     world.resize(0, resources(2_000, 8_000));
     world.list_entry(0);
-    world.run(2 * BINDS);
+    world.run(2 * BINDING_DELAY);
     assert_eq!(world.state(2), Some(JobState::Queued));
     world.resize(0, resources(4_000, 8_000));
     world.list_entry(0);
-    world.run(BINDS);
+    world.run(BINDING_DELAY);
     world.check();
     assert_eq!(world.state(2), Some(JobState::Succeeded));
 }
--- a/tests/jobs/cordons.rs
+++ b/tests/jobs/cordons.rs
@@ -9,7 +9,7 @@
 const HALF: u32 = 2_000;
 
 /// Whether all of these executors are in the first data centre.
-fn even(places: &[usize]) -> bool {
+fn all_in_first_dc(places: &[usize]) -> bool {
     places.iter().all(|at| at % 2 == 0)
 }
 
@@ -52,7 +52,7 @@
         .set_cordons(Cordons::default().read(Default::default(), 4));
     world.submit(job(1, "batch", vec![step(4, resources(HALF, 100))]));
     world.run(100);
-    assert!(even(&world.executors_with(1)));
+    assert!(all_in_first_dc(&world.executors_with(1)));
     world.run(3 * WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
 }
@@ -162,7 +162,7 @@
 /// An order that was lost is withdrawn where it may still arrive, and its task
 /// goes elsewhere. An order whose answer was lost is waited for.
 #[test]
-fn an_order_under_way_is_settled_with_its_executor() {
+fn an_order_in_flight_is_settled_with_its_executor() {
     let mut world = World::in_two_dcs(2);
     world.run(100);
     world.executors[1].isolated = true;
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn upkeep_goes_on_there() {
+fn maintenance_goes_on_there() {
     let mut world = World::in_two_dcs(2);
     world.run(100);
     world.set_cordoned("e", true);
--- a/tests/jobs/crashing.rs
+++ b/tests/jobs/crash_suspects.rs
@@ -9,13 +9,13 @@
 };
 
 /// A crash that is visible at once: connections are reset.
-const SEEN: Crashes = Crashes { after: 10, silent: false };
+const VISIBLE_CRASH: Crashes = Crashes { after: 10, silent: false };
 /// The id of the first job that crashes executors.
 const CRASHING: u64 = 1_000;
 /// The time between two jobs in a cell whose executors crash by themselves.
 const ROUND: Millis = 100;
 /// The number of points within a round at which the crashes may begin.
-const OFFSETS: Millis = 25;
+const OFFSET_COUNT: Millis = 25;
 /// Enough time for a task to crash executors as often as it may.
 const LONG_ENOUGH: Millis = 60_000;
 
@@ -59,8 +59,8 @@
 fn a_task_that_crashes_executors_is_given_up() {
     let mut world = World::new(12);
     world.run(100);
-    submit_crashing(&mut world, CRASHING, "urgent", SEEN);
-    submit_crashing(&mut world, CRASHING + 1, "urgent", SEEN);
+    submit_crashing(&mut world, CRASHING, "urgent", VISIBLE_CRASH);
+    submit_crashing(&mut world, CRASHING + 1, "urgent", VISIBLE_CRASH);
     world.run(LONG_ENOUGH);
     world.check();
     for id in [CRASHING, CRASHING + 1] {
@@ -80,7 +80,12 @@
     for id in 0..200 {
         submit_harmless(&mut world, id + 1);
         if id % 8 == 0 && id < 96 {
-            submit_crashing(&mut world, CRASHING + id / 8, "urgent", SEEN);
+            submit_crashing(
+                &mut world,
+                CRASHING + id / 8,
+                "urgent",
+                VISIBLE_CRASH,
+            );
         }
         world.run(50);
     }
@@ -117,8 +122,8 @@
 /// Another leader takes over after each crash: by then, the evidence against
 /// the task has to be in the store.
 #[test]
-fn what_is_known_of_a_task_outlives_its_leader() {
-    given_up_in_time(SEEN, |world| world.replace_leader());
+fn what_is_known_of_a_task_survives_its_leader() {
+    given_up_in_time(VISIBLE_CRASH, |world| world.replace_leader());
 }
 
 /// Simulates one such task in a cell that has other work. Calls `between`
@@ -155,7 +160,7 @@
     let mut gang = step(4, resources(2_500, 100));
     gang.gang = true;
     let member: TaskKey = task(CRASHING).step.task(2);
-    world.crashing.insert(member, SEEN);
+    world.crashing.insert(member, VISIBLE_CRASH);
     world.submit(job(CRASHING, "batch", vec![gang]));
     world.run(LONG_ENOUGH);
     world.check();
@@ -183,7 +188,7 @@
 fn an_advised_task_that_crashes_executors_is_given_up() {
     let mut world = World::new(12);
     world.run(100);
-    submit_crashing(&mut world, CRASHING, "advised", SEEN);
+    submit_crashing(&mut world, CRASHING, "advised", VISIBLE_CRASH);
     world.run(LONG_ENOUGH);
     world.check();
     assert_eq!(world.state(CRASHING), Some(JobState::Failed));
@@ -194,12 +199,12 @@
 /// leader's rounds the crashes begin.
 #[test]
 fn tasks_on_executors_that_crash_by_themselves_are_not_given_up() {
-    for offset in 0..OFFSETS {
-        crash_by_themselves(offset * ROUND / OFFSETS);
+    for offset in 0..OFFSET_COUNT {
+        check_crashes_without_cause(offset * ROUND / OFFSET_COUNT);
     }
 }
 
-fn crash_by_themselves(offset: Millis) {
+fn check_crashes_without_cause(offset: Millis) {
     let mut world = World::new(12);
     world.run(ROUND + offset);
     for round in 0..160 {
@@ -208,12 +213,12 @@
         if round % 4 == 0 {
             // Whichever executor has the next address.
             let address = format!("x{}", (round / 4) % 12);
-            let life = world
+            let incarnation = world
                 .executors
                 .iter()
                 .position(|e| !e.dead && e.info.address == address);
-            if let Some(life) = life {
-                world.crash_by_itself(life, round % 8 == 0);
+            if let Some(incarnation) = incarnation {
+                world.crash_by_itself(incarnation, round % 8 == 0);
             }
         }
     }
@@ -222,7 +227,7 @@
 
 /// Executors that crash by themselves, one after the other.
 #[derive(Clone, Copy, Debug)]
-struct Storm {
+struct CrashSimulation {
     executors: usize,
     /// The time between two jobs.
     round: Millis,
@@ -234,11 +239,11 @@
     offset: u64,
 }
 
-impl Storm {
+impl CrashSimulation {
     /// Simulates this many jobs, and returns those that were given up.
-    fn play(self, jobs: u64) -> Vec<u64> {
+    fn simulate(self, jobs: u64) -> Vec<u64> {
         let mut world = World::new(self.executors);
-        world.run(self.round + self.offset * self.round / OFFSETS);
+        world.run(self.round + self.offset * self.round / OFFSET_COUNT);
         for at in 0..jobs {
             submit_harmless(&mut world, at + 1);
             world.run(self.round);
@@ -258,10 +263,11 @@
 /// Crashes whichever executor has this address.
 fn crash_next(world: &mut World, at: usize, silent: bool) {
     let address = format!("x{at}");
-    let mut lives = world.executors.iter();
-    let life = lives.position(|e| !e.dead && e.info.address == address);
-    if let Some(life) = life {
-        world.crash_by_itself(life, silent);
+    let mut incarnations = world.executors.iter();
+    let incarnation =
+        incarnations.position(|e| !e.dead && e.info.address == address);
+    if let Some(incarnation) = incarnation {
+        world.crash_by_itself(incarnation, silent);
     }
 }
 
@@ -273,11 +279,16 @@
     for round in [50, 100, 230] {
         for each in [2, 4, 7] {
             for silent in [1, 2, 8] {
-                for offset in (0..OFFSETS).step_by(6) {
+                for offset in (0..OFFSET_COUNT).step_by(6) {
                     let executors = 6;
-                    let storm =
-                        Storm { executors, round, each, silent, offset };
-                    let failed = storm.play(160);
+                    let storm = CrashSimulation {
+                        executors,
+                        round,
+                        each,
+                        silent,
+                        offset,
+                    };
+                    let failed = storm.simulate(160);
                     if !failed.is_empty() {
                         given_up.push((storm, failed));
                     }
@@ -301,12 +312,12 @@
     for round in 0..4 {
         for at in 0..6 {
             let address = format!("x{}", (at + 6 * (round % 2)) % 12);
-            let life = world
+            let incarnation = world
                 .executors
                 .iter()
                 .position(|e| !e.dead && e.info.address == address);
-            if let Some(life) = life {
-                world.crash_by_itself(life, false);
+            if let Some(incarnation) = incarnation {
+                world.crash_by_itself(incarnation, false);
             }
         }
         world.run(1_100);
--- a/tests/jobs/leaving.rs
+++ b/tests/jobs/departures.rs
@@ -6,24 +6,24 @@
 use super::world::{job, resources, step, World, LEASE, WORK};
 
 /// How long an executor stays after it has given notice.
-const STAYS: Millis = 2_000;
+const REMAINING: Millis = 2_000;
 
-fn without_leaving() -> Mechanisms {
+fn without_departures() -> Mechanisms {
     Mechanisms::all_except([Mechanism::Leaving])
 }
 
-fn long(times: Millis, saves: bool) -> Step {
+fn long(times: Millis, checkpoints: bool) -> Step {
     let mut one = step(1, resources(3_000, 100));
     one.estimate = times * WORK;
-    one.checkpoints = saves;
+    one.checkpoints = checkpoints;
     one
 }
 
 impl World {
     /// Makes an executor give notice.
-    fn give_notice(&mut self, at: usize, stays: Millis) {
+    fn give_notice(&mut self, at: usize, remaining: Millis) {
         self.executors[at].info.draining = true;
-        self.executors[at].info.remaining = Some(stays);
+        self.executors[at].info.remaining = Some(remaining);
         self.list_entry(at);
     }
 }
@@ -38,8 +38,8 @@
     world.submit(job(1, "batch", vec![first]));
     world.run(100);
     let at = world.executors_with(1)[0];
-    world.give_notice(at, STAYS);
-    world.run(STAYS);
+    world.give_notice(at, REMAINING);
+    world.run(REMAINING);
     world.executors[at].leave();
     world.run(work + 200);
     let state = world.state(1);
@@ -52,11 +52,13 @@
 
 #[test]
 fn what_will_not_end_is_started_elsewhere_before_the_executor_goes() {
-    for saves in [true, false] {
-        let (starts, state) = moved(Mechanisms::default(), long(8, saves));
+    for checkpoints in [true, false] {
+        let (starts, state) =
+            moved(Mechanisms::default(), long(8, checkpoints));
         assert_eq!((starts, state), (2, Some(JobState::Succeeded)));
         // The leader has to wait until the lease of the executor has expired.
-        let (starts, state) = moved(without_leaving(), long(8, saves));
+        let (starts, state) =
+            moved(without_departures(), long(8, checkpoints));
         assert_eq!((starts, state), (1, Some(JobState::Running)));
     }
 }
@@ -75,11 +77,11 @@
     world.submit(job(1, "batch", vec![first]));
     world.run(100);
     let at = world.executors_with(1)[0];
-    world.give_notice(at, 2 * STAYS);
+    world.give_notice(at, 2 * REMAINING);
     let noticed = world.now;
     while world.executors_with(1) == [at] {
         world.run(10);
-        assert!(world.now < noticed + 2 * STAYS, "it is moved in time");
+        assert!(world.now < noticed + 2 * REMAINING, "it is moved in time");
     }
     world.now - noticed
 }
@@ -88,14 +90,15 @@
 /// before.
 #[test]
 fn what_saves_its_progress_stays_longer_than_what_does_not() {
-    let (saves, loses) = (long(40, true), long(40, false));
-    assert!(stopped_after(saves) > STAYS);
-    assert!(stopped_after(loses) < STAYS / 4);
+    let (with_checkpoints, without_checkpoints) =
+        (long(40, true), long(40, false));
+    assert!(stopped_after(with_checkpoints) > REMAINING);
+    assert!(stopped_after(without_checkpoints) < REMAINING / 4);
 }
 
 #[test]
 fn a_gang_is_moved_whole_and_nobody_waits_alone() {
-    for without in [Mechanisms::default(), without_leaving()] {
+    for without in [Mechanisms::default(), without_departures()] {
         let moves = without.enabled(Mechanism::Leaving);
         let mut world = World::without(6, without);
         world.run(50);
@@ -105,8 +108,8 @@
         world.submit(job(1, "batch", vec![gang]));
         world.run(300);
         let at = world.executors_with(1)[0];
-        world.give_notice(at, STAYS);
-        world.run(STAYS);
+        world.give_notice(at, REMAINING);
+        world.run(REMAINING);
         world.executors[at].leave();
         assert!(!moves || world.starts.values().all(|starts| *starts == 2));
         world.run(8 * WORK);
@@ -118,11 +121,11 @@
     }
 }
 
-/// Executors leave one after the other while jobs keep arriving. If notices
-/// are taken into account, all jobs end within less than twice their run time.
+/// Executors leave one after the other while jobs keep arriving. If the leader
+/// acts on notices, all jobs end within less than twice their run time.
 #[test]
 fn under_load_no_job_waits_for_an_executor_that_has_left() {
-    for without in [Mechanisms::default(), without_leaving()] {
+    for without in [Mechanisms::default(), without_departures()] {
         let moves = without.enabled(Mechanism::Leaving);
         let mut world = World::without(12, without);
         world.run(50);
@@ -131,7 +134,7 @@
             world.submit(job(id, "batch", vec![long(6, id % 2 == 0)]));
             if id % 15 == 0 {
                 let at = (id / 15) as usize;
-                world.give_notice(at, STAYS);
+                world.give_notice(at, REMAINING);
             }
             world.run(300);
             if id > 15 && id % 15 == 7 {
@@ -157,12 +160,12 @@
     world.submit(job(1, "batch", vec![long(20, true)]));
     world.run(100);
     let at = world.executors_with(1)[0];
-    world.give_notice(at, STAYS);
+    world.give_notice(at, REMAINING);
     world.run(200);
     assert_eq!(world.executors_with(1), [at]);
-    world.executors[at].info.remaining = Some(STAYS - 200);
+    world.executors[at].info.remaining = Some(REMAINING - 200);
     world.replace_leader();
-    world.run(STAYS - 200);
+    world.run(REMAINING - 200);
     world.executors[at].leave();
     let now = world.executors_with(1);
     assert!(now.len() == 1 && now != [at], "{now:?}");
@@ -180,8 +183,8 @@
     world.run(100);
     let at = world.executors_with(1)[0];
     world.executors[at].isolated = true;
-    world.give_notice(at, STAYS);
-    world.run(STAYS);
+    world.give_notice(at, REMAINING);
+    world.run(REMAINING);
     assert_eq!(world.starts.values().sum::<u32>(), 1);
     world.executors[at].leave();
     world.run(2 * LEASE + 40 * WORK);
--- a/tests/jobs/behind.rs
+++ b/tests/jobs/event_lag.rs
@@ -19,7 +19,7 @@
 
 /// Checks that no executor was found slow, and that the run time estimate
 /// equals the client's.
-fn check_reckoned_as_guessed(world: &mut World, id: u64) {
+fn check_estimate_is_unchanged(world: &mut World, id: u64) {
     for name in ["executors_found_slow", "executors_found_quick"] {
         assert_eq!(counted(world, name), 0, "{name}");
     }
@@ -46,7 +46,7 @@
 /// Guards against executors that seem slow because the leader hears of run
 /// ends seconds late.
 #[test]
-fn executors_are_not_slow_since_the_leader_is_behind() {
+fn executors_are_not_slow_because_the_leader_lags() {
     let mut world = World::new(8);
     world.run(50);
     for id in 1..=6 {
@@ -61,7 +61,7 @@
     world.event_lag = 0;
     world.run(30 * WORK);
     check_started_once(&mut world);
-    check_reckoned_as_guessed(&mut world, 100);
+    check_estimate_is_unchanged(&mut world, 100);
 }
 
 /// Guards against executors that seem slow because run ends wait there while
@@ -79,13 +79,13 @@
         world.run(2 * WORK);
     }
     check_started_once(&mut world);
-    check_reckoned_as_guessed(&mut world, 100);
+    check_estimate_is_unchanged(&mut world, 100);
 }
 
 /// Guards against a run that seems to last too long because a report that
 /// lists it is processed late.
 #[test]
-fn no_run_is_overdue_since_the_leader_is_behind() {
+fn no_run_is_overdue_because_the_leader_lags() {
     let mut world = World::new(4);
     world.run(1_000);
     world.event_lag = 2_000;
@@ -99,12 +99,12 @@
     world.event_lag = 0;
     world.run(20 * WORK);
     check_started_once(&mut world);
-    check_reckoned_as_guessed(&mut world, 100);
+    check_estimate_is_unchanged(&mut world, 100);
 }
 
 /// Orders a task on the only executor, and isolates the executor until its
 /// lease has nearly expired. Returns the time at which that began.
-fn cut_off_until_nearly_lapsed(world: &mut World) -> Millis {
+fn isolate_until_nearly_expired(world: &mut World) -> Millis {
     world.run(500);
     world.submit(wide(1, 1));
     world.run(WORK / 2);
@@ -122,7 +122,7 @@
 #[test]
 fn a_leader_that_stood_still_hears_what_waits_before_a_lease_counts_as_over() {
     let mut world = World::new(2);
-    let lapses = cut_off_until_nearly_lapsed(&mut world);
+    let lapses = isolate_until_nearly_expired(&mut world);
     world.stall(2_000);
     assert!(world.now > lapses);
     world.run(4 * WORK);
@@ -132,13 +132,13 @@
 
 /// Like the test above, but all events wait.
 #[test]
-fn a_leader_that_is_behind_hears_what_waits_before_a_lease_counts_as_over() {
+fn a_leader_that_lags_hears_what_waits_before_a_lease_counts_as_over() {
     let mut world = World::new(16);
     world.run(100);
     let lapses = {
         world.event_lag = 1_500;
         world.run(3_000);
-        cut_off_until_nearly_lapsed(&mut world)
+        isolate_until_nearly_expired(&mut world)
     };
     world.run(lapses - world.now + 1_200);
     world.run(10 * WORK);
@@ -148,7 +148,7 @@
 
 /// A lease that has expired is over nevertheless, a little later.
 #[test]
-fn a_silent_executor_is_given_up_by_a_leader_that_is_behind() {
+fn a_silent_executor_is_given_up_by_a_leader_that_lags() {
     let mut world = World::new(16);
     world.run(100);
     world.submit(wide(1, 1));
@@ -163,7 +163,7 @@
 
 /// The successor of a leader that has started tasks on all executors but one.
 /// It processes reports of these executors with a delay.
-fn successor_told_late(late: Millis) -> World {
+fn successor_with_report_delay(late: Millis) -> World {
     let mut world = World::new(4);
     world.run(100);
     world.submit(wide(1, 3));
@@ -178,8 +178,9 @@
 /// Guards against orders of a predecessor that count as expired before a live
 /// executor was heard. Tasks that have ended there would start again.
 #[test]
-fn a_successor_that_is_behind_hears_executors_before_all_counts_as_lapsed() {
-    let mut world = successor_told_late(INHERITED_ORDER_LIFETIME + 1_000);
+fn a_successor_that_lags_hears_executors_before_all_counts_as_lapsed() {
+    let mut world =
+        successor_with_report_delay(INHERITED_ORDER_LIFETIME + 1_000);
     world.run(2 * INHERITED_ORDER_LIFETIME);
     for executor in &mut world.executors {
         executor.report_delay = 0;
@@ -206,7 +207,7 @@
 
 /// A report from before a start says nothing about the start.
 #[test]
-fn no_run_is_harmless_by_an_account_from_before_its_start() {
+fn no_run_is_harmless_by_a_report_from_before_its_start() {
     let mut world = World::new(1);
     world.run(1_200);
     let known = world.scheduler.executor(0).expect("an executor");
--- a/tests/jobs/faults.rs
+++ b/tests/jobs/faults.rs
@@ -54,7 +54,7 @@
 
 /// Operators are told why an incarnation of an executor is considered over.
 #[test]
-fn by_what_a_life_was_over_is_told() {
+fn the_reason_for_the_end_of_an_incarnation_is_reported() {
     let mut world = World::new(1);
     world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(60);
@@ -105,7 +105,7 @@
 
 /// An order whose answer is lost keeps running, and is not started again.
 #[test]
-fn a_start_without_answer_is_found_by_the_next_account() {
+fn a_start_without_answer_is_found_by_the_next_report() {
     let mut world = World::new(1);
     world.run(50);
     world.executors[0].lost_answers = 1;
@@ -136,7 +136,7 @@
 /// A successor starts nothing that may still run on executors which it can't
 /// reach.
 #[test]
-fn tasks_on_executors_that_are_cut_off_are_waited_for() {
+fn tasks_on_executors_that_are_isolated_are_waited_for() {
     let mut world = World::new(2);
     world.submit(job(1, "batch", vec![step(2, resources(3_000, 100))]));
     world.run(60);
@@ -316,7 +316,7 @@
 
 /// The number of jobs that still wait some time after a data centre was
 /// isolated.
-fn stranded_by_a_cut(without: Mechanisms) -> usize {
+fn waiting_after_isolation(without: Mechanisms) -> usize {
     let mut world = World::without(16, without);
     for executor in &mut world.executors[8..] {
         executor.info.dc = "e".into();
@@ -348,10 +348,10 @@
 /// unreachable one by one, each by an unanswered start that leaves its task in
 /// doubt until the data centre is back.
 #[test]
-fn a_data_centre_that_is_cut_off_takes_few_tasks_with_it() {
+fn a_data_centre_that_is_isolated_takes_few_tasks_with_it() {
     let off = [Mechanism::UnresponsiveExecutors, Mechanism::SuspectedDcs];
-    let before = stranded_by_a_cut(Mechanisms::all_except(off));
-    let after = stranded_by_a_cut(Mechanisms::default());
+    let before = waiting_after_isolation(Mechanisms::all_except(off));
+    let after = waiting_after_isolation(Mechanisms::default());
     assert!(2 * after < before, "{after} jobs wait, {before} without");
 }
 
@@ -448,7 +448,7 @@
 /// them on silent connections time out.
 #[test]
 fn unanswered_orders_to_several_executors_have_all_asked_at_once() {
-    let holds = |without: Mechanisms| {
+    let renewals = |without: Mechanisms| {
         let mut world = World::without(6, without);
         world.run(50);
         let long = |id| {
@@ -467,8 +467,8 @@
         world.run(400);
         world.renewals - before
     };
-    let with = holds(Mechanisms::default());
-    let without = holds(Mechanisms::all_except([Mechanism::SilenceAlarm]));
+    let with = renewals(Mechanisms::default());
+    let without = renewals(Mechanisms::all_except([Mechanism::SilenceAlarm]));
     // Three executors are suspected in any case, so the others are asked, too.
     assert!(with >= without + 3, "{with} holds, {without} without");
 }
@@ -490,10 +490,11 @@
         world.failing.insert(key.task(0), 1);
         world.submit(job(1, "batch", vec![step]));
         world.run(3 * WORK / 2 - passed);
-        let there = |world: &World, at: usize| {
+        let runs_there = |world: &World, at: usize| {
             (0..2).any(|index| world.executors[at].runs(&key.task(index)))
         };
-        let at_work: Vec<bool> = (0..6).map(|at| there(&world, at)).collect();
+        let at_work: Vec<bool> =
+            (0..6).map(|at| runs_there(&world, at)).collect();
         let next = Some(world.token + 1);
         for (at, at_work) in at_work.iter().enumerate() {
             world.executors[at].isolated_from = next.filter(|_| !at_work);
--- a/tests/jobs/fuzz.rs
+++ b/tests/jobs/fuzz.rs
@@ -15,11 +15,11 @@
 const MACHINES: usize = 4;
 /// The longest time in all for which the leader is stalled. After more, ended
 /// jobs are forgotten before the test asks for them.
-const STILL: u64 = 12_000;
+const MAX_STALL: u64 = 12_000;
 
 /// The queue that a job is submitted to, and the account whose key is used.
 #[derive(Clone, Copy, Debug)]
-enum Door {
+enum Destination {
     Open,
     Advised,
     Background,
@@ -28,32 +28,32 @@
 }
 
 #[derive(Clone, Debug)]
-enum Move {
+enum Operation {
     Submit {
         tasks: u32,
         cpu: u32,
         gang: bool,
         steps: u32,
-        door: Door,
+        destination: Destination,
         work: u64,
     },
     Limit(u32),
     Cancel(u64),
     Run(u64),
-    Cut(usize, bool),
-    Mute(usize, u32),
-    Late(usize, Option<u64>),
-    HeldUp(usize, Option<u64>),
+    Isolate(usize, bool),
+    LoseAnswers(usize, u32),
+    DelayOrders(usize, Option<u64>),
+    DelayAnswers(usize, Option<u64>),
     Crash(usize),
     StoreDown(bool),
-    Replace,
+    ReplaceLeader,
     Fail(u64, u32),
-    Lives(Mistaken),
+    FalseEnds(FalseEnd),
     Crashes(Crash),
     Restarts(Restart),
     Cordon(usize, bool),
-    Behind(u64),
-    StandStill(u64),
+    EventLag(u64),
+    Stall(u64),
     Full(Full),
 }
 
@@ -64,11 +64,11 @@
     /// An executor restarts with a clock that shows `clock`. The flags tell
     /// whether renewals that wait there go unanswered, and whether the leader
     /// is told of its entry.
-    One { at: usize, clock: u64, silent: bool, told: bool },
+    One { at: usize, clock: u64, silent: bool, listed: bool },
     /// The leader is told of the entry of a former incarnation.
     FormerEntry(usize),
     /// An entry becomes unreadable.
-    Misread(usize),
+    Unreadable(usize),
     /// Whether executors return under their own names after an absence.
     KeepNames(bool),
 }
@@ -77,35 +77,35 @@
     let clock = prop_oneof![Just(0u64), 0u64..60_000, Just(9_000_000)];
     let one = (0usize..12, clock, any::<bool>(), any::<bool>());
     prop_oneof![
-        8 => one.prop_map(|(at, clock, silent, told)| Restart::One {
+        8 => one.prop_map(|(at, clock, silent, listed)| Restart::One {
             at,
             clock,
             silent,
-            told,
+            listed,
         }),
         2 => (0usize..8).prop_map(Restart::FormerEntry),
-        1 => (0usize..12).prop_map(Restart::Misread),
+        1 => (0usize..12).prop_map(Restart::Unreadable),
         1 => any::<bool>().prop_map(Restart::KeepNames),
     ]
 }
 
-fn moves_with_restarts() -> impl Strategy<Value = Move> {
+fn operations_with_restarts() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        5 => moves(),
-        1 => mistaken().prop_map(Move::Lives),
-        1 => crashes().prop_map(Move::Crashes),
-        3 => restarts().prop_map(Move::Restarts),
+        5 => operations(),
+        1 => false_ends().prop_map(Operation::FalseEnds),
+        1 => crashes().prop_map(Operation::Crashes),
+        3 => restarts().prop_map(Operation::Restarts),
     ]
 }
 
 /// The leader lags behind its events by less than a lease can bear, or is
 /// stalled for less than its own lease.
-fn moves_with_a_late_leader() -> impl Strategy<Value = Move> {
+fn operations_with_a_lagging_leader() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        6 => moves(),
-        1 => mistaken().prop_map(Move::Lives),
-        2 => prop_oneof![Just(0u64), 1u64..2_500].prop_map(Move::Behind),
-        1 => (200u64..5_000).prop_map(Move::StandStill),
+        6 => operations(),
+        1 => false_ends().prop_map(Operation::FalseEnds),
+        2 => prop_oneof![Just(0u64), 1u64..2_500].prop_map(Operation::EventLag),
+        1 => (200u64..5_000).prop_map(Operation::Stall),
     ]
 }
 
@@ -116,12 +116,12 @@
     /// another after a further time.
     Leave(usize, u64, u64),
     /// Commits are declined, or no longer.
-    Declined(bool),
+    DeclineCommits(bool),
     /// Another leader takes over. It reaches some executors for a time, and
     /// after that only the others.
-    InTurn(Vec<bool>, u64, u64),
-    /// Like `InTurn`, but a task of a new job fails shortly after.
-    FailInTurn(u64, bool, Vec<bool>, u64, u64),
+    TakeOverInTurn(Vec<bool>, u64, u64),
+    /// Like `TakeOverInTurn`, but a task of a new job fails shortly after.
+    FailAndTakeOverInTurn(u64, bool, Vec<bool>, u64, u64),
 }
 
 fn full() -> impl Strategy<Value = Full> {
@@ -129,37 +129,37 @@
     prop_oneof![
         2 => (0usize..12, 100u64..4_000, 0u64..1_000)
             .prop_map(|(a, l, n)| Full::Leave(a, l, n)),
-        1 => any::<bool>().prop_map(Full::Declined),
+        1 => any::<bool>().prop_map(Full::DeclineCommits),
         2 => (first(), 1u64..60, 1u64..1_200)
-            .prop_map(|(f, a, b)| Full::InTurn(f, a, b)),
+            .prop_map(|(f, a, b)| Full::TakeOverInTurn(f, a, b)),
         2 => (1u64..300, any::<bool>(), first(), 1u64..60, 600u64..1_200)
-            .prop_map(|(t, g, f, a, b)| Full::FailInTurn(t, g, f, a, b)),
+            .prop_map(|(t, g, f, a, b)| Full::FailAndTakeOverInTurn(t, g, f, a, b)),
     ]
 }
 
-fn moves_in_a_full_cell() -> impl Strategy<Value = Move> {
+fn operations_in_a_full_cell() -> impl Strategy<Value = Operation> {
     let urgent = (1u32..4, 300u32..2_500, any::<bool>());
-    let urgent = urgent.prop_map(|(tasks, cpu, gang)| Move::Submit {
+    let urgent = urgent.prop_map(|(tasks, cpu, gang)| Operation::Submit {
         tasks,
         cpu,
         gang,
         steps: 1,
-        door: Door::Urgent,
+        destination: Destination::Urgent,
         work: WORK,
     });
     prop_oneof![
-        6 => moves(),
+        6 => operations(),
         3 => urgent,
-        3 => full().prop_map(Move::Full),
+        3 => full().prop_map(Operation::Full),
     ]
 }
 
-fn moves_with_cordons() -> impl Strategy<Value = Move> {
+fn operations_with_cordons() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        6 => moves(),
-        1 => mistaken().prop_map(Move::Lives),
-        1 => restarts().prop_map(Move::Restarts),
-        2 => (0usize..2, any::<bool>()).prop_map(|(a, c)| Move::Cordon(a, c)),
+        6 => operations(),
+        1 => false_ends().prop_map(Operation::FalseEnds),
+        1 => restarts().prop_map(Operation::Restarts),
+        2 => (0usize..2, any::<bool>()).prop_map(|(a, c)| Operation::Cordon(a, c)),
     ]
 }
 
@@ -173,7 +173,7 @@
     /// An executor crashes by itself, silently or not.
     ByItself(usize, bool),
     /// An executor now has this much processor time.
-    Room(usize, u32),
+    Capacity(usize, u32),
 }
 
 fn crashes() -> impl Strategy<Value = Crash> {
@@ -183,33 +183,33 @@
         2 => (0usize..12, any::<bool>())
             .prop_map(|(a, silent)| Crash::ByItself(a, silent)),
         3 => (0usize..12, 500u32..5_000)
-            .prop_map(|(a, cpu)| Crash::Room(a, cpu)),
+            .prop_map(|(a, cpu)| Crash::Capacity(a, cpu)),
     ]
 }
 
-fn moves_with_crashes() -> impl Strategy<Value = Move> {
+fn operations_with_crashes() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        3 => moves(),
-        1 => mistaken().prop_map(Move::Lives),
-        2 => crashes().prop_map(Move::Crashes),
+        3 => operations(),
+        1 => false_ends().prop_map(Operation::FalseEnds),
+        2 => crashes().prop_map(Operation::Crashes),
     ]
 }
 
 /// Faults that may make a leader consider a live incarnation of an executor
 /// over. An executor is identified by its position among all that ever lived.
 #[derive(Clone, Debug)]
-enum Mistaken {
+enum FalseEnd {
     /// An executor crashes. The leader may be told of the next entry later.
     Crash(usize, bool),
     /// An executor becomes isolated, or no longer is.
-    Cut(usize, bool),
+    Isolate(usize, bool),
     /// An executor is isolated from the present leader, or from its successor.
-    CutFrom(usize, u64),
+    IsolateFrom(usize, u64),
     /// The leader is told of an entry, whether its executor is alive or not.
-    Told(usize),
+    ListEntry(usize),
     /// An entry disappears from the store, whether its executor is alive or
     /// not.
-    Gone(usize),
+    RemoveEntry(usize),
     /// Another leader takes over, and reads the entries of some executors in
     /// an order of their own.
     Takeover(Vec<(u8, bool)>),
@@ -219,117 +219,123 @@
     /// The list of machines shows a machine with no executor, with a former
     /// one, or with the present one.
     Shown(usize, Shown),
-    Unlistable(bool),
+    ListUnavailable(bool),
     /// A wave requests that a machine be taken down.
     Wave(usize),
-    LateUpkeep,
+    DelayMaintenance,
 }
 
 /// Which executor the list of machines shows on a machine.
 #[derive(Clone, Copy, Debug)]
 enum Shown {
     Present,
-    First,
-    Nobody,
+    Former,
+    Missing,
 }
 
-fn mistaken() -> impl Strategy<Value = Mistaken> {
+fn false_ends() -> impl Strategy<Value = FalseEnd> {
     let order = prop::collection::vec((any::<u8>(), any::<bool>()), 16);
-    let shown = [Shown::Present, Shown::First, Shown::Nobody];
+    let shown = [Shown::Present, Shown::Former, Shown::Missing];
     let shown = prop::sample::select(shown.to_vec());
     prop_oneof![
         3 => (0usize..12, any::<bool>())
-            .prop_map(|(a, told)| Mistaken::Crash(a, told)),
+            .prop_map(|(a, listed)| FalseEnd::Crash(a, listed)),
         3 => (0usize..12, any::<bool>())
-            .prop_map(|(a, cut)| Mistaken::Cut(a, cut)),
-        1 => (0usize..12, 0u64..2).prop_map(|(a, t)| Mistaken::CutFrom(a, t)),
-        3 => (0usize..12).prop_map(Mistaken::Told),
-        1 => (0usize..12).prop_map(Mistaken::Gone),
-        2 => order.prop_map(Mistaken::Takeover),
+            .prop_map(|(a, isolated)| FalseEnd::Isolate(a, isolated)),
+        1 => (0usize..12, 0u64..2).prop_map(|(a, t)| FalseEnd::IsolateFrom(a, t)),
+        3 => (0usize..12).prop_map(FalseEnd::ListEntry),
+        1 => (0usize..12).prop_map(FalseEnd::RemoveEntry),
+        2 => order.prop_map(FalseEnd::Takeover),
         2 => (0usize..12, 1u64..700, 600u64..1_800, 0u64..4_000)
-            .prop_map(|(a, l, t, r)| Mistaken::Silence(a, l, t, r)),
+            .prop_map(|(a, l, t, r)| FalseEnd::Silence(a, l, t, r)),
         2 => (0usize..MACHINES, shown)
-            .prop_map(|(m, shown)| Mistaken::Shown(m, shown)),
-        1 => any::<bool>().prop_map(Mistaken::Unlistable),
-        1 => (0usize..MACHINES).prop_map(Mistaken::Wave),
-        1 => Just(Mistaken::LateUpkeep),
+            .prop_map(|(m, shown)| FalseEnd::Shown(m, shown)),
+        1 => any::<bool>().prop_map(FalseEnd::ListUnavailable),
+        1 => (0usize..MACHINES).prop_map(FalseEnd::Wave),
+        1 => Just(FalseEnd::DelayMaintenance),
     ]
 }
 
-fn moves() -> impl Strategy<Value = Move> {
+fn operations() -> impl Strategy<Value = Operation> {
     prop_oneof![
         6 => submission(),
-        1 => (0u64..8).prop_map(Move::Cancel),
-        1 => (3_000u32..9_000).prop_map(Move::Limit),
-        6 => (1u64..700).prop_map(Move::Run),
-        2 => (0usize..4, any::<bool>()).prop_map(|(a, c)| Move::Cut(a, c)),
-        1 => (0usize..4, 1u32..3).prop_map(|(a, n)| Move::Mute(a, n)),
+        1 => (0u64..8).prop_map(Operation::Cancel),
+        1 => (3_000u32..9_000).prop_map(Operation::Limit),
+        6 => (1u64..700).prop_map(Operation::Run),
+        2 => (0usize..4, any::<bool>()).prop_map(|(a, c)| Operation::Isolate(a, c)),
+        1 => (0usize..4, 1u32..3).prop_map(|(a, n)| Operation::LoseAnswers(a, n)),
         1 => (0usize..4, prop::option::of(200u64..7_000))
-            .prop_map(|(a, l)| Move::Late(a, l)),
+            .prop_map(|(a, l)| Operation::DelayOrders(a, l)),
         1 => (0usize..4, prop::option::of(1u64..7_000))
-            .prop_map(|(a, l)| Move::HeldUp(a, l)),
-        1 => (0usize..4).prop_map(Move::Crash),
-        1 => any::<bool>().prop_map(Move::StoreDown),
-        2 => Just(Move::Replace),
-        1 => (0u64..8, 1u32..4).prop_map(|(j, n)| Move::Fail(j, n)),
+            .prop_map(|(a, l)| Operation::DelayAnswers(a, l)),
+        1 => (0usize..4).prop_map(Operation::Crash),
+        1 => any::<bool>().prop_map(Operation::StoreDown),
+        2 => Just(Operation::ReplaceLeader),
+        1 => (0u64..8, 1u32..4).prop_map(|(j, n)| Operation::Fail(j, n)),
     ]
 }
 
-fn moves_with_mistaken_lives() -> impl Strategy<Value = Move> {
-    prop_oneof![moves(), mistaken().prop_map(Move::Lives)]
+fn operations_with_false_ends() -> impl Strategy<Value = Operation> {
+    prop_oneof![operations(), false_ends().prop_map(Operation::FalseEnds)]
 }
 
-fn submission() -> impl Strategy<Value = Move> {
+fn submission() -> impl Strategy<Value = Operation> {
     let work = prop_oneof![Just(WORK), Just(5 * WORK), Just(12 * WORK)];
-    let door = prop_oneof![
-        2 => Just(Door::Open),
-        4 => Just(Door::Advised),
-        3 => Just(Door::Background),
-        3 => Just(Door::Owned(LIMITED)),
-        1 => Just(Door::Owned(FREE)),
+    let destination = prop_oneof![
+        2 => Just(Destination::Open),
+        4 => Just(Destination::Advised),
+        3 => Just(Destination::Background),
+        3 => Just(Destination::Owned(LIMITED)),
+        1 => Just(Destination::Owned(FREE)),
     ];
-    let kinds = (any::<bool>(), door);
+    let kinds = (any::<bool>(), destination);
     (1u32..5, 300u32..2_500, 1u32..3, work, kinds).prop_map(
-        |(tasks, cpu, steps, work, (gang, door))| Move::Submit {
+        |(tasks, cpu, steps, work, (gang, destination))| Operation::Submit {
             tasks,
             cpu,
             gang,
             steps,
-            door,
+            destination,
             work,
         },
     )
 }
 
 /// Applies a fault that may make a leader consider an incarnation over.
-fn mistake(world: &mut World, one: Mistaken, lives: &mut usize) {
+fn apply_false_end(
+    world: &mut World,
+    one: FalseEnd,
+    incarnations: &mut usize,
+) {
     let all = world.executors.len();
     match one {
-        Mistaken::Crash(at, told) => {
+        FalseEnd::Crash(at, listed) => {
             let at = at % all;
             if world.executors[at].dead {
                 return;
             }
-            *lives += 1;
-            let id = format!("y{lives}");
-            match told {
+            *incarnations += 1;
+            let id = format!("y{incarnations}");
+            match listed {
                 true => world.crash(at, &id),
                 false => {
                     world.crash_unlisted(at, &id);
                 }
             }
         }
-        Mistaken::Cut(at, cut) => world.executors[at % all].isolated = cut,
-        Mistaken::CutFrom(at, after) => {
+        FalseEnd::Isolate(at, isolated) => {
+            world.executors[at % all].isolated = isolated
+        }
+        FalseEnd::IsolateFrom(at, after) => {
             world.executors[at % all].isolated_from =
                 Some(world.token + after);
         }
-        Mistaken::Told(at) => world.list_entry(at % all),
-        Mistaken::Gone(at) => {
+        FalseEnd::ListEntry(at) => world.list_entry(at % all),
+        FalseEnd::RemoveEntry(at) => {
             let id = world.executors[at % all].info.id.clone();
             world.event(Event::Unlisted(id));
         }
-        Mistaken::Takeover(order) => {
+        FalseEnd::Takeover(order) => {
             let order = order.iter().cycle().take(all).enumerate();
             let read = order.filter(|(_, (_, read))| *read);
             let mut read: Vec<(u8, usize)> =
@@ -338,7 +344,7 @@
             let read: Vec<usize> = read.iter().map(|(_, at)| *at).collect();
             world.replace_leader_listing(&read);
         }
-        Mistaken::Silence(at, late, until, rest) => {
+        FalseEnd::Silence(at, late, until, rest) => {
             world.executors[at % all].answer_delay = Some(late);
             world.replace_leader();
             world.run(until);
@@ -346,20 +352,20 @@
             world.executors[at % all].isolated = true;
             world.run(rest);
         }
-        Mistaken::Shown(machine, shown) => {
+        FalseEnd::Shown(machine, shown) => {
             let address = format!("x{machine}");
             match shown {
                 Shown::Present => world.listed_executors.remove(&address),
-                Shown::First => {
+                Shown::Former => {
                     world.listed_executors.insert(address.clone(), address)
                 }
-                Shown::Nobody => {
+                Shown::Missing => {
                     world.listed_executors.insert(address, String::new())
                 }
             };
         }
-        Mistaken::Unlistable(is_so) => world.list_unavailable = is_so,
-        Mistaken::Wave(machine) => {
+        FalseEnd::ListUnavailable(is_so) => world.list_unavailable = is_so,
+        FalseEnd::Wave(machine) => {
             let wave = MaintenanceWave {
                 wave: machine as u64 + 1,
                 machines: vec![format!("x{machine}")],
@@ -368,12 +374,12 @@
             };
             world.event(Event::Wave(wave));
         }
-        Mistaken::LateUpkeep => world.late_maintenance_calls += 1,
+        FalseEnd::DelayMaintenance => world.late_maintenance_calls += 1,
     }
 }
 
 /// Applies a crash of an executor, or a change of its capacity.
-fn crash(world: &mut World, one: Crash, next: u64) {
+fn apply_crash(world: &mut World, one: Crash, next: u64) {
     let all = world.executors.len();
     match one {
         Crash::ByTask(index, after) => {
@@ -382,7 +388,7 @@
             world.crashing.insert(step.task(index), how);
         }
         Crash::ByItself(at, silent) => world.crash_by_itself(at % all, silent),
-        Crash::Room(at, cpu) => {
+        Crash::Capacity(at, cpu) => {
             world.resize(at % all, resources(cpu, 8_000));
             if !world.executors[at % all].dead {
                 world.list_entry(at % all);
@@ -393,17 +399,21 @@
 
 /// Applies a restart of an executor. `former` are the entries of incarnations
 /// that are over.
-fn restart(world: &mut World, one: Restart, former: &mut Vec<ExecutorInfo>) {
+fn apply_restart(
+    world: &mut World,
+    one: Restart,
+    former: &mut Vec<ExecutorInfo>,
+) {
     let all = world.executors.len();
     match one {
-        Restart::One { at, clock, silent, told } => {
+        Restart::One { at, clock, silent, listed } => {
             let at = at % all;
             if world.executors[at].dead {
                 return;
             }
             former.push(world.executors[at].info.clone());
             world.restart_unlisted(at, clock, silent);
-            if told {
+            if listed {
                 world.list_entry(at);
             }
         }
@@ -413,7 +423,7 @@
         }
         Restart::FormerEntry(_) => {}
         Restart::KeepNames(keep) => world.keep_names = keep,
-        Restart::Misread(at) => {
+        Restart::Unreadable(at) => {
             let id = world.executors[at % all].info.id.clone();
             world.event(Event::EntryUnreadable(id));
         }
@@ -421,7 +431,12 @@
 }
 
 /// Applies an event of a full cell.
-fn fill(world: &mut World, one: Full, jobs: &mut u64, lives: &mut usize) {
+fn apply_full(
+    world: &mut World,
+    one: Full,
+    jobs: &mut u64,
+    incarnations: &mut usize,
+) {
     let all = world.executors.len();
     match one {
         Full::Leave(at, stays, until_next) => {
@@ -435,14 +450,14 @@
             world.run(stays);
             world.executors[at].leave();
             world.run(until_next);
-            *lives += 1;
-            world.crash(at, &format!("y{lives}"));
+            *incarnations += 1;
+            world.crash(at, &format!("y{incarnations}"));
         }
-        Full::Declined(is_so) => world.store_declines = is_so,
-        Full::InTurn(first, some, others) => {
+        Full::DeclineCommits(is_so) => world.store_declines = is_so,
+        Full::TakeOverInTurn(first, some, others) => {
             take_over_in_turn(world, &first, some, others);
         }
-        Full::FailInTurn(before, gang, first, some, others) => {
+        Full::FailAndTakeOverInTurn(before, gang, first, some, others) => {
             *jobs += 1;
             let work = 5 * WORK;
             let mut failing = step(2, resources(1_200, 100));
@@ -464,16 +479,16 @@
     others: u64,
 ) {
     let next = Some(world.token + 1);
-    let cut_off = |world: &mut World, which: bool| {
-        let turns = first.iter().cycle();
-        for (executor, turn) in world.executors.iter_mut().zip(turns) {
-            executor.isolated_from = next.filter(|_| *turn == which);
+    let isolate_group = |world: &mut World, isolated_group: bool| {
+        let groups = first.iter().cycle();
+        for (executor, group) in world.executors.iter_mut().zip(groups) {
+            executor.isolated_from = next.filter(|_| *group == isolated_group);
         }
     };
-    cut_off(world, false);
+    isolate_group(world, false);
     world.replace_leader();
     world.run(some);
-    cut_off(world, true);
+    isolate_group(world, true);
     world.run(others);
     for executor in &mut world.executors {
         executor.isolated_from = None;
@@ -481,7 +496,7 @@
 }
 
 /// Ends all faults that make incarnations seem over, and lists all entries.
-fn no_more_mistakes(world: &mut World) {
+fn clear_false_ends(world: &mut World) {
     for at in 0..world.executors.len() {
         world.executors[at].isolated_from = None;
         if world.executors[at].dead {
@@ -494,8 +509,8 @@
     world.list_all();
 }
 
-fn play(sequence: &[Move]) -> World {
-    let cordons = sequence.iter().any(|m| matches!(m, Move::Cordon(..)));
+fn simulate(sequence: &[Operation]) -> World {
+    let cordons = sequence.iter().any(|m| matches!(m, Operation::Cordon(..)));
     let mut world = match cordons {
         true => World::in_two_dcs(MACHINES),
         false => World::new(MACHINES),
@@ -503,40 +518,55 @@
     world.set_limit(6_000);
     world.run(50);
     let mut jobs = 0;
-    let mut lives = 0;
+    let mut incarnations = 0;
     let mut former = Vec::new();
-    let mut still = 0;
+    let mut stalled = 0;
     for one in sequence {
         match one.clone() {
-            Move::Submit { tasks, cpu, gang, steps, door, work } => {
+            Operation::Submit {
+                tasks,
+                cpu,
+                gang,
+                steps,
+                destination,
+                work,
+            } => {
                 jobs += 1;
                 // A job that could never be placed is not submitted.
-                let tight = gang && !matches!(door, Door::Open);
-                let tasks = if tight { tasks.min(2) } else { tasks };
+                let fits_only_two =
+                    gang && !matches!(destination, Destination::Open);
+                let tasks = if fits_only_two { tasks.min(2) } else { tasks };
                 let cpu = if gang { cpu.min(1_900) } else { cpu };
                 let steps = (0..steps).map(|number| {
                     let mut step = step(tasks, resources(cpu, 100));
                     step.gang = gang;
-                    step.checkpoints = matches!(door, Door::Background);
+                    step.checkpoints =
+                        matches!(destination, Destination::Background);
                     step.estimate = work;
                     step.after = (0..number).collect();
                     step
                 });
                 let steps = steps.collect();
-                match door {
-                    Door::Open => world.submit(job(jobs, "batch", steps)),
-                    Door::Background => {
+                match destination {
+                    Destination::Open => {
+                        world.submit(job(jobs, "batch", steps))
+                    }
+                    Destination::Background => {
                         world.submit(job(jobs, "background", steps))
                     }
-                    Door::Advised => world.submit(job(jobs, "advised", steps)),
-                    Door::Urgent => world.submit(job(jobs, "urgent", steps)),
-                    Door::Owned(account) => {
+                    Destination::Advised => {
+                        world.submit(job(jobs, "advised", steps))
+                    }
+                    Destination::Urgent => {
+                        world.submit(job(jobs, "urgent", steps))
+                    }
+                    Destination::Owned(account) => {
                         world.submit_as(account, job(jobs, "owned", steps))
                     }
                 };
             }
-            Move::Limit(cpu) => world.set_limit(cpu),
-            Move::Cancel(id) => {
+            Operation::Limit(cpu) => world.set_limit(cpu),
+            Operation::Cancel(id) => {
                 for queue in
                     ["batch", "advised", "owned", "background", "urgent"]
                 {
@@ -545,38 +575,50 @@
                     world.request_as(LIMITED, Request::Cancel { queue, job });
                 }
             }
-            Move::Run(time) => world.run(time),
-            Move::Cut(at, cut) => world.executors[at].isolated = cut,
-            Move::Mute(at, orders) => {
+            Operation::Run(time) => world.run(time),
+            Operation::Isolate(at, isolated) => {
+                world.executors[at].isolated = isolated
+            }
+            Operation::LoseAnswers(at, orders) => {
                 world.executors[at].lost_answers = orders
             }
-            Move::Late(at, late) => world.executors[at].order_delay = late,
-            Move::HeldUp(at, late) => world.executors[at].answer_delay = late,
-            Move::Crash(at) => {
-                lives += 1;
-                let id = format!("y{lives}");
+            Operation::DelayOrders(at, late) => {
+                world.executors[at].order_delay = late
+            }
+            Operation::DelayAnswers(at, late) => {
+                world.executors[at].answer_delay = late
+            }
+            Operation::Crash(at) => {
+                incarnations += 1;
+                let id = format!("y{incarnations}");
                 if !world.executors[at].dead {
                     world.crash(at, &id);
                 }
             }
-            Move::StoreDown(true) => world.store_down = true,
-            Move::StoreDown(false) => world.store_up(),
-            Move::Replace => world.replace_leader(),
-            Move::Fail(id, times) => {
+            Operation::StoreDown(true) => world.store_down = true,
+            Operation::StoreDown(false) => world.store_up(),
+            Operation::ReplaceLeader => world.replace_leader(),
+            Operation::Fail(id, times) => {
                 let step = StepKey { job: JobId(id), time: 0, step: 0 };
                 world.failing.insert(step.task(0), times);
             }
-            Move::Lives(one) => mistake(&mut world, one, &mut lives),
-            Move::Crashes(one) => crash(&mut world, one, jobs + 1),
-            Move::Restarts(one) => restart(&mut world, one, &mut former),
-            Move::Behind(late) => world.event_lag = late,
-            Move::StandStill(time) => {
-                let time = time.min(STILL - still);
-                still += time;
+            Operation::FalseEnds(one) => {
+                apply_false_end(&mut world, one, &mut incarnations)
+            }
+            Operation::Crashes(one) => apply_crash(&mut world, one, jobs + 1),
+            Operation::Restarts(one) => {
+                apply_restart(&mut world, one, &mut former)
+            }
+            Operation::EventLag(late) => world.event_lag = late,
+            Operation::Stall(time) => {
+                let time = time.min(MAX_STALL - stalled);
+                stalled += time;
                 world.stall(time);
             }
-            Move::Cordon(at, on) => world.set_cordoned(dc_of(at), on),
-            Move::Full(one) => fill(&mut world, one, &mut jobs, &mut lives),
+            Operation::Cordon(at, on) => world.set_cordoned(dc_of(at), on),
+            Operation::Full(one) => {
+                apply_full(&mut world, one, &mut jobs, &mut incarnations)
+            }
         }
     }
     world.event_lag = 0;
@@ -593,8 +635,8 @@
             world.list_entry(at);
         }
     }
-    if sequence.iter().any(|one| matches!(one, Move::Lives(_))) {
-        no_more_mistakes(&mut world);
+    if sequence.iter().any(|one| matches!(one, Operation::FalseEnds(_))) {
+        clear_false_ends(&mut world);
     }
     world.store_declines = false;
     world.store_up();
@@ -610,8 +652,8 @@
 }
 
 /// Checks that no rule is violated, and that everything accepted ends.
-fn keeps_all_rules(sequence: &[Move]) -> Result<(), TestCaseError> {
-    let mut world = play(sequence);
+fn check_sequence(sequence: &[Operation]) -> Result<(), TestCaseError> {
+    let mut world = simulate(sequence);
     prop_assert!(world.broken.is_empty(), "{:#?}", world.broken);
     let left = world.unfinished();
     prop_assert!(left.is_empty(), "not ended: {left:?}");
@@ -640,9 +682,9 @@
 
     #[test]
     fn no_rule_breaks_under_any_sequence_of_faults(
-        sequence in prop::collection::vec(moves(), 1..45),
+        sequence in prop::collection::vec(operations(), 1..45),
     ) {
-        keeps_all_rules(&sequence)?;
+        check_sequence(&sequence)?;
     }
 }
 
@@ -650,13 +692,13 @@
     #![proptest_config(config(200))]
 
     #[test]
-    fn no_rule_breaks_however_lives_may_be_mistaken(
+    fn no_rule_breaks_however_incarnations_may_be_mistaken(
         sequence in prop::collection::vec(
-            moves_with_mistaken_lives(),
+            operations_with_false_ends(),
             10..60,
         ),
     ) {
-        keeps_all_rules(&sequence)?;
+        check_sequence(&sequence)?;
     }
 }
 
@@ -665,9 +707,9 @@
 
     #[test]
     fn no_rule_breaks_while_executors_crash_and_shrink(
-        sequence in prop::collection::vec(moves_with_crashes(), 10..60),
+        sequence in prop::collection::vec(operations_with_crashes(), 10..60),
     ) {
-        keeps_all_rules(&sequence)?;
+        check_sequence(&sequence)?;
     }
 }
 
@@ -676,9 +718,9 @@
 
     #[test]
     fn no_rule_breaks_while_executors_start_again(
-        sequence in prop::collection::vec(moves_with_restarts(), 10..60),
+        sequence in prop::collection::vec(operations_with_restarts(), 10..60),
     ) {
-        keeps_all_rules(&sequence)?;
+        check_sequence(&sequence)?;
     }
 }
 
@@ -686,10 +728,10 @@
     #![proptest_config(config(200))]
 
     #[test]
-    fn no_rule_breaks_while_tasks_give_way_and_leaders_change(
-        sequence in prop::collection::vec(moves_in_a_full_cell(), 10..60),
+    fn no_rule_breaks_while_tasks_are_preempted_and_leaders_change(
+        sequence in prop::collection::vec(operations_in_a_full_cell(), 10..60),
     ) {
-        keeps_all_rules(&sequence)?;
+        check_sequence(&sequence)?;
     }
 }
 
@@ -697,10 +739,10 @@
     #![proptest_config(config(200))]
 
     #[test]
-    fn nothing_starts_in_data_centres_that_are_emptied(
-        sequence in prop::collection::vec(moves_with_cordons(), 10..60),
+    fn nothing_starts_in_data_centres_that_are_cordoned(
+        sequence in prop::collection::vec(operations_with_cordons(), 10..60),
     ) {
-        keeps_all_rules(&sequence)?;
+        check_sequence(&sequence)?;
     }
 }
 
@@ -708,15 +750,26 @@
     #![proptest_config(config(200))]
 
     #[test]
-    fn no_rule_breaks_while_the_leader_is_behind(
-        sequence in prop::collection::vec(moves_with_a_late_leader(), 10..40),
+    fn no_rule_breaks_while_the_leader_lags(
+        sequence in prop::collection::vec(operations_with_a_lagging_leader(), 10..40),
     ) {
-        keeps_all_rules(&sequence)?;
+        check_sequence(&sequence)?;
     }
 }
 
-fn one_task(cpu: u32, door: Door, work: u64) -> Move {
-    Move::Submit { tasks: 1, cpu, gang: false, steps: 1, door, work }
+fn submit_one_task(
+    cpu: u32,
+    destination: Destination,
+    work: u64,
+) -> Operation {
+    Operation::Submit {
+        tasks: 1,
+        cpu,
+        gang: false,
+        steps: 1,
+        destination,
+        work,
+    }
 }
 
 /// A leader makes a maintenance call and is replaced before the call is
@@ -724,94 +777,94 @@
 /// maintenance ends. If the task crashes another executor later, that counts
 /// as one crash, not as two.
 #[test]
-fn an_upkeep_that_a_predecessor_called_for_is_no_crash() {
-    use Crash::{ByItself, ByTask, Room};
-    let small = || one_task(300, Door::Open, 500);
-    let wave = |at| Move::Lives(Mistaken::Wave(at));
-    let by_itself = |at| Move::Crashes(ByItself(at, false));
-    let by_task = |after| Move::Crashes(ByTask(0, after));
+fn maintenance_that_a_predecessor_called_for_is_no_crash() {
+    use Crash::{ByItself, ByTask, Capacity};
+    let small = || submit_one_task(300, Destination::Open, 500);
+    let wave = |at| Operation::FalseEnds(FalseEnd::Wave(at));
+    let by_itself = |at| Operation::Crashes(ByItself(at, false));
+    let by_task = |after| Operation::Crashes(ByTask(0, after));
     let mut read = vec![(0, false); 16];
     read[2] = (0, true);
     read[15] = (23, true);
     let sequences = [
         vec![
-            Move::Crashes(Room(9, 500)),
-            Move::Run(478),
-            Move::Lives(Mistaken::Shown(0, Shown::Present)),
+            Operation::Crashes(Capacity(9, 500)),
+            Operation::Run(478),
+            Operation::FalseEnds(FalseEnd::Shown(0, Shown::Present)),
             wave(1),
-            Move::Crashes(Room(10, 500)),
+            Operation::Crashes(Capacity(10, 500)),
             by_itself(3),
             small(),
             small(),
             small(),
             by_task(10),
-            Move::Replace,
-            one_task(501, Door::Advised, 500),
+            Operation::ReplaceLeader,
+            submit_one_task(501, Destination::Advised, 500),
         ],
         vec![
             wave(2),
-            Move::Crashes(Room(5, 2_254)),
-            Move::Run(135),
-            Move::Replace,
-            Move::Run(384),
-            Move::Lives(Mistaken::Cut(4, true)),
-            Move::Run(314),
+            Operation::Crashes(Capacity(5, 2_254)),
+            Operation::Run(135),
+            Operation::ReplaceLeader,
+            Operation::Run(384),
+            Operation::FalseEnds(FalseEnd::Isolate(4, true)),
+            Operation::Run(314),
             wave(0),
-            Move::Run(579),
-            one_task(1_134, Door::Open, 2_500),
-            Move::Run(42),
-            Move::Crashes(ByTask(1, 90)),
-            Move::Submit {
+            Operation::Run(579),
+            submit_one_task(1_134, Destination::Open, 2_500),
+            Operation::Run(42),
+            Operation::Crashes(ByTask(1, 90)),
+            Operation::Submit {
                 tasks: 2,
                 cpu: 561,
                 gang: false,
                 steps: 1,
-                door: Door::Open,
+                destination: Destination::Open,
                 work: 500,
             },
-            Move::Run(1_098),
+            Operation::Run(1_098),
             by_task(10),
             by_itself(5),
-            one_task(300, Door::Advised, 500),
+            submit_one_task(300, Destination::Advised, 500),
             by_task(10),
             small(),
-            Move::Run(148),
-            Move::Lives(Mistaken::Takeover(read)),
-            Move::Replace,
+            Operation::Run(148),
+            Operation::FalseEnds(FalseEnd::Takeover(read)),
+            Operation::ReplaceLeader,
         ],
         vec![
-            Move::Lives(Mistaken::Crash(4, false)),
+            Operation::FalseEnds(FalseEnd::Crash(4, false)),
             by_itself(1),
-            Move::Cut(0, false),
+            Operation::Isolate(0, false),
             by_itself(2),
-            Move::Submit {
+            Operation::Submit {
                 tasks: 2,
                 cpu: 365,
                 gang: false,
                 steps: 1,
-                door: Door::Background,
+                destination: Destination::Background,
                 work: 500,
             },
             small(),
             by_itself(3),
             wave(2),
             by_task(90),
-            Move::Submit {
+            Operation::Submit {
                 tasks: 2,
                 cpu: 700,
                 gang: true,
                 steps: 1,
-                door: Door::Advised,
+                destination: Destination::Advised,
                 work: 500,
             },
-            one_task(1_571, Door::Background, 500),
-            Move::Run(2),
-            Move::Replace,
-            Move::Limit(3_000),
+            submit_one_task(1_571, Destination::Background, 500),
+            Operation::Run(2),
+            Operation::ReplaceLeader,
+            Operation::Limit(3_000),
         ],
     ];
     for sequence in sequences {
-        keeps_all_rules(&sequence).expect("all rules are kept");
+        check_sequence(&sequence).expect("all rules are kept");
     }
 }
 
@@ -819,36 +872,36 @@
 #[test]
 fn a_gang_that_crashes_executors_is_given_up_beside_other_such_tasks() {
     use Crash::{ByItself, ByTask};
-    let sub = |tasks, cpu, gang, steps, work| Move::Submit {
+    let sub = |tasks, cpu, gang, steps, work| Operation::Submit {
         tasks,
         cpu,
         gang,
         steps,
-        door: Door::Background,
+        destination: Destination::Background,
         work,
     };
     let sequence = vec![
-        Move::Crashes(ByItself(2, true)),
-        Move::Crashes(ByTask(0, 10)),
-        Move::Run(582),
+        Operation::Crashes(ByItself(2, true)),
+        Operation::Crashes(ByTask(0, 10)),
+        Operation::Run(582),
         sub(3, 300, false, 1, 2500),
-        Move::Lives(Mistaken::Shown(3, Shown::First)),
+        Operation::FalseEnds(FalseEnd::Shown(3, Shown::Former)),
         sub(4, 1778, false, 1, 500),
-        Move::Lives(Mistaken::LateUpkeep),
-        Move::Run(270),
-        Move::Crashes(ByTask(1, 90)),
+        Operation::FalseEnds(FalseEnd::DelayMaintenance),
+        Operation::Run(270),
+        Operation::Crashes(ByTask(1, 90)),
         sub(2, 445, true, 1, 2500),
-        Move::Run(148),
-        Move::Lives(Mistaken::Wave(3)),
+        Operation::Run(148),
+        Operation::FalseEnds(FalseEnd::Wave(3)),
         sub(4, 1623, false, 2, 2500),
-        Move::Crashes(ByItself(5, false)),
-        Move::Crashes(ByTask(0, 10)),
+        Operation::Crashes(ByItself(5, false)),
+        Operation::Crashes(ByTask(0, 10)),
         sub(1, 300, false, 1, 2500),
-        Move::Run(169),
-        Move::Run(445),
-        Move::Run(436),
+        Operation::Run(169),
+        Operation::Run(445),
+        Operation::Run(436),
     ];
-    keeps_all_rules(&sequence).expect("all rules are kept");
+    check_sequence(&sequence).expect("all rules are kept");
 }
 
 /// Guards against a gang that is started a sixth time. It runs beside other
@@ -857,64 +910,65 @@
 /// rate.
 #[test]
 fn a_gang_that_crashes_executors_is_not_started_a_sixth_time() {
-    use Crash::{ByItself, ByTask, Room};
-    let sub = |tasks, cpu, gang, door, work| Move::Submit {
+    use Crash::{ByItself, ByTask, Capacity};
+    let sub = |tasks, cpu, gang, destination, work| Operation::Submit {
         tasks,
         cpu,
         gang,
         steps: 1,
-        door,
+        destination,
         work,
     };
-    let small = || one_task(300, Door::Open, 500);
-    let by_itself = |at, silent| Move::Crashes(ByItself(at, silent));
-    let crash = |at| Move::Lives(Mistaken::Crash(at, false));
-    let silence =
-        |at, until, rest| Move::Lives(Mistaken::Silence(at, 1, until, rest));
+    let small = || submit_one_task(300, Destination::Open, 500);
+    let by_itself = |at, silent| Operation::Crashes(ByItself(at, silent));
+    let crash = |at| Operation::FalseEnds(FalseEnd::Crash(at, false));
+    let silence = |at, until, rest| {
+        Operation::FalseEnds(FalseEnd::Silence(at, 1, until, rest))
+    };
     let sequences = [
         vec![
-            Move::Crashes(ByTask(0, 90)),
-            Move::Run(2),
-            sub(2, 836, true, Door::Open, 500),
+            Operation::Crashes(ByTask(0, 90)),
+            Operation::Run(2),
+            sub(2, 836, true, Destination::Open, 500),
             crash(0),
             small(),
             silence(5, 1_422, 826),
             by_itself(4, true),
             small(),
             crash(4),
-            Move::HeldUp(2, Some(1)),
-            sub(3, 1_851, false, Door::Open, 500),
-            Move::Cut(0, false),
-            Move::Run(400),
+            Operation::DelayAnswers(2, Some(1)),
+            sub(3, 1_851, false, Destination::Open, 500),
+            Operation::Isolate(0, false),
+            Operation::Run(400),
             silence(3, 600, 0),
-            Move::Limit(3_000),
+            Operation::Limit(3_000),
             small(),
         ],
         vec![
-            Move::Cut(1, true),
-            Move::Cut(0, true),
-            sub(4, 2_321, false, Door::Owned(FREE), 500),
-            Move::Run(50),
-            Move::Replace,
-            Move::Crash(2),
-            Move::Crashes(ByTask(1, 90)),
-            Move::Run(490),
+            Operation::Isolate(1, true),
+            Operation::Isolate(0, true),
+            sub(4, 2_321, false, Destination::Owned(FREE), 500),
+            Operation::Run(50),
+            Operation::ReplaceLeader,
+            Operation::Crash(2),
+            Operation::Crashes(ByTask(1, 90)),
+            Operation::Run(490),
             by_itself(0, false),
-            sub(2, 305, true, Door::Open, 6_000),
+            sub(2, 305, true, Destination::Open, 6_000),
             by_itself(11, false),
-            sub(3, 840, false, Door::Background, 2_500),
-            Move::Run(214),
-            Move::Run(671),
+            sub(3, 840, false, Destination::Background, 2_500),
+            Operation::Run(214),
+            Operation::Run(671),
             crash(0),
-            Move::Crashes(Room(6, 500)),
-            Move::Lives(Mistaken::Cut(0, false)),
-            Move::Run(314),
-            sub(2, 300, false, Door::Open, 6_000),
+            Operation::Crashes(Capacity(6, 500)),
+            Operation::FalseEnds(FalseEnd::Isolate(0, false)),
+            Operation::Run(314),
+            sub(2, 300, false, Destination::Open, 6_000),
             silence(0, 706, 3_301),
-            Move::Replace,
+            Operation::ReplaceLeader,
         ],
     ];
     for sequence in sequences {
-        keeps_all_rules(&sequence).expect("all rules are kept");
+        check_sequence(&sequence).expect("all rules are kept");
     }
 }
--- a/tests/jobs/absence.rs
+++ b/tests/jobs/indirect_evidence.rs
@@ -12,7 +12,7 @@
 use super::world::{job, policy, resources, step, World, LEASE, WORK};
 
 /// After this time the leader has read which executor each machine hosts.
-const SHOWN: u64 = 4_500;
+const MACHINES_LISTED: u64 = 4_500;
 
 fn task() -> TaskKey {
     "0000000000000001.0.0.0".parse().expect("a task")
@@ -32,7 +32,7 @@
 }
 
 /// A report that was made while the first run was running.
-fn earlier_account(world: &World, sent_at: u64) -> Event {
+fn earlier_report(world: &World, sent_at: u64) -> Event {
     let row = RunReport {
         task: task(),
         run: 1_000_001,
@@ -51,7 +51,7 @@
 
 /// A task whose first run has failed was just ordered again on the same
 /// executor when a report arrives that was made during the first run.
-fn ordered_again_before_an_earlier_account() -> World {
+fn ordered_again_before_an_earlier_report() -> World {
     let mut world = World::new(1);
     world.run(50);
     world.failing.insert(task(), 1);
@@ -63,7 +63,7 @@
         world.run(1);
         assert!(world.now < sent_at + 2 * WORK);
     }
-    let late = earlier_account(&world, sent_at);
+    let late = earlier_report(&world, sent_at);
     world.event(late);
     world
 }
@@ -73,8 +73,8 @@
 /// a report from the time of the first run arrives late. If the ended run
 /// replaces the ordered one, nobody asks what has become of the ordered one.
 #[test]
-fn an_earlier_account_does_not_hide_an_order_that_is_lost() {
-    let mut world = ordered_again_before_an_earlier_account();
+fn an_earlier_report_does_not_hide_an_order_that_is_lost() {
+    let mut world = ordered_again_before_an_earlier_report();
     world.executors[0].isolated = true;
     world.run(20);
     world.executors[0].isolated = false;
@@ -86,8 +86,8 @@
 /// Like the test above, but the executor crashes before the order arrives.
 /// Everything on it is given up, and the ordered run must be, too.
 #[test]
-fn an_earlier_account_does_not_hide_a_run_from_the_end_of_its_executor() {
-    let mut world = ordered_again_before_an_earlier_account();
+fn an_earlier_report_does_not_hide_a_run_from_the_end_of_its_executor() {
+    let mut world = ordered_again_before_an_earlier_report();
     world.crash(0, "y1");
     world.run(5 * LEASE);
     world.check();
@@ -100,14 +100,14 @@
 /// pages. An earlier list has shown the machine. The executor must not be
 /// considered gone before its lease has expired.
 #[test]
-fn a_machine_that_a_list_lacks_ends_no_life() {
+fn a_machine_that_a_list_lacks_ends_no_incarnation() {
     let mut world = World::new(1);
     world.run(50);
     world.submit(job(1, "batch", vec![long(4 * LEASE)]));
     world.run(200);
     world.add_executor("x9");
     world.list_entry(1);
-    world.run(SHOWN);
+    world.run(MACHINES_LISTED);
     assert!(world.executors[0].runs(&task()));
     world.unlisted.insert("x0".into());
     world.executors[0].isolated = true;
@@ -120,14 +120,14 @@
 /// yet when the list of machines arrives, so it knows none of those that are
 /// in the store.
 #[test]
-fn a_machine_that_a_list_lacks_ends_no_life_before_entries_are_read() {
+fn a_machine_that_a_list_lacks_ends_no_incarnation_before_entries_are_read() {
     let mut world = World::new(1);
     world.run(50);
     world.submit(job(1, "batch", vec![long(4 * LEASE)]));
     world.run(200);
     world.add_executor("x9");
     world.list_entry(1);
-    world.run(SHOWN);
+    world.run(MACHINES_LISTED);
     assert!(world.executors[0].runs(&task()));
     world.unlisted.insert("x0".into());
     world.executors[0].isolated = true;
@@ -145,9 +145,9 @@
 /// takeover completes only when a lease that nobody can have granted has
 /// expired.
 #[test]
-fn an_entry_of_an_executor_that_is_over_holds_no_takeover_up() {
+fn an_entry_of_an_executor_that_is_over_delays_no_takeover() {
     let mut world = World::new(2);
-    world.run(SHOWN + 1_000);
+    world.run(MACHINES_LISTED + 1_000);
     let tasks = Step { count: 5, ..long(2_000) };
     world.submit(job(1, "batch", vec![tasks]));
     world.run(200);
@@ -212,7 +212,7 @@
 /// as away already, and once more as lost by the next call, the step can't
 /// afford the next call.
 #[test]
-fn a_call_for_upkeep_that_is_lost_is_made_again() {
+fn a_maintenance_call_that_is_lost_is_made_again() {
     let mut world = World::new(2);
     world.run(50);
     let lasting = Step {
@@ -262,9 +262,9 @@
 /// that maintenance was done may refer to an earlier call, and the executor
 /// may be alive.
 #[test]
-fn what_an_upkeep_ends_is_started_elsewhere_soon() {
+fn what_maintenance_ends_is_started_elsewhere_soon() {
     let mut world = World::new(2);
-    world.run(SHOWN + 1_000);
+    world.run(MACHINES_LISTED + 1_000);
     let lasting = Step { lasting: true, ..step(2, resources(1_000, 100)) };
     let lasting = Step { max_per_executor: 1, count: 1, ..lasting };
     world.submit(job(1, "batch", vec![lasting]));
@@ -288,7 +288,7 @@
 /// is down for one of them, the list of machines shows it as down; that must
 /// not count as maintenance for the other wave.
 #[test]
-fn the_upkeep_of_one_wave_is_not_that_of_another() {
+fn the_maintenance_of_one_wave_is_not_that_of_another() {
     let mut world = World::new(1);
     world.run(50);
     world.event(wave(7, "x0"));
@@ -302,7 +302,7 @@
 /// one executor at a time than one report lists. The rest are listed neither
 /// as running nor as ended, and must not be considered lost.
 #[test]
-fn ends_that_an_account_has_no_room_for_are_waited_for() {
+fn ends_that_exceed_a_report_are_waited_for() {
     let mut world = World::new(1);
     world.run(50);
     let many = Step { count: 600, ..step(600, resources(1, 1)) };
@@ -342,7 +342,7 @@
 /// and answers at once; an answer like that must not cause another renewal
 /// without delay.
 #[test]
-fn an_executor_that_gives_no_account_is_not_asked_again_at_once() {
+fn an_executor_that_makes_no_report_is_not_asked_again_at_once() {
     let mut world = World::new(1);
     world.run(50);
     world.submit(job(1, "batch", vec![long(4 * LEASE)]));
@@ -359,6 +359,6 @@
     world.list_entry(1);
     let before = world.renewals;
     world.run(300);
-    let asked = world.renewals - before;
-    assert!(asked <= 10, "asked {asked} times in 300 ms");
+    let sent = world.renewals - before;
+    assert!(sent <= 10, "asked {sent} times in 300 ms");
 }
--- a/tests/jobs/lives.rs
+++ b/tests/jobs/membership.rs
@@ -6,17 +6,17 @@
 
 use super::world::{job, resources, step, World, LEASE};
 
-/// The former incarnation at the address of [`LIFE`].
+/// The former incarnation at the address of [`LIVE`].
 const FORMER: usize = 0;
 /// The incarnation that runs the task.
-const LIFE: usize = 1;
+const LIVE: usize = 1;
 /// An executor with capacity for the task.
 const OTHER: usize = 2;
 /// After this time the leader has read which executor each machine hosts.
-const SHOWN: u64 = 4_500;
+const MACHINES_LISTED: u64 = 4_500;
 /// Within this time the leader looks for a silent executor in the list of
 /// machines.
-const SEEN: u64 = 4_500;
+const MACHINE_LOOKUP: u64 = 4_500;
 /// The duration of the task.
 const LONG: u64 = 5_000;
 
@@ -32,7 +32,7 @@
 
 /// A cell in which an executor has crashed and its next incarnation runs a
 /// long task. Another executor has capacity for that task.
-fn next_life_at_work() -> World {
+fn next_incarnation_running() -> World {
     let mut world = World::new(1);
     world.run(50);
     world.crash(FORMER, "y1");
@@ -42,7 +42,7 @@
     world.add_executor("x9");
     world.list_entry(OTHER);
     world.run(200);
-    assert!(world.executors[LIFE].runs(&task()));
+    assert!(world.executors[LIVE].runs(&task()));
     world
 }
 
@@ -61,7 +61,7 @@
 }
 
 /// Checks that the task runs to its end where it is.
-fn ends_after_one_start(mut world: World) {
+fn check_ends_after_one_start(mut world: World) {
     world.run(LONG + LEASE);
     world.check();
     assert_eq!(world.state(1), Some(JobState::Succeeded));
@@ -70,17 +70,17 @@
 
 /// Isolates the live incarnation while another leader takes over and reads
 /// these entries. The task must still end where it is.
-fn ends_though_cut_off_while_read(entries: &[usize]) {
-    let mut world = next_life_at_work();
-    world.executors[LIFE].isolated = true;
-    takes_over_and_reads(&mut world, entries, 0);
+fn check_ends_while_isolated(entries: &[usize]) {
+    let mut world = next_incarnation_running();
+    world.executors[LIVE].isolated = true;
+    take_over_and_read(&mut world, entries, 0);
     world.run(2_500);
-    world.executors[LIFE].isolated = false;
-    ends_after_one_start(world);
+    world.executors[LIVE].isolated = false;
+    check_ends_after_one_start(world);
 }
 
 /// Makes another leader take over and tells it of these entries in order.
-fn takes_over_and_reads(world: &mut World, entries: &[usize], pause: u64) {
+fn take_over_and_read(world: &mut World, entries: &[usize], pause: u64) {
     world.take_over();
     for at in entries {
         world.list_entry(*at);
@@ -96,29 +96,29 @@
 /// incarnation: it would give up what the live one runs and no longer wait for
 /// its report.
 #[test]
-fn a_former_entry_read_last_at_a_takeover_ends_no_life() {
-    let mut world = next_life_at_work();
-    takes_over_and_reads(&mut world, &[LIFE, FORMER, OTHER], 0);
-    ends_after_one_start(world);
+fn a_former_entry_read_last_at_a_takeover_ends_no_incarnation() {
+    let mut world = next_incarnation_running();
+    take_over_and_read(&mut world, &[LIVE, FORMER, OTHER], 0);
+    check_ends_after_one_start(world);
 }
 
 /// Like the test above, but the entry of the former incarnation is read first:
 /// the live one is enrolled anew, and its report has to be waited for.
 #[test]
-fn a_former_entry_read_first_at_a_takeover_ends_no_life() {
-    let mut world = next_life_at_work();
-    takes_over_and_reads(&mut world, &[FORMER, LIFE, OTHER], 0);
-    ends_after_one_start(world);
+fn a_former_entry_read_first_at_a_takeover_ends_no_incarnation() {
+    let mut world = next_incarnation_running();
+    take_over_and_read(&mut world, &[FORMER, LIVE, OTHER], 0);
+    check_ends_after_one_start(world);
 }
 
 /// Guards against the same fault. The successor is told of the former
 /// incarnation first, and of the live one shortly after, when the former one
 /// has been found to be over and nothing else is waited for.
 #[test]
-fn a_former_entry_told_before_the_living_one_ends_no_life() {
-    let mut world = next_life_at_work();
-    takes_over_and_reads(&mut world, &[FORMER, OTHER, LIFE], 40);
-    ends_after_one_start(world);
+fn a_former_entry_told_before_the_living_one_ends_no_incarnation() {
+    let mut world = next_incarnation_running();
+    take_over_and_read(&mut world, &[FORMER, OTHER, LIVE], 40);
+    check_ends_after_one_start(world);
 }
 
 /// Guards against a task that runs on two executors under a single leader. The
@@ -126,24 +126,24 @@
 /// all entries after some seconds, and must not consider it a newer
 /// incarnation at the address of the live one.
 #[test]
-fn a_former_entry_told_once_more_ends_no_life() {
-    let mut world = next_life_at_work();
+fn a_former_entry_told_once_more_ends_no_incarnation() {
+    let mut world = next_incarnation_running();
     world.list_entry(FORMER);
-    ends_after_one_start(world);
+    check_ends_after_one_start(world);
 }
 
 /// Like the test above, but then both entries are told alternately, many
 /// times.
 #[test]
-fn entries_of_two_lives_told_in_turn_end_no_life() {
-    let mut world = next_life_at_work();
+fn entries_of_two_incarnations_told_in_turn_end_no_incarnation() {
+    let mut world = next_incarnation_running();
     for _ in 0..3 {
         world.run(400);
         world.list_entry(FORMER);
         world.run(400);
-        world.list_entry(LIFE);
+        world.list_entry(LIVE);
     }
-    ends_after_one_start(world);
+    check_ends_after_one_start(world);
 }
 
 /// Guards against a task that runs on two executors after a change of leaders,
@@ -151,38 +151,38 @@
 /// it is alive. The entry of its former incarnation is read, which must not
 /// count as its end.
 #[test]
-fn a_former_entry_read_last_ends_no_life_that_is_cut_off() {
-    ends_though_cut_off_while_read(&[LIFE, FORMER, OTHER]);
+fn a_former_entry_read_last_ends_no_incarnation_that_is_isolated() {
+    check_ends_while_isolated(&[LIVE, FORMER, OTHER]);
 }
 
 /// Like the test above, but the entry of the former incarnation is read first.
 #[test]
-fn a_former_entry_read_first_ends_no_life_that_is_cut_off() {
-    ends_though_cut_off_while_read(&[FORMER, LIFE, OTHER]);
+fn a_former_entry_read_first_ends_no_incarnation_that_is_isolated() {
+    check_ends_while_isolated(&[FORMER, LIVE, OTHER]);
 }
 
 /// Like the test above, but only the successor can't reach the executor.
 #[test]
-fn a_former_entry_ends_no_life_that_a_successor_cannot_reach() {
-    let mut world = next_life_at_work();
-    world.executors[LIFE].isolated_from = Some(world.token + 1);
-    takes_over_and_reads(&mut world, &[LIFE, FORMER, OTHER], 0);
+fn a_former_entry_ends_no_incarnation_that_a_successor_cannot_reach() {
+    let mut world = next_incarnation_running();
+    world.executors[LIVE].isolated_from = Some(world.token + 1);
+    take_over_and_read(&mut world, &[LIVE, FORMER, OTHER], 0);
     world.run(2_500);
-    world.executors[LIFE].isolated_from = None;
-    ends_after_one_start(world);
+    world.executors[LIVE].isolated_from = None;
+    check_ends_after_one_start(world);
 }
 
 /// The same under a single leader: it is told of the entry of the former
 /// incarnation once more while the live one is isolated from it.
 #[test]
-fn a_former_entry_told_once_more_ends_no_life_that_is_cut_off() {
-    let mut world = next_life_at_work();
-    world.executors[LIFE].isolated_from = Some(world.token);
+fn a_former_entry_told_once_more_ends_no_incarnation_that_is_isolated() {
+    let mut world = next_incarnation_running();
+    world.executors[LIVE].isolated_from = Some(world.token);
     world.run(300);
     world.list_entry(FORMER);
     world.run(2_000);
-    world.executors[LIFE].isolated_from = None;
-    ends_after_one_start(world);
+    world.executors[LIVE].isolated_from = None;
+    check_ends_after_one_start(world);
 }
 
 /// Guards against a task that runs on two executors after a change of leaders.
@@ -203,7 +203,7 @@
     world.run(3_000);
     world.executors[0].isolated = false;
     world.executors[0].answer_delay = None;
-    ends_after_one_start(world);
+    check_ends_after_one_start(world);
 }
 
 /// Like the test above, but the executor is no longer in the store when it
@@ -221,7 +221,7 @@
     world.executors[0].isolated = false;
     world.executors[0].answer_delay = None;
     world.list_entry(0);
-    ends_after_one_start(world);
+    check_ends_after_one_start(world);
 }
 
 /// Guards against a task that runs on two executors under a single leader. The
@@ -229,7 +229,7 @@
 /// machine as up without an executor. The executor must not be considered gone
 /// before its lease has expired.
 #[test]
-fn a_machine_without_an_executor_ends_no_life() {
+fn a_machine_without_an_executor_ends_no_incarnation() {
     let mut world = two_executors();
     world.listed_executors.insert("x0".into(), String::new());
     world.executors[0].isolated = true;
@@ -240,10 +240,10 @@
 /// Like the test above, but the list still shows the former incarnation on
 /// that machine.
 #[test]
-fn a_machine_that_shows_a_former_life_ends_no_life() {
-    let mut world = next_life_at_work();
+fn a_machine_that_shows_a_former_incarnation_ends_no_incarnation() {
+    let mut world = next_incarnation_running();
     world.listed_executors.insert("x0".into(), "x0".into());
-    world.executors[LIFE].isolated = true;
+    world.executors[LIVE].isolated = true;
     world.run(LONG + 2_000);
     world.check();
 }
@@ -253,14 +253,14 @@
 /// machines shows its former incarnation. If the successor considers it gone
 /// before it has heard it, it has nothing left to wait for.
 #[test]
-fn a_list_that_lags_at_a_takeover_ends_no_life() {
-    let mut world = next_life_at_work();
+fn a_list_that_lags_at_a_takeover_ends_no_incarnation() {
+    let mut world = next_incarnation_running();
     world.listed_executors.insert("x0".into(), "x0".into());
-    world.executors[LIFE].isolated = true;
+    world.executors[LIVE].isolated = true;
     world.replace_leader();
     world.run(2_500);
-    world.executors[LIFE].isolated = false;
-    ends_after_one_start(world);
+    world.executors[LIVE].isolated = false;
+    check_ends_after_one_start(world);
 }
 
 /// Guards against a task that runs on two executors during a maintenance wave.
@@ -269,7 +269,7 @@
 /// already been carried out; the incarnation that started after the
 /// maintenance must not be considered over.
 #[test]
-fn an_upkeep_carried_out_before_ends_no_later_life() {
+fn maintenance_carried_out_before_ends_no_later_incarnation() {
     let wave = MaintenanceWave {
         wave: 7,
         machines: vec!["x0".into()],
@@ -285,10 +285,10 @@
     assert_eq!(world.maintained, ["x0"]);
     world.run(1_600);
     let life = world.executors.len() - 1;
-    assert_eq!(life, LIFE);
+    assert_eq!(life, LIVE);
     submit_long(&mut world, 3 * LEASE);
     world.run(200);
-    assert!(world.executors[LIFE].runs(&task()));
+    assert!(world.executors[LIVE].runs(&task()));
     world.add_executor("x9");
     world.replace_leader();
     world.event(Event::Wave(wave));
@@ -304,7 +304,7 @@
 /// back. By the time of the second call the task has moved to the machine's
 /// new executor, and the wave is late.
 #[test]
-fn an_upkeep_carried_out_late_ends_no_later_life() {
+fn maintenance_carried_out_late_ends_no_later_incarnation() {
     let wave = MaintenanceWave {
         wave: 7,
         machines: vec!["x0".into()],
@@ -320,14 +320,14 @@
     // The call is carried out after 1.5 s, and the maintenance takes 2 s.
     world.run(2_700);
     assert_eq!(world.maintained, ["x0"]);
-    assert_eq!(world.executors.len() - 1, LIFE);
+    assert_eq!(world.executors.len() - 1, LIVE);
     submit_long(&mut world, LONG);
     world.run(100);
-    assert!(world.executors[LIFE].runs(&task()));
+    assert!(world.executors[LIVE].runs(&task()));
     world.add_executor("x9");
     world.list_entry(OTHER);
     world.list_unavailable = false;
-    ends_after_one_start(world);
+    check_ends_after_one_start(world);
 }
 
 /// Guards against a task that runs on two executors after a change of leaders.
@@ -353,7 +353,7 @@
     // The entry of the executor has expired; another executor has capacity by
     // now.
     world.add_executor("x10");
-    takes_over_and_reads(&mut world, &[1, 2], 0);
+    take_over_and_read(&mut world, &[1, 2], 0);
     world.run(400);
     world.listed_executors.clear();
     world.executors[0].isolated = false;
@@ -375,23 +375,23 @@
     world.run(200);
     world.list_entry(FORMER);
     world.run(100);
-    assert!(world.executors[LIFE].runs(&task()));
+    assert!(world.executors[LIVE].runs(&task()));
     world.add_executor("x9");
-    takes_over_and_reads(&mut world, &[OTHER], 0);
+    take_over_and_read(&mut world, &[OTHER], 0);
     world.run(400);
-    world.list_entry(LIFE);
-    ends_after_one_start(world);
+    world.list_entry(LIVE);
+    check_ends_after_one_start(world);
 }
 
 /// The machine of an executor goes down, and the list of machines shows that:
 /// its tasks start elsewhere long before its lease expires.
 #[test]
-fn a_machine_that_is_off_ends_the_life_there() {
+fn a_machine_that_is_off_ends_the_incarnation_there() {
     let mut world = two_executors();
-    world.run(SHOWN);
+    world.run(MACHINES_LISTED);
     world.die(0);
     world.powered_off.insert("x0".into());
-    world.run(SEEN);
+    world.run(MACHINE_LOOKUP);
     assert_eq!(world.starts[&task()], 2);
     world.check();
 }
@@ -401,11 +401,11 @@
 #[test]
 fn a_successor_knows_which_machines_executors_are_on() {
     let mut world = two_executors();
-    world.run(SHOWN);
+    world.run(MACHINES_LISTED);
     world.die(0);
     world.powered_off.insert("x0".into());
     world.replace_leader();
-    world.run(SEEN);
+    world.run(MACHINE_LOOKUP);
     assert_eq!(world.starts[&task()], 2);
     world.check();
 }
@@ -417,7 +417,7 @@
 fn an_executor_that_no_list_has_shown_ends_by_its_lease() {
     let mut world = two_executors();
     world.unlisted.insert("x0".into());
-    world.run(SHOWN - 1_000);
+    world.run(MACHINES_LISTED - 1_000);
     let id = world.executors[0].info.id.clone();
     world.event(Event::Unlisted(id));
     world.executors[0].isolated = true;
@@ -429,17 +429,17 @@
 /// A machine returns with another incarnation, which listens elsewhere. Once
 /// that one answers, the former incarnation is over.
 #[test]
-fn another_life_that_answers_on_the_machine_ends_the_former() {
+fn another_incarnation_that_answers_on_the_machine_ends_the_former() {
     let mut world = two_executors();
-    world.run(SHOWN);
+    world.run(MACHINES_LISTED);
     world.die(0);
     world.add_executor("y1");
     let next = world.executors.len() - 1;
     world.listed_executors.insert("x0".into(), "y1".into());
-    world.run(SEEN);
+    world.run(MACHINE_LOOKUP);
     assert_eq!(world.starts[&task()], 1, "it has not answered yet");
     world.list_entry(next);
-    world.run(SEEN);
+    world.run(MACHINE_LOOKUP);
     assert_eq!(world.starts[&task()], 2);
     world.check();
 }
@@ -495,7 +495,7 @@
 /// The first run of a task fails shortly after its executor has made a report
 /// that still lists it. That report is delayed. The next one is not, and it
 /// makes the leader start the task again on the same executor.
-fn account_of_a_run_that_has_failed_since() -> World {
+fn late_report_of_a_failed_run() -> World {
     let mut world = World::new(1);
     world.run(50);
     world.failing.insert(task(), 1);
@@ -512,8 +512,8 @@
 /// that run replaces the later one among the runs of the executor, the later
 /// one is unknown when the next report lists it.
 #[test]
-fn an_account_that_comes_late_stops_no_later_run() {
-    let mut world = account_of_a_run_that_has_failed_since();
+fn a_report_that_comes_late_stops_no_later_run() {
+    let mut world = late_report_of_a_failed_run();
     world.run(3 * LEASE);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     assert_eq!(world.starts[&task()], 2, "one failed, one was done");
@@ -525,8 +525,8 @@
 /// has listed the later run. That run must be among those that are given up
 /// with the executor.
 #[test]
-fn an_account_that_comes_late_loses_no_later_run() {
-    let mut world = account_of_a_run_that_has_failed_since();
+fn a_report_that_comes_late_loses_no_later_run() {
+    let mut world = late_report_of_a_failed_run();
     world.run(2_020);
     assert_eq!(world.starts[&task()], 2);
     world.crash(0, "y1");
@@ -542,7 +542,7 @@
 /// superseded leader. Nothing is left to wait for, so the superseded leader
 /// may start the task on an executor that its successor has not reached yet.
 #[test]
-fn a_superseded_leader_starts_nothing_for_the_end_of_a_life() {
+fn a_superseded_leader_starts_nothing_for_the_end_of_an_incarnation() {
     let mut world = two_executors();
     world.executors[0].isolated_from = Some(world.token + 1);
     world.replace_leader();
@@ -606,7 +606,7 @@
 #[test]
 fn an_earlier_run_that_is_done_ends_its_task() {
     let mut world = two_executors();
-    world.run(SHOWN);
+    world.run(MACHINES_LISTED);
     submit_second(&mut world);
     world.run(100);
     let first = (0..2).find(|at| world.executors[*at].runs(&second()));
@@ -617,7 +617,7 @@
     world.powered_off.insert(world.executors[first].info.address.clone());
     let other = 1 - first;
     let mut waited = 0;
-    while !world.executors[other].runs(&second()) && waited < SEEN {
+    while !world.executors[other].runs(&second()) && waited < MACHINE_LOOKUP {
         world.run(10);
         waited += 10;
     }
--- a/tests/jobs/mod.rs
+++ b/tests/jobs/mod.rs
@@ -1,29 +1,29 @@
-//! The scheduler of jobs: each rule, each fault that was found, and random
+//! Tests of the job scheduler: its rules, faults that were found, and random
 //! sequences of faults.
 
-mod absence;
+mod account_shares;
 mod accounts;
 mod admission;
 mod backlog;
-mod behind;
+mod capacity;
+mod cell_size;
 mod cordons;
-mod crashing;
-mod displacing;
+mod crash_suspects;
+mod departures;
+mod event_lag;
 mod faults;
 mod fuzz;
-mod holds;
-mod latest;
-mod leaving;
-mod lives;
-mod looked;
-mod outage;
-mod reborn;
-mod room;
-mod rounds;
+mod incarnations;
+mod indirect_evidence;
+mod membership;
+mod placement_rounds;
+mod placement_stats;
+mod preemption;
+mod ranking;
+mod renewals;
 mod rules;
 mod services;
-mod shares;
-mod size;
 mod speeds;
-mod urgent;
+mod store_outage;
+mod urgent_tasks;
 mod world;
--- a/tests/jobs/rounds.rs
+++ b/tests/jobs/placement_rounds.rs
@@ -10,10 +10,10 @@
 const EXECUTORS: usize = 320;
 const GANGS: u64 = 300;
 /// How long the leader is observed.
-const WATCHED: Millis = 10_000;
+const OBSERVATION: Millis = 10_000;
 
 /// A full cell, with hundreds of gangs that wait for half of it.
-fn crowded() -> World {
+fn full_cell() -> World {
     let without = Mechanisms::all_except([Mechanism::Admission]);
     let mut world = World::without(EXECUTORS, without);
     world.run(200);
@@ -34,18 +34,18 @@
 /// placement round examines everything that waits.
 #[test]
 fn placing_leaves_time_to_what_comes_in_while_hundreds_of_gangs_wait() {
-    let mut world = crowded();
+    let mut world = full_cell();
     world.examination_time = Duration::from_micros(1);
     world.time_examining = Duration::ZERO;
-    world.run(WATCHED);
-    let part = world.time_examining.as_millis() as f64 / WATCHED as f64;
+    world.run(OBSERVATION);
+    let part = world.time_examining.as_millis() as f64 / OBSERVATION as f64;
     assert!(part <= 0.5, "placing took {part:.2} of the time");
     assert!(part > 0.0, "nothing was placed");
 }
 
 #[test]
 fn urgent_tasks_start_soon_while_placing_rests() {
-    let mut world = crowded();
+    let mut world = full_cell();
     for spare in 0..8 {
         world.add_executor(&format!("spare{spare}"));
         world.list_entry(EXECUTORS + spare);
--- a/tests/jobs/looked.rs
+++ b/tests/jobs/placement_stats.rs
@@ -9,7 +9,7 @@
 
 const EXECUTORS: usize = 8;
 /// The number of steps that wait.
-const CROWD: u64 = 256;
+const WAITING_STEPS: u64 = 256;
 
 const NAMES: [&str; 5] = [
     "place_rounds",
@@ -24,10 +24,13 @@
         .map(|name| world.scheduler.counters().get(name).copied().unwrap_or(0))
 }
 
-/// What placement examines during `goes`.
-fn during(world: &mut World, goes: impl FnOnce(&mut World)) -> PlacementStats {
+/// What placement examines during `run`.
+fn examined_during(
+    world: &mut World,
+    run: impl FnOnce(&mut World),
+) -> PlacementStats {
     let before = world.scheduler.placement_stats();
-    goes(world);
+    run(world);
     let PlacementStats { rounds, deferred, steps, executors, runs } =
         world.scheduler.placement_stats();
     let all = [rounds, deferred, steps, executors, runs];
@@ -50,12 +53,12 @@
 /// The counters show what placement rounds examine, so that operators see why
 /// a leader lags behind its events.
 #[test]
-fn steps_and_executors_that_are_looked_at_are_counted() {
+fn steps_and_executors_that_are_examined_are_counted() {
     let mut world = full(EXECUTORS);
-    let idle = during(&mut world, |world| world.run(200));
+    let idle = examined_during(&mut world, |world| world.run(200));
     assert_eq!((idle.steps, idle.executors, idle.runs), (0, 0, 0));
     assert!(idle.rounds > 0, "ticks are rounds");
-    let one = during(&mut world, |world| {
+    let one = examined_during(&mut world, |world| {
         world.submit(job(2, "batch", vec![step(1, resources(4_000, 100))]));
         world.run(200);
     });
@@ -63,7 +66,7 @@
     assert!(one.steps > 0 && one.steps <= one.rounds, "{one:?}");
     let each = EXECUTORS as u64;
     assert!(one.executors >= one.steps * each, "{one:?}");
-    let more = during(&mut world, |world| {
+    let more = examined_during(&mut world, |world| {
         for id in 3..8 {
             world.submit(job(
                 id,
@@ -79,15 +82,15 @@
 
 /// To reserve capacity for a gang, the leader examines the runs in progress.
 #[test]
-fn runs_that_are_looked_at_for_a_gang_are_counted() {
+fn runs_that_are_examined_for_a_gang_are_counted() {
     let mut world = full(EXECUTORS);
     let mut gang = step(EXECUTORS as u32, resources(4_000, 100));
     gang.gang = true;
-    let looked = during(&mut world, |world| {
+    let examined = examined_during(&mut world, |world| {
         world.submit(job(2, "batch", vec![gang]));
         world.run(200);
     });
-    assert!(looked.runs >= EXECUTORS as u64, "{looked:?}");
+    assert!(examined.runs >= EXECUTORS as u64, "{examined:?}");
     world.run(30 * WORK);
     world.check();
 }
@@ -96,13 +99,13 @@
 fn rounds_that_are_put_off_while_placing_rests_are_counted() {
     let mut world = full(EXECUTORS);
     world.examination_time = Duration::from_micros(100);
-    let looked = during(&mut world, |world| {
-        for id in 0..CROWD {
+    let examined = examined_during(&mut world, |world| {
+        for id in 0..WAITING_STEPS {
             let task = step(1, resources(4_000, 100));
             world.submit(job(10 + id, "batch", vec![task]));
         }
         world.run(100);
     });
-    assert!(looked.deferred > 0, "{looked:?}");
-    assert!(looked.rounds > looked.deferred, "{looked:?}");
+    assert!(examined.deferred > 0, "{examined:?}");
+    assert!(examined.rounds > examined.deferred, "{examined:?}");
 }
--- a/tests/jobs/displacing.rs
+++ b/tests/jobs/preemption.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_gang_that_would_be_late_has_others_give_way() {
+fn a_gang_that_would_be_late_preempts_others() {
     for (without, state) in [
         (Mechanisms::default(), JobState::Succeeded),
         (
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn only_as_many_give_way_as_the_gang_needs() {
+fn no_more_are_preempted_than_the_gang_needs() {
     let mut world = full(Mechanisms::default(), |_| {});
     world.run(1_500 + WORK);
     world.run(60 * WORK);
@@ -78,7 +78,7 @@
 
 /// A preempted task is not preempted again, or it would never end.
 #[test]
-fn a_task_gives_way_once() {
+fn a_task_is_preempted_once() {
     let mut world = full(Mechanisms::default(), |_| {});
     world.run(8 * WORK);
     for id in 10..=14 {
--- a/tests/jobs/latest.rs
+++ b/tests/jobs/ranking.rs
@@ -10,10 +10,10 @@
 
 const EXECUTORS: usize = 8;
 /// The slack that the queues of the cell add to twice the run time of a job.
-const TARGET: Millis = 1_000;
+const SLACK: Millis = 1_000;
 /// A late step may start this long after the late step before it, and when a
 /// run has ended.
-const TURN: Millis = 1_000 + WORK;
+const LATE_STEP_INTERVAL: Millis = 1_000 + WORK;
 
 fn first_task(id: u64) -> TaskKey {
     format!("{id:016x}.0.0.0").parse().expect("a task")
@@ -45,7 +45,7 @@
                 0 => (2, 3 * WORK),
                 _ => (1, WORK),
             };
-            let whole = 2 * Millis::from(steps) * time + TARGET;
+            let whole = 2 * Millis::from(steps) * time + SLACK;
             due.entry(world.now + whole).or_default().push(next);
             world.submit(chain(next, queue, steps, time));
             next += 1;
@@ -96,7 +96,10 @@
             next += 1;
             world.run(WORK);
             let waited = world.now - since;
-            assert!(waited <= 4 * (20 * WORK + TURN), "{waited}");
+            assert!(
+                waited <= 4 * (20 * WORK + LATE_STEP_INTERVAL),
+                "{waited}"
+            );
         }
         world.check();
     }
@@ -105,7 +108,7 @@
 /// A step that is wider than the cell takes several rounds, and has to start
 /// that much earlier.
 #[test]
-fn a_step_wider_than_the_room_goes_by_its_rounds() {
+fn a_step_wider_than_the_cell_goes_by_its_rounds() {
     let mut world = World::new(2);
     world.run(100);
     world.submit(chain(1, "batch", 2, WORK));
--- a/tests/jobs/holds.rs
+++ b/tests/jobs/renewals.rs
@@ -7,7 +7,7 @@
 
 const EXECUTORS: usize = 320;
 /// The time between two iterations of a busy leader.
-const TURN: Millis = 100;
+const ITERATION: Millis = 100;
 
 /// Guards against a leader that renews with the executors it knew first again
 /// and again, and never with the others.
@@ -18,9 +18,9 @@
         Mechanisms::all_except([Mechanism::Admission]),
     );
     world.run(500);
-    world.advance_interval = TURN;
+    world.advance_interval = ITERATION;
     let mut short = step(40 * EXECUTORS as u32, resources(4_000, 100));
-    short.estimate = TURN;
+    short.estimate = ITERATION;
     world.submit(job(1, "batch", vec![short]));
     world.run(10_000);
     let ends: Vec<u64> = world.executors.iter().map(|e| e.ends()).collect();
--- a/tests/jobs/rules.rs
+++ b/tests/jobs/rules.rs
@@ -201,7 +201,7 @@
 /// of 1,100 executors, wide gangs waited for 5 s while two fifths of the cell
 /// were idle.
 #[test]
-fn advice_is_asked_of_executors_with_room() {
+fn advice_is_asked_of_executors_with_capacity() {
     const EXECUTORS: usize = 300;
     const FULL: u32 = 150;
     let mut world = World::new(EXECUTORS);
--- a/tests/jobs/services.rs
+++ b/tests/jobs/services.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn fillers_take_no_processor_room() {
+fn fillers_take_no_processor_time() {
     let mut world = World::new(1);
     world.submit(job(1, "batch", vec![serving(1)]));
     world.submit(job(2, "batch", vec![filling(1)]));
@@ -130,7 +130,7 @@
 /// A call that was not answered may be carried out later, so its machine
 /// counts as down until then.
 #[test]
-fn a_call_for_upkeep_without_answer_counts() {
+fn a_maintenance_call_without_answer_counts() {
     let mut world = World::new(3);
     world.late_maintenance_calls = 1;
     let wave = wave(&["x0", "x1", "x2"], 1);
--- a/tests/jobs/speeds.rs
+++ b/tests/jobs/speeds.rs
@@ -11,7 +11,7 @@
 use super::world::{job, resources, step, World, LEASE, WORK};
 
 /// The run times on a quick executor, in percent of normal.
-const QUICK: u64 = 50;
+const QUICK_PERCENT: u64 = 50;
 
 fn without_speeds() -> Mechanisms {
     Mechanisms::all_except([Mechanism::Speeds])
@@ -23,17 +23,21 @@
 }
 
 /// A cell whose last executors are quick.
-fn uneven(executors: usize, quick: usize, without: Mechanisms) -> World {
+fn with_quick_executors(
+    executors: usize,
+    quick: usize,
+    without: Mechanisms,
+) -> World {
     let mut world = World::without(executors, without);
     for executor in &mut world.executors[executors - quick..] {
-        executor.run_time_percent = QUICK;
+        executor.run_time_percent = QUICK_PERCENT;
     }
     world.run(50);
     world
 }
 
 /// Runs jobs that occupy all executors, this many times.
-fn teach(world: &mut World, first: u64, rounds: u64) {
+fn run_rounds(world: &mut World, first: u64, rounds: u64) {
     let all = world.executors.len() as u32;
     for id in first..first + rounds {
         world.submit(wide(id, "batch", all));
@@ -43,7 +47,7 @@
 
 /// Tightens the objective of urgent jobs to a fifth of their run time and a
 /// little more.
-fn tighten(world: &mut World) {
+fn tighten_objective(world: &mut World) {
     world.set_policy(|policy| {
         let queue = policy.queues.get_mut("urgent").expect("a queue");
         (queue.stretch, queue.target) = (1.2, 100);
@@ -52,9 +56,11 @@
 
 fn percent(world: &World, at: usize) -> u64 {
     let id = &world.executors[at].info.id;
-    let lives = (0..1_000).filter_map(|index| world.scheduler.executor(index));
-    let mut lives = lives.filter(|executor| executor.info.id == *id);
-    let newest = lives.next_back();
+    let incarnations =
+        (0..1_000).filter_map(|index| world.scheduler.executor(index));
+    let mut incarnations =
+        incarnations.filter(|executor| executor.info.id == *id);
+    let newest = incarnations.next_back();
     let slowness = newest.expect("a known executor").speed.slowness();
     (slowness.exp() * 100.0).round() as u64
 }
@@ -65,8 +71,8 @@
 
 #[test]
 fn two_groups_of_executors_are_found_within_a_few_runs() {
-    let mut world = uneven(8, 2, Mechanisms::default());
-    teach(&mut world, 1, 8);
+    let mut world = with_quick_executors(8, 2, Mechanisms::default());
+    run_rounds(&mut world, 1, 8);
     for at in 6..8 {
         assert!(percent(&world, at) < 70, "{at}: {}", percent(&world, at));
     }
@@ -80,7 +86,7 @@
 #[test]
 fn executors_that_are_alike_are_decided_on_as_if_nothing_were_learnt() {
     let play = |without: Mechanisms| {
-        let mut world = uneven(8, 0, without);
+        let mut world = with_quick_executors(8, 0, without);
         let mut where_to = Vec::new();
         for id in 1..40 {
             let queue = ["urgent", "batch", "background"][id as usize % 3];
@@ -99,8 +105,8 @@
 
 #[test]
 fn one_that_turns_slow_is_noticed_within_a_few_runs() {
-    let mut world = uneven(8, 0, Mechanisms::default());
-    teach(&mut world, 1, 10);
+    let mut world = with_quick_executors(8, 0, Mechanisms::default());
+    run_rounds(&mut world, 1, 10);
     for slow in [4, 8] {
         let at = slow as usize;
         world.executors[at - 1].run_time_percent = 100 * slow;
@@ -126,8 +132,8 @@
 
 #[test]
 fn one_that_recovers_is_tried_again() {
-    let mut world = uneven(4, 0, Mechanisms::default());
-    teach(&mut world, 1, 6);
+    let mut world = with_quick_executors(4, 0, Mechanisms::default());
+    run_rounds(&mut world, 1, 6);
     world.executors[0].run_time_percent = 800;
     for id in 20..24 {
         world.submit(wide(id, "batch", 4));
@@ -138,7 +144,7 @@
     // No job needs the executor, and the evidence fades.
     world.run(60_000);
     assert_eq!(percent(&world, 0), 100);
-    teach(&mut world, 30, 4);
+    run_rounds(&mut world, 30, 4);
     assert_eq!(percent(&world, 0), 100);
     world.check();
 }
@@ -147,8 +153,8 @@
 /// of a step are equally hard, wherever they run.
 #[test]
 fn hard_work_is_not_slowness() {
-    let mut world = uneven(4, 0, Mechanisms::default());
-    teach(&mut world, 1, 6);
+    let mut world = with_quick_executors(4, 0, Mechanisms::default());
+    run_rounds(&mut world, 1, 6);
     for id in 20..30 {
         let hard = id % 2 == 0;
         let work = wide(id, "batch", 4);
@@ -169,9 +175,9 @@
 }
 
 #[test]
-fn a_new_life_is_known_by_nothing() {
-    let mut world = uneven(6, 1, Mechanisms::default());
-    teach(&mut world, 1, 8);
+fn a_new_incarnation_is_known_by_nothing() {
+    let mut world = with_quick_executors(6, 1, Mechanisms::default());
+    run_rounds(&mut world, 1, 8);
     assert!(percent(&world, 5) < 70);
     world.keep_names = true;
     world.restart(5, 1);
@@ -184,8 +190,8 @@
 /// predecessor writes only a few times.
 #[test]
 fn a_successor_knows_the_speeds() {
-    let mut world = uneven(8, 2, Mechanisms::default());
-    teach(&mut world, 1, 16);
+    let mut world = with_quick_executors(8, 2, Mechanisms::default());
+    run_rounds(&mut world, 1, 16);
     assert!(counted(&world, "speeds_kept") <= 4);
     world.replace_leader();
     world.run(500);
@@ -193,7 +199,7 @@
     for at in 0..6 {
         assert!(percent(&world, at) > 90);
     }
-    tighten(&mut world);
+    tighten_objective(&mut world);
     let quick = urgent_tasks_on_quick(&mut world, 100);
     assert_eq!(quick, 2, "both of the quick are used");
     world.check();
@@ -205,14 +211,14 @@
     let at = world.executors_with(id);
     world.run(4 * WORK);
     at.into_iter()
-        .filter(|at| world.executors[*at].run_time_percent == QUICK)
+        .filter(|at| world.executors[*at].run_time_percent == QUICK_PERCENT)
         .count()
 }
 
 #[test]
 fn a_shard_of_an_earlier_version_can_be_read() {
-    let mut world = uneven(4, 1, Mechanisms::default());
-    teach(&mut world, 1, 8);
+    let mut world = with_quick_executors(4, 1, Mechanisms::default());
+    run_rounds(&mut world, 1, 8);
     let names =
         world.store.keys().filter(|n| n.starts_with(record::SHARD_PREFIX));
     let names: Vec<String> = names.cloned().collect();
@@ -233,12 +239,12 @@
 /// and the others slow. Returns how many urgent jobs were in time, and their
 /// total.
 fn urgent_in_time(without: Mechanisms, takeover: bool) -> (usize, usize) {
-    let mut world = uneven(8, 2, without);
-    tighten(&mut world);
+    let mut world = with_quick_executors(8, 2, without);
+    tighten_objective(&mut world);
     for executor in &mut world.executors[..6] {
         executor.run_time_percent = 160;
     }
-    teach(&mut world, 1, 10);
+    run_rounds(&mut world, 1, 10);
     let mut due: BTreeMap<u64, u64> = BTreeMap::new();
     let mut in_time = 0;
     for round in 0..60 {
@@ -293,8 +299,8 @@
 /// quick executors where others have capacity for all members.
 #[test]
 fn members_of_a_gang_are_alike() {
-    let mut world = uneven(8, 2, Mechanisms::default());
-    teach(&mut world, 1, 10);
+    let mut world = with_quick_executors(8, 2, Mechanisms::default());
+    run_rounds(&mut world, 1, 10);
     let mut members = step(4, resources(3_000, 100));
     members.gang = true;
     world.submit(job(50, "background", vec![members.clone()]));
@@ -385,7 +391,7 @@
 /// estimate's error.
 #[test]
 fn a_gang_tells_once_how_far_its_guess_is_off() {
-    let mut world = uneven(8, 0, Mechanisms::default());
+    let mut world = with_quick_executors(8, 0, Mechanisms::default());
     let expected = |world: &mut World, id: u64| {
         let mut gang = step(32, resources(1_000, 100));
         gang.gang = true;
--- a/tests/jobs/outage.rs
+++ b/tests/jobs/store_outage.rs
@@ -8,10 +8,10 @@
 use super::world::{job, resources, step, World, WORK};
 
 /// The delay after which a refused client retries.
-const COME_BACK: Millis = 1_000;
+const RETRY_DELAY: Millis = 1_000;
 /// How long a client waits for an answer in all, and how often it asks.
-const PATIENCE: Millis = 3_000;
-const TRIES: u32 = 5;
+const CLIENT_TIMEOUT: Millis = 3_000;
+const MAX_ATTEMPTS: u32 = 5;
 
 fn small() -> Step {
     step(1, resources(500, 100))
@@ -35,13 +35,13 @@
     let first = world.submit(lookup(1));
     world.run(30);
     let second = world.submit(lookup(2));
-    world.run(COME_BACK / 2 + 60);
+    world.run(RETRY_DELAY / 2 + 60);
     for request in [first, second] {
-        assert_eq!(world.answer_to(request), Outcome::Refused(COME_BACK));
+        assert_eq!(world.answer_to(request), Outcome::Refused(RETRY_DELAY));
     }
-    world.run(COME_BACK / 2);
+    world.run(RETRY_DELAY / 2);
     let at_once = world.submit(lookup(3));
-    assert_eq!(world.answer_to(at_once), Outcome::Refused(COME_BACK));
+    assert_eq!(world.answer_to(at_once), Outcome::Refused(RETRY_DELAY));
     world.run(2_000);
     world.store_declines = false;
     world.run(2_000);
@@ -84,7 +84,7 @@
     world.run(400);
     assert!(!world.replies.contains_key(&request));
     world.run(200);
-    assert_eq!(world.answer_to(request), Outcome::Refused(COME_BACK));
+    assert_eq!(world.answer_to(request), Outcome::Refused(RETRY_DELAY));
     world.check();
 }
 
@@ -100,7 +100,7 @@
     let waits = world.submit(lookup(2));
     world.run(1_500);
     assert!(!world.replies.contains_key(&in_doubt));
-    assert_eq!(world.answer_to(waits), Outcome::Refused(COME_BACK));
+    assert_eq!(world.answer_to(waits), Outcome::Refused(RETRY_DELAY));
     world.store_up();
     world.run(WORK + 200);
     assert_eq!(world.answer_to(in_doubt), Outcome::Accepted);
@@ -114,7 +114,7 @@
 #[test]
 fn how_long_outages_last_is_learnt() {
     for (learns, answer) in
-        [(true, Outcome::Accepted), (false, Outcome::Refused(COME_BACK))]
+        [(true, Outcome::Accepted), (false, Outcome::Refused(RETRY_DELAY))]
     {
         let mut world = World::new(2);
         world.run(100);
@@ -160,8 +160,8 @@
     world.run(100);
     world.store_declines = true;
     let request = world.submit(lookup(1));
-    world.run(COME_BACK);
-    assert_eq!(world.answer_to(request), Outcome::Refused(COME_BACK));
+    world.run(RETRY_DELAY);
+    assert_eq!(world.answer_to(request), Outcome::Refused(RETRY_DELAY));
     world.store_declines = false;
     world.replace_leader();
     world.run(500);
@@ -177,8 +177,8 @@
 struct Client {
     id: u64,
     since: Millis,
-    asks_at: Millis,
-    tries: u32,
+    next_attempt_at: Millis,
+    attempts: u32,
     request: Option<u64>,
     /// How long its latest attempt has waited for an answer.
     waited: Millis,
@@ -199,15 +199,15 @@
             clients.push(Client {
                 id: clients.len() as u64 + 1,
                 since: world.now,
-                asks_at: world.now,
-                tries: 0,
+                next_attempt_at: world.now,
+                attempts: 0,
                 request: None,
                 waited: 0,
                 accepted: false,
             });
         }
         for client in &mut clients {
-            client.go_on(&mut world);
+            client.advance(&mut world);
         }
         world.run(10);
     }
@@ -219,25 +219,28 @@
 }
 
 impl Client {
-    fn go_on(&mut self, world: &mut World) {
+    fn advance(&mut self, world: &mut World) {
         let Some(request) = self.request else {
-            let gives_up = world.now > self.since + PATIENCE;
-            if !self.accepted && world.now >= self.asks_at && !gives_up {
-                self.tries += 1;
-                self.asks_at = world.now;
+            let timed_out = world.now > self.since + CLIENT_TIMEOUT;
+            if !self.accepted
+                && world.now >= self.next_attempt_at
+                && !timed_out
+            {
+                self.attempts += 1;
+                self.next_attempt_at = world.now;
                 self.request = Some(world.submit(lookup(self.id)));
             }
             return;
         };
         let Some(answer) = world.replies.get(&request) else { return };
-        self.waited = self.waited.max(world.now - self.asks_at);
+        self.waited = self.waited.max(world.now - self.next_attempt_at);
         self.request = None;
         match answer {
             Outcome::Accepted => self.accepted = true,
-            Outcome::Refused(after) if self.tries < TRIES => {
-                self.asks_at = world.now + after;
+            Outcome::Refused(after) if self.attempts < MAX_ATTEMPTS => {
+                self.next_attempt_at = world.now + after;
             }
-            _ => self.asks_at = Millis::MAX,
+            _ => self.next_attempt_at = Millis::MAX,
         }
     }
 }
@@ -250,14 +253,14 @@
     let began = clients[0].since;
     for client in &clients {
         let (from, waited) = (client.since - began, client.waited);
-        assert!(waited <= COME_BACK / 2 + 60, "{from}: held {waited}");
+        assert!(waited <= RETRY_DELAY / 2 + 60, "{from}: held {waited}");
         // The last attempt is at most a second before the client gives up.
-        if from + PATIENCE - COME_BACK > 5_000 {
+        if from + CLIENT_TIMEOUT - RETRY_DELAY > 5_000 {
             assert!(client.accepted, "from {from} ms on");
         }
     }
     // The jobs in a declined commit would be held until the outage ends.
     let clients = outage(Mechanisms::all_except([Mechanism::AfterOutage]), 20);
     let longest = clients.iter().map(|client| client.waited).max();
-    assert!(longest > Some(PATIENCE), "held {longest:?}");
+    assert!(longest > Some(CLIENT_TIMEOUT), "held {longest:?}");
 }
--- a/tests/jobs/urgent.rs
+++ b/tests/jobs/urgent_tasks.rs
@@ -19,18 +19,18 @@
 /// A start later than this after the submission of the job is late.
 const AT_ONCE: Millis = 400;
 
-fn patient(id: u64, count: u32, works: u64, saves: bool) -> Job {
+fn normal_job(id: u64, count: u32, works: u64, saves: bool) -> Job {
     let mut tasks = step(count, resources(1_000, 500));
     tasks.estimate = works * WORK;
     tasks.checkpoints = saves;
     job(id, "background", vec![tasks])
 }
 
-fn urgent(id: u64, count: u32) -> Job {
+fn urgent_job(id: u64, count: u32) -> Job {
     job(URGENT + id, "urgent", vec![step(count, resources(1_500, 500))])
 }
 
-fn off(mechanisms: &[Mechanism]) -> Mechanisms {
+fn all_except(mechanisms: &[Mechanism]) -> Mechanisms {
     Mechanisms::all_except(mechanisms.iter().copied())
 }
 
@@ -41,34 +41,34 @@
 /// When each urgent job was submitted, and how long it waited for its start.
 #[derive(Default)]
 struct Waits {
-    handed_in: BTreeMap<u64, Millis>,
+    submitted: BTreeMap<u64, Millis>,
     waited: BTreeMap<u64, Millis>,
     in_time: usize,
 }
 
 impl Waits {
     fn submit(&mut self, world: &mut World, job: Job) {
-        self.handed_in.insert(job.id.0, world.now);
+        self.submitted.insert(job.id.0, world.now);
         world.submit(job);
     }
 
     /// Advances time, and records starts and ends.
     fn run(&mut self, world: &mut World, time: Millis) {
-        const GRAIN: Millis = 10;
-        for _ in 0..time / GRAIN {
-            world.run(GRAIN);
+        const INTERVAL: Millis = 10;
+        for _ in 0..time / INTERVAL {
+            world.run(INTERVAL);
             let begun = world.starts.keys().map(|task| task.step.job.0);
             for id in begun {
-                if let Some(since) = self.handed_in.get(&id) {
+                if let Some(since) = self.submitted.get(&id) {
                     self.waited.entry(id).or_insert(world.now - since);
                 }
             }
             let due: Vec<u64> = self
-                .handed_in
+                .submitted
                 .iter()
                 .filter(|(_, at)| {
                     let age = world.now - **at;
-                    (OBJECTIVE..OBJECTIVE + GRAIN).contains(&age)
+                    (OBJECTIVE..OBJECTIVE + INTERVAL).contains(&age)
                 })
                 .map(|(id, _)| *id)
                 .collect();
@@ -90,7 +90,7 @@
     let mut world = World::without(EXECUTORS, without);
     world.run(50);
     for id in 1..=EXECUTORS as u64 {
-        world.submit(patient(id, 4, 16, true));
+        world.submit(normal_job(id, 4, 16, true));
     }
     world.run(300);
     assert_eq!(world.starts.len(), 4 * EXECUTORS, "the cell is full");
@@ -101,7 +101,7 @@
 fn burst(world: &mut World) -> Waits {
     let mut waits = Waits::default();
     for id in 1..=20 {
-        waits.submit(world, urgent(id, 2));
+        waits.submit(world, urgent_job(id, 2));
         waits.run(world, 100);
     }
     waits.run(world, OBJECTIVE + WORK);
@@ -109,14 +109,14 @@
 }
 
 #[test]
-fn others_give_way_to_a_burst_of_urgent_work() {
+fn others_are_preempted_for_a_burst_of_urgent_work() {
     let mut world = full(Mechanisms::default());
     let waits = burst(&mut world);
     assert!(waits.at_once() >= 18, "at once: {}", waits.at_once());
     assert_eq!(waits.in_time, 20);
     assert!(counted(&world, "urgent_displacements") > 0);
 
-    let mut without = full(off(&[Mechanism::UrgentPreemption]));
+    let mut without = full(all_except(&[Mechanism::UrgentPreemption]));
     let waits = burst(&mut without);
     assert_eq!(waits.at_once(), 0);
     assert_eq!(counted(&without, "urgent_displacements"), 0);
@@ -129,18 +129,19 @@
 }
 
 #[test]
-fn no_task_gives_way_twice() {
+fn no_task_is_preempted_twice() {
     let mut world = full(Mechanisms::default());
     for _ in 0..2 {
         let mut waits = Waits::default();
         for id in 1..=60 {
-            waits.submit(&mut world, urgent(id, 2));
+            waits.submit(&mut world, urgent_job(id, 2));
             waits.run(&mut world, 60);
         }
     }
     world.run(4 * 16 * WORK);
-    let patient = world.starts.iter().filter(|(t, _)| t.step.job.0 < URGENT);
-    let most = patient.map(|(_, starts)| *starts).max();
+    let normal_starts =
+        world.starts.iter().filter(|(t, _)| t.step.job.0 < URGENT);
+    let most = normal_starts.map(|(_, starts)| *starts).max();
     assert!(most <= Some(2), "started {most:?} times");
     assert!(world.unfinished().is_empty());
     world.check();
@@ -151,9 +152,9 @@
     for (works, saves) in [(16, false), (1, true)] {
         let mut world = World::new(EXECUTORS);
         world.run(50);
-        world.submit(patient(1, 4 * EXECUTORS as u32, works, saves));
+        world.submit(normal_job(1, 4 * EXECUTORS as u32, works, saves));
         world.run(100);
-        world.submit(urgent(1, 2));
+        world.submit(urgent_job(1, 2));
         world.run(2 * WORK);
         assert!(world.starts.values().all(|starts| *starts == 1));
         assert_eq!(counted(&world, "runs_displaced"), 0);
@@ -164,12 +165,12 @@
 /// Capacity that preemption frees is not lost to others while the preempted
 /// tasks stop, and the rest of the executor is not reserved.
 #[test]
-fn an_urgent_gang_gets_all_of_its_room() {
+fn an_urgent_gang_gets_all_of_its_capacity() {
     let mut world = full(Mechanisms::default());
     let mut gang = step(4, resources(3_000, 500));
     gang.gang = true;
     world.submit(job(URGENT, "urgent", vec![gang]));
-    world.submit(patient(50, 30, 2, false));
+    world.submit(normal_job(50, 30, 2, false));
     world.run(OBJECTIVE);
     assert_eq!(world.state(URGENT), Some(JobState::Succeeded));
     assert_eq!(counted(&world, "runs_displaced"), 4 * 3);
@@ -179,11 +180,11 @@
 }
 
 #[test]
-fn a_successor_goes_on_while_others_give_way() {
+fn a_successor_goes_on_while_others_are_preempted() {
     for after in [160, 200, 300, 400] {
         let mut world = full(Mechanisms::default());
         for id in 1..=6 {
-            world.submit(urgent(id, 2));
+            world.submit(urgent_job(id, 2));
         }
         world.run(after);
         world.replace_leader();
@@ -194,11 +195,11 @@
 }
 
 #[test]
-fn executors_may_leave_while_others_give_way() {
+fn executors_may_leave_while_others_are_preempted() {
     let mut world = full(Mechanisms::default());
     let mut waits = Waits::default();
     for id in 1..=6 {
-        waits.submit(&mut world, urgent(id, 2));
+        waits.submit(&mut world, urgent_job(id, 2));
     }
     waits.run(&mut world, 200);
     for at in 0..EXECUTORS / 2 {
@@ -223,7 +224,7 @@
     let mut waits = Waits::default();
     let mut next = 1;
     for id in 1..=20 {
-        world.submit(patient(id, 10, 5, false));
+        world.submit(normal_job(id, 10, 5, false));
     }
     for _ in 0..4 {
         for _ in 0..4 {
@@ -239,10 +240,10 @@
 }
 
 #[test]
-fn room_is_kept_for_the_next_wave() {
+fn capacity_is_reserved_for_the_next_burst() {
     let only = [Mechanism::UrgentPreemption, Mechanism::UrgentHeadroom];
-    let (_, before) = waves(off(&only));
-    let (mut world, after) = waves(off(&only[..1]));
+    let (_, before) = waves(all_except(&only));
+    let (mut world, after) = waves(all_except(&only[..1]));
     // The first burst finds the cell full.
     let later = |waits: &Waits| {
         let later = waits.waited.range(URGENT + 5..);
@@ -267,14 +268,15 @@
 /// late.
 #[test]
 fn nothing_that_waits_starves_by_urgent_work() {
-    let mut world = World::without(2, off(&[Mechanism::UrgentPreemption]));
+    let mut world =
+        World::without(2, all_except(&[Mechanism::UrgentPreemption]));
     world.run(50);
     let mut waits = Waits::default();
-    world.submit(patient(1, 6, 100, false));
+    world.submit(normal_job(1, 6, 100, false));
     let mut large = step(1, resources(2_000, 500));
     large.estimate = 2 * WORK;
     for id in 1..=40 {
-        waits.submit(&mut world, urgent(id, 1));
+        waits.submit(&mut world, urgent_job(id, 1));
         if id == 5 {
             world.submit(job(2, "background", vec![large.clone()]));
         }
@@ -290,13 +292,19 @@
 fn without_need_nothing_changes() {
     let both = [Mechanism::UrgentPreemption, Mechanism::UrgentHeadroom];
     let loads: [fn(u64) -> Job; 3] = [
-        |id| patient(id, 6, 3, true),
-        |id| urgent(id, 2),
-        |id| if id % 2 == 0 { urgent(id, 1) } else { patient(id, 1, 1, true) },
+        |id| normal_job(id, 6, 3, true),
+        |id| urgent_job(id, 2),
+        |id| {
+            if id % 2 == 0 {
+                urgent_job(id, 1)
+            } else {
+                normal_job(id, 1, 1, true)
+            }
+        },
     ];
     for (number, load) in loads.into_iter().enumerate() {
         let mut counters = Vec::new();
-        for without in [Mechanisms::default(), off(&both)] {
+        for without in [Mechanisms::default(), all_except(&both)] {
             let mut world = World::without(EXECUTORS, without);
             world.run(50);
             for id in 1..=40 {
--- a/tests/jobs/world/lives.rs
+++ b/tests/jobs/world/incarnations.rs
@@ -8,9 +8,9 @@
     /// told of its new entry yet.
     pub fn resize(&mut self, at: usize, capacity: Resources) {
         let now = self.now;
-        let there = &mut self.executors[at];
-        there.capacities.push((now, there.info.capacity));
-        there.info.capacity = capacity;
+        let executor = &mut self.executors[at];
+        executor.capacities.push((now, executor.info.capacity));
+        executor.info.capacity = capacity;
     }
 
     /// Makes an executor die silently.
@@ -62,8 +62,8 @@
     /// Lets tasks crash their executors.
     pub(super) fn crash_by_tasks(&mut self) {
         let mut due = Vec::new();
-        for (at, there) in self.executors.iter().enumerate() {
-            let fatal = there.running.iter().find_map(|(task, run)| {
+        for (at, executor) in self.executors.iter().enumerate() {
+            let fatal = executor.running.iter().find_map(|(task, run)| {
                 let how = self.crashing.get(task)?;
                 (run.since + how.after <= self.now).then_some((*task, *how))
             });
@@ -91,8 +91,8 @@
                 self.restart_at(&address);
                 continue;
             }
-            let there = self.executors.iter();
-            let former = there.rev().find(|e| e.info.address == address);
+            let executors = self.executors.iter();
+            let former = executors.rev().find(|e| e.info.address == address);
             let former = former.map(|e| e.info.clone()).unwrap_or_default();
             self.add_executor(&format!("{address}-{now}"));
             let last = self.executors.len() - 1;
@@ -135,20 +135,20 @@
         let id = self.executors[at].info.id.clone();
         self.add_executor(&id);
         let mut next = self.executors.pop().expect("an executor");
-        let there = &mut self.executors[at];
-        next.info = there.info.clone();
+        let executor = &mut self.executors[at];
+        next.info = executor.info.clone();
         self.restarts += 1;
         // Wall time may jump, so a later birth time is not a greater number.
         next.info.born = Some(FIRST_BIRTH_TIME - self.restarts);
-        next.restarts = there.restarts + 1;
+        next.restarts = executor.restarts + 1;
         next.clock_origin = (self.now, clock);
-        next.capacities = there.capacities.clone();
-        next.isolated = there.isolated;
-        next.isolated_from = there.isolated_from;
-        next.lost_answers = there.lost_answers;
-        next.order_delay = there.order_delay;
-        next.answer_delay = there.answer_delay;
-        *there = next;
+        next.capacities = executor.capacities.clone();
+        next.isolated = executor.isolated;
+        next.isolated_from = executor.isolated_from;
+        next.lost_answers = executor.lost_answers;
+        next.order_delay = executor.order_delay;
+        next.answer_delay = executor.answer_delay;
+        *executor = next;
     }
 
     /// Drops the delayed orders that were sealed, since the incarnation that
@@ -237,11 +237,11 @@
     /// The incarnation that listens at the address of a dead executor.
     pub(super) fn replacement_of(&self, at: usize) -> Option<usize> {
         let former = &self.executors[at];
-        let mut lives = self.executors.iter();
-        let life = lives.position(|executor| {
+        let mut executors = self.executors.iter();
+        let replacement = executors.position(|executor| {
             !executor.dead && executor.info.address == former.info.address
         });
-        life.filter(|_| former.dead)
+        replacement.filter(|_| former.dead)
     }
 
     /// Makes an executor die and be replaced under another name. The answers
--- a/tests/jobs/world/machines.rs
+++ b/tests/jobs/world/machines.rs
@@ -48,9 +48,9 @@
         if self.down.contains_key(machine) {
             return Err(MaintenanceFailure::Refused);
         }
-        let there = self.executors.iter_mut().rev();
-        let there = there.filter(|e| e.info.address == machine);
-        for executor in there {
+        let hosted = self.executors.iter_mut().rev();
+        let hosted = hosted.filter(|e| e.info.address == machine);
+        for executor in hosted {
             executor.dead = true;
             executor.running.clear();
         }
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -22,11 +22,11 @@
 };
 
 mod cordons;
-mod lives;
+mod incarnations;
 mod machines;
 mod oracle;
 mod orders;
-mod work;
+mod runs;
 
 pub use self::cordons::dc_of;
 
@@ -1062,8 +1062,8 @@
             // The next incarnation may still carry the order out. A seal there
             // does not outlast that incarnation, so the order is dropped once
             // that one is over, too.
-            Pending::DelayedOrder(at, action, token, life) => {
-                if self.executors[at].restarts <= life + 1 {
+            Pending::DelayedOrder(at, action, token, restarts) => {
+                if self.executors[at].restarts <= restarts + 1 {
                     self.order(at, *action, token, None);
                 }
             }
--- a/tests/jobs/world/oracle.rs
+++ b/tests/jobs/world/oracle.rs
@@ -60,13 +60,13 @@
         after: &[u32],
     ) {
         let mut broken = Vec::new();
-        let there = &self.executors[at];
+        let executor = &self.executors[at];
         let mut used = Resources::default();
-        for run in there.running.values() {
+        for run in executor.running.values() {
             used = used.plus(&run.need);
         }
-        if !there.may_use(&used, self.now) {
-            broken.push(format!("over the limits of {}", there.info.id));
+        if !executor.may_use(&used, self.now) {
+            broken.push(format!("over the limits of {}", executor.info.id));
         }
         let elsewhere =
             self.executors.iter().enumerate().any(|(i, e)| {
--- a/tests/jobs/world/orders.rs
+++ b/tests/jobs/world/orders.rs
@@ -12,31 +12,31 @@
         answer_to: Option<u64>,
     ) {
         // An order to a former incarnation is answered by the present one.
-        if let Some(life) = self.replacement_of(at) {
-            let silent = self.executors[life].is_silent_to(token);
+        if let Some(replacement) = self.replacement_of(at) {
+            let silent = self.executors[replacement].is_silent_to(token);
             return match answer_to {
                 Some(_) if silent => self.leave_unanswered(&action, token),
                 Some(_) => self.refuse(action, token, OrderFailure::Gone),
                 None => {}
             };
         }
-        let there = &mut self.executors[at];
-        if there.resets_connections && answer_to.is_some() {
+        let receiver = &mut self.executors[at];
+        if receiver.resets_connections && answer_to.is_some() {
             return self.refuse(action, token, OrderFailure::NotSent);
         }
-        if there.unhealthy && matches!(action, Action::RenewLease { .. }) {
+        if receiver.unhealthy && matches!(action, Action::RenewLease { .. }) {
             return self.refuse(action, token, OrderFailure::Unhealthy);
         }
-        let silent = there.is_silent_to(token);
-        if let (Some(late), false) = (there.order_delay, silent) {
+        let silent = receiver.is_silent_to(token);
+        if let (Some(delay), false) = (receiver.order_delay, silent) {
             if answer_to.is_some()
                 && !matches!(action, Action::RenewLease { .. })
             {
-                let life = there.restarts;
+                let restarts = receiver.restarts;
                 self.leave_unanswered(&action, token);
                 let action = Box::new(action);
-                let order = Pending::DelayedOrder(at, action, token, life);
-                return self.schedule(late, order);
+                let order = Pending::DelayedOrder(at, action, token, restarts);
+                return self.schedule(delay, order);
             }
         }
         if silent {
@@ -45,14 +45,16 @@
             }
             return;
         }
-        let fenced = token < there.token;
-        there.token = there.token.max(token);
-        let answer_delay = there.answer_delay.filter(|_| answer_to.is_some());
+        let fenced = token < receiver.token;
+        receiver.token = receiver.token.max(token);
+        let answer_delay =
+            receiver.answer_delay.filter(|_| answer_to.is_some());
         if answer_delay.is_some() {
             self.leave_unanswered(&action, token);
         }
-        let way = answer_delay.map_or(LATENCY, |late| ORDER_TIMEOUT + late);
-        let there = &mut self.executors[at];
+        let delay =
+            answer_delay.map_or(LATENCY, |delay| ORDER_TIMEOUT + delay);
+        let receiver = &mut self.executors[at];
         match action {
             Action::RenewLease {
                 executor,
@@ -64,7 +66,7 @@
             } => {
                 if fenced {
                     return self.answer(
-                        way,
+                        delay,
                         token,
                         Event::RenewalAnswered {
                             executor,
@@ -73,7 +75,7 @@
                         },
                     );
                 }
-                there.due = there.due.max(due.unwrap_or(0));
+                receiver.due = receiver.due.max(due.unwrap_or(0));
                 self.acknowledge(at, last_seen);
                 let any = !self.executors[at].ended.is_empty();
                 let after = if any { 0 } else { wait };
@@ -83,13 +85,13 @@
                 self.schedule(after, pending);
             }
             Action::Start { executor, task, run, due, .. } => {
-                let there = self.executors[at].runs(&task);
+                let already_running = self.executors[at].runs(&task);
                 let answer = if fenced {
                     Err(OrderFailure::Fenced)
                 } else {
                     self.start(at, task, run, due)
                 };
-                if answer.is_ok() && !there && answer_to.is_some() {
+                if answer.is_ok() && !already_running && answer_to.is_some() {
                     self.check_cordon(at, task, run);
                 }
                 let clock = self.executors[at].clock(self.now);
@@ -108,7 +110,7 @@
                 } else if answer_to.is_some() {
                     let event =
                         Event::StartAnswered { executor, task, run, answer };
-                    self.answer(way, token, event);
+                    self.answer(delay, token, event);
                 }
             }
             Action::Stop { executor, task, run } => {
@@ -121,7 +123,7 @@
                 if answer_to.is_some() {
                     let event =
                         Event::StopAnswered { executor, task, run, answer };
-                    self.answer(way, token, event);
+                    self.answer(delay, token, event);
                 }
             }
             _ => {}
@@ -133,14 +135,14 @@
         at: usize,
         answer_to: Option<u64>,
     ) -> bool {
-        let there = &mut self.executors[at];
-        let loses_answer = answer_to.is_some() && there.lost_answers > 0;
-        there.lost_answers -= u32::from(loses_answer);
+        let receiver = &mut self.executors[at];
+        let loses_answer = answer_to.is_some() && receiver.lost_answers > 0;
+        receiver.lost_answers -= u32::from(loses_answer);
         loses_answer
     }
 
-    pub(super) fn answer(&mut self, way: Millis, token: u64, event: Event) {
-        self.schedule(way, Pending::Deliver(token, event));
+    pub(super) fn answer(&mut self, delay: Millis, token: u64, event: Event) {
+        self.schedule(delay, Pending::Deliver(token, event));
     }
 
     /// Answers an order with a failure.
@@ -167,13 +169,13 @@
     }
 
     pub(super) fn acknowledge(&mut self, at: usize, last_seen: u64) {
-        let there = &mut self.executors[at];
-        let (gone, kept) = std::mem::take(&mut there.ended)
+        let receiver = &mut self.executors[at];
+        let (acknowledged, kept) = std::mem::take(&mut receiver.ended)
             .into_iter()
             .partition(|end| end.number <= last_seen);
-        there.ended = kept;
-        let gone: Vec<EndReport> = gone;
-        for end in gone {
+        receiver.ended = kept;
+        let acknowledged: Vec<EndReport> = acknowledged;
+        for end in acknowledged {
             self.acknowledged_ends.insert((end.task, end.run));
             if end.how == EndKind::Failed {
                 let runs =
@@ -191,9 +193,9 @@
         _last_seen: u64,
         token: u64,
     ) {
-        let there = &self.executors[at];
-        let clock = there.clock(self.now);
-        if there.is_silent_to(token) {
+        let receiver = &self.executors[at];
+        let clock = receiver.clock(self.now);
+        if receiver.is_silent_to(token) {
             let event = Event::RenewalAnswered {
                 executor,
                 sent_at,
@@ -202,7 +204,7 @@
             return self
                 .schedule(RENEWAL_GRACE, Pending::Deliver(token, event));
         }
-        let running = there.running.iter().map(|(task, run)| RunReport {
+        let running = receiver.running.iter().map(|(task, run)| RunReport {
             task: *task,
             run: run.run,
             checkpoint: String::new(),
@@ -210,21 +212,22 @@
             usage: self.usages.get(task).copied().unwrap_or(0),
         });
         let answer = Ok(ExecutorReport {
-            born: there.info.born,
+            born: receiver.info.born,
             clock,
             running: running.collect(),
-            ended: there
+            ended: receiver
                 .ended
                 .iter()
                 .take(MAX_REPORTED_ENDS)
                 .cloned()
                 .collect(),
-            more_ended: there.ended.len() >= MAX_REPORTED_ENDS,
+            more_ended: receiver.ended.len() >= MAX_REPORTED_ENDS,
         });
-        let way =
-            there.answer_delay.map_or(LATENCY, |late| RENEWAL_GRACE + late);
+        let delay = receiver
+            .answer_delay
+            .map_or(LATENCY, |delay| RENEWAL_GRACE + delay);
         self.answer(
-            way,
+            delay,
             token,
             Event::RenewalAnswered { executor, sent_at, answer },
         );
@@ -244,27 +247,27 @@
         let work = step.estimate * takes / 100;
         let lasting = step.lasting;
         let (after, step_count) = (step.after.clone(), step.count);
-        let there = &mut self.executors[at];
-        let work = work * there.run_time_percent / 100;
-        if there.running.get(&task).is_some_and(|r| r.run == run) {
+        let receiver = &mut self.executors[at];
+        let work = work * receiver.run_time_percent / 100;
+        if receiver.running.get(&task).is_some_and(|r| r.run == run) {
             return Ok(());
         }
-        if there.sealed.get(&task).is_some_and(|sealed| run <= *sealed) {
+        if receiver.sealed.get(&task).is_some_and(|sealed| run <= *sealed) {
             return Err(OrderFailure::Old);
         }
-        if due <= there.clock(now) {
+        if due <= receiver.clock(now) {
             return Err(OrderFailure::Late);
         }
-        there.due = there.due.max(due);
+        receiver.due = receiver.due.max(due);
         let failing = self.failing.get_mut(&task);
         let fails = failing.is_some_and(|left| {
             let fails = *left > 0;
             *left -= u32::from(fails);
             fails
         });
-        let fails = fails || there.fails_all;
+        let fails = fails || receiver.fails_all;
         let how = if fails { EndKind::Failed } else { EndKind::Done };
-        let work = if there.fails_all { FAILURE_DELAY } else { work };
+        let work = if receiver.fails_all { FAILURE_DELAY } else { work };
         // A gang works once all its members are there.
         let forever = gang || lasting;
         let ends_at = if forever { Millis::MAX } else { now + work };
@@ -272,7 +275,7 @@
         let gang_of = gang.then_some(count);
         let started =
             Run { run, gang: gang_of, work, since: now, ends_at, how, need };
-        there.running.insert(task, started);
+        receiver.running.insert(task, started);
         *self.starts.entry(task).or_default() += 1;
         self.check_start(at, task, run, gang, &after);
         Ok(())
@@ -280,13 +283,13 @@
 
     pub(super) fn stop(&mut self, at: usize, task: TaskKey, run: u64) {
         let now = self.now;
-        let there = &mut self.executors[at];
-        let sealed = there.sealed.entry(task).or_default();
+        let receiver = &mut self.executors[at];
+        let sealed = receiver.sealed.entry(task).or_default();
         *sealed = (*sealed).max(run);
-        if let Some(on) = there.running.get_mut(&task) {
-            if on.run <= run {
-                on.how = EndKind::Stopped;
-                on.ends_at = on.ends_at.min(now + STOP_DURATION);
+        if let Some(run_there) = receiver.running.get_mut(&task) {
+            if run_there.run <= run {
+                run_there.how = EndKind::Stopped;
+                run_there.ends_at = run_there.ends_at.min(now + STOP_DURATION);
             }
         }
     }
--- a/tests/jobs/world/work.rs
+++ b/tests/jobs/world/runs.rs
@@ -9,33 +9,33 @@
         let now = self.now;
         let mut members: BTreeMap<(StepKey, u64), Vec<(usize, TaskKey)>> =
             BTreeMap::new();
-        for (at, there) in self.executors.iter().enumerate() {
-            for (task, run) in &there.running {
+        for (at, executor) in self.executors.iter().enumerate() {
+            for (task, run) in &executor.running {
                 if run.gang.is_some() {
                     let key = (task.step, run.run);
                     members.entry(key).or_default().push((at, *task));
                 }
             }
         }
-        for ((step, _), there) in members {
-            let first = &self.executors[there[0].0].running[&there[0].1];
+        for ((step, _), present) in members {
+            let first = &self.executors[present[0].0].running[&present[0].1];
             let count = first.gang.unwrap_or(0) as usize;
-            let working = there.iter().any(|(at, task)| {
+            let working = present.iter().any(|(at, task)| {
                 let run = &self.executors[*at].running[task];
                 run.ends_at != Millis::MAX && run.how != EndKind::Stopped
             });
-            let whole = there.len() == count;
+            let whole = present.len() == count;
             // The gang ends with its slowest member.
-            let work = there
+            let work = present
                 .iter()
                 .map(|(at, task)| self.executors[*at].running[task].work);
             let work = work.max().unwrap_or(0);
             if whole && !working {
-                let fails = there.iter().any(|(at, task)| {
+                let fails = present.iter().any(|(at, task)| {
                     let run = &self.executors[*at].running[task];
                     run.how == EndKind::Failed
                 });
-                for (at, task) in &there {
+                for (at, task) in &present {
                     let run = &mut self.executors[*at].running;
                     let Some(run) = run.get_mut(task) else { continue };
                     if run.ends_at == Millis::MAX {
@@ -47,7 +47,7 @@
                 }
             }
             if working && !whole {
-                for (at, task) in &there {
+                for (at, task) in &present {
                     let run = &mut self.executors[*at].running;
                     let Some(run) = run.get_mut(task) else { continue };
                     let done = self.gangs_done.contains(&step);
@@ -57,9 +57,9 @@
                     }
                 }
             }
-            for (at, task) in &there {
-                let run_there = &mut self.executors[*at].running;
-                let Some(member) = run_there.get_mut(task) else { continue };
+            for (at, task) in &present {
+                let runs = &mut self.executors[*at].running;
+                let Some(member) = runs.get_mut(task) else { continue };
                 let alone = member.ends_at == Millis::MAX
                     && member.since + GANG_WAIT < now;
                 if alone {
@@ -75,32 +75,34 @@
         self.work_gangs();
         let now = self.now;
         for at in 0..self.executors.len() {
-            let there = &mut self.executors[at];
-            if there.dead {
+            let executor = &mut self.executors[at];
+            if executor.dead {
                 continue;
             }
-            let lapsed = there.due < there.clock(now);
-            let over: Vec<TaskKey> = there
+            let lapsed = executor.due < executor.clock(now);
+            let ended: Vec<TaskKey> = executor
                 .running
                 .iter()
                 .filter(|(_, run)| lapsed || run.ends_at <= now)
                 .map(|(task, _)| *task)
                 .collect();
-            if over.is_empty() {
+            if ended.is_empty() {
                 continue;
             }
-            for task in over {
-                let Some(run) = there.running.remove(&task) else { continue };
+            for task in ended {
+                let Some(run) = executor.running.remove(&task) else {
+                    continue;
+                };
                 let how = if lapsed { EndKind::Lapsed } else { run.how };
-                there.end_count += 1;
-                there.ended.push(EndReport {
-                    number: there.end_count,
+                executor.end_count += 1;
+                executor.ended.push(EndReport {
+                    number: executor.end_count,
                     task,
                     run: run.run,
                     how,
                     checkpoint: String::new(),
                 });
-                let sealed = there.sealed.entry(task).or_default();
+                let sealed = executor.sealed.entry(task).or_default();
                 *sealed = (*sealed).max(run.run);
                 if how == EndKind::Failed {
                     self.failures.entry(task).or_default().insert(run.run);
@@ -115,7 +117,7 @@
             }
             if lapsed {
                 // Ends from before the lapse bind nobody any more.
-                for end in &there.ended {
+                for end in &executor.ended {
                     if let Some(runs) = self.done.get_mut(&end.task) {
                         runs.remove(&end.run);
                         if runs.is_empty() {
