--- a/tests/jobs/account_shares.rs
+++ b/tests/jobs/account_shares.rs
@@ -207,9 +207,9 @@
             others_are_served(&mut simulation, baseline, LONG),
             protected
         );
-        let told =
+        let over_share =
             simulation.world.scheduler.counters().get("accounts_over_share");
-        assert_eq!(told.is_some(), protected);
+        assert_eq!(over_share.is_some(), protected);
         simulation.world.check();
     }
 }
@@ -410,12 +410,13 @@
             }
             world.run(3 * SHORT);
             let mut sum = 0;
-            let looks = 2 * LONG / OBSERVATION_INTERVAL;
-            for _ in 0..looks {
+            let observations = 2 * LONG / OBSERVATION_INTERVAL;
+            for _ in 0..observations {
                 world.run(OBSERVATION_INTERVAL);
                 sum += cpu_in_use(&world, 5_000..5_100);
             }
-            let part = sum as f64 / looks as f64 / (4_000 * executors) as f64;
+            let part =
+                sum as f64 / observations as f64 / (4_000 * executors) as f64;
             if !(0.4..=0.6).contains(&part) {
                 short.push((executors, start, part));
             }
@@ -462,7 +463,7 @@
     while !simulation.world.starts.contains_key(&first_task(100_000)) {
         simulation.simulate(OBSERVATION_INTERVAL, FLOOD);
         let waited = simulation.world.now - since;
-        assert!(waited < 3 * LONG, "its objective leaves it so much");
+        assert!(waited < 3 * LONG, "its objective allows this wait");
     }
     simulation.world.check();
 }
--- a/tests/jobs/accounts.rs
+++ b/tests/jobs/accounts.rs
@@ -287,13 +287,13 @@
         world.submit_as(name, job(id, "owned", steps));
     }
     world.run(100);
-    let held: u32 = world
+    let in_use: u32 = world
         .scheduler
         .usage()
         .filter(|usage| usage.account == LIMITED)
         .map(|usage| usage.used.cpu_millis)
         .sum();
-    assert_eq!(held, world.limited_runs());
+    assert_eq!(in_use, world.limited_runs());
     world.run(4 * WORK);
     world.event(Event::Tick);
     let mut usage = world.scheduler.usage();
--- a/tests/jobs/admission.rs
+++ b/tests/jobs/admission.rs
@@ -327,7 +327,10 @@
     for (id, at) in &returns {
         let earlier = returns.iter().filter(|(other, _)| other < id);
         let latest = earlier.map(|(_, at)| *at).max().unwrap_or(0);
-        assert!(*at + tolerance > latest, "{id} before its elders");
+        assert!(
+            *at + tolerance > latest,
+            "{id} retries before earlier clients"
+        );
     }
     let mut per_second: BTreeMap<Millis, u64> = BTreeMap::new();
     for (_, at) in &returns {
--- a/tests/jobs/backlog.rs
+++ b/tests/jobs/backlog.rs
@@ -64,10 +64,10 @@
     let mut backlog = Backlog::new(cores(10, &[]));
     backlog.add(Some(1), "q", &work(10, 900), None);
     backlog.add(Some(2), "q", &work(10, 100), None);
-    let hot = backlog.wait(Some((1, 0.5)), "q", 2).expect("room");
+    let hot = backlog.wait(Some((1, 0.5)), "q", 2).expect("capacity");
     assert_eq!((hot.effective(), hot.over_share()), (1_800, true));
-    let quiet = backlog.wait(Some((2, 0.5)), "q", 2).expect("room");
+    let quiet = backlog.wait(Some((2, 0.5)), "q", 2).expect("capacity");
     assert_eq!((quiet.effective(), quiet.over_share()), (200, false));
-    let idle = backlog.wait(Some((3, 0.5)), "q", 2).expect("room");
+    let idle = backlog.wait(Some((3, 0.5)), "q", 2).expect("capacity");
     assert_eq!(idle.effective(), 0);
 }
--- a/tests/jobs/cell_size.rs
+++ b/tests/jobs/cell_size.rs
@@ -112,5 +112,5 @@
     world.run(4_000);
     let states = (2..42).map(|id| world.state(id));
     let done = states.filter(|s| *s == Some(JobState::Succeeded)).count();
-    assert!(done > 0, "executors that came were not asked about");
+    assert!(done > 0, "no advice on new executors");
 }
--- a/tests/jobs/cordons.rs
+++ b/tests/jobs/cordons.rs
@@ -22,7 +22,7 @@
 fn the_set_of_the_higher_revision_is_right() {
     let none = Cordons::default();
     let read = none.read(Default::default(), 7);
-    assert_eq!(read.since(), 7, "that there is none is known now");
+    assert_eq!(read.since(), 7, "the absence of cordons is known now");
     let one = read
         .clone()
         .with(Cordon { dc: "d".into(), by: CordonSource::Command }, 9);
@@ -37,7 +37,7 @@
     let cordon = Cordon { dc: "d".into(), by: CordonSource::Platform };
     let both = one.with(cordon.clone(), 12);
     let less = both.less(&cordon, 20);
-    assert!(less.covers("d"), "the command still wants it");
+    assert!(less.covers("d"), "the cordon of the command remains");
     assert_eq!(less.since(), 20);
     // An absent cordon can't be removed.
     assert_eq!(less.clone().less(&cordon, 25), less);
@@ -73,7 +73,7 @@
     for id in 1..=3 {
         assert_eq!(world.state(id), Some(JobState::Succeeded), "{id}");
     }
-    assert_eq!(world.starts.values().sum::<u32>(), 20, "nothing again");
+    assert_eq!(world.starts.values().sum::<u32>(), 20, "nothing starts again");
     world.set_cordoned("e", false);
     world.submit(job(4, "batch", vec![step(8, resources(HALF, 100))]));
     world.run(100);
@@ -112,7 +112,7 @@
     world.set_cordoned("e", true);
     world.run(2 * WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
-    assert_eq!(world.starts.values().sum::<u32>(), 6, "nothing again");
+    assert_eq!(world.starts.values().sum::<u32>(), 6, "nothing starts again");
     world.check();
 }
 
@@ -205,7 +205,7 @@
     assert_eq!(
         world.executors_with(1),
         [0],
-        "no room but where it is emptied"
+        "only the cordoned data centre has capacity"
     );
     world.set_cordoned("e", false);
     world.run(4 * WORK);
--- a/tests/jobs/crash_suspects.rs
+++ b/tests/jobs/crash_suspects.rs
@@ -281,16 +281,16 @@
             for silent in [1, 2, 8] {
                 for offset in (0..OFFSET_COUNT).step_by(6) {
                     let executors = 6;
-                    let storm = CrashSimulation {
+                    let simulation = CrashSimulation {
                         executors,
                         round,
                         each,
                         silent,
                         offset,
                     };
-                    let failed = storm.simulate(160);
+                    let failed = simulation.simulate(160);
                     if !failed.is_empty() {
-                        given_up.push((storm, failed));
+                        given_up.push((simulation, failed));
                     }
                 }
             }
--- a/tests/jobs/event_lag.rs
+++ b/tests/jobs/event_lag.rs
@@ -111,10 +111,10 @@
     let at = world.executors_with(1)[0];
     world.executors[at].isolated = true;
     let known = world.scheduler.executor(at as u32).expect("an executor");
-    let lapses = known.lease_expiry;
-    world.run(lapses - world.now - 400);
+    let lease_expiry = known.lease_expiry;
+    world.run(lease_expiry - world.now - 400);
     world.executors[at].isolated = false;
-    lapses
+    lease_expiry
 }
 
 /// Guards against a task that starts again while its end waits in the leader's
@@ -122,9 +122,9 @@
 #[test]
 fn a_leader_that_stood_still_hears_what_waits_before_a_lease_counts_as_over() {
     let mut world = World::new(2);
-    let lapses = isolate_until_nearly_expired(&mut world);
+    let lease_expiry = isolate_until_nearly_expired(&mut world);
     world.stall(2_000);
-    assert!(world.now > lapses);
+    assert!(world.now > lease_expiry);
     world.run(4 * WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     check_started_once(&mut world);
@@ -135,12 +135,12 @@
 fn a_leader_that_lags_hears_what_waits_before_a_lease_counts_as_over() {
     let mut world = World::new(16);
     world.run(100);
-    let lapses = {
+    let lease_expiry = {
         world.event_lag = 1_500;
         world.run(3_000);
         isolate_until_nearly_expired(&mut world)
     };
-    world.run(lapses - world.now + 1_200);
+    world.run(lease_expiry - world.now + 1_200);
     world.run(10 * WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     check_started_once(&mut world);
--- a/tests/jobs/faults.rs
+++ b/tests/jobs/faults.rs
@@ -305,8 +305,8 @@
     world.run(2_000);
     world.renewals = 0;
     world.run(SECONDS * 1_000);
-    assert!(world.renewals <= 600 * SECONDS, "{} holds", world.renewals);
-    assert!(world.renewals >= 400 * SECONDS, "{} holds", world.renewals);
+    assert!(world.renewals <= 600 * SECONDS, "{} renewals", world.renewals);
+    assert!(world.renewals >= 400 * SECONDS, "{} renewals", world.renewals);
     // Where something runs, its end is reported at once.
     world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(WORK + 150);
@@ -470,7 +470,7 @@
     let with = renewals(Mechanisms::default());
     let without = renewals(Mechanisms::all_except([Mechanism::SilenceAlarm]));
     // Three executors are suspected in any case, so the others are asked, too.
-    assert!(with >= without + 3, "{with} holds, {without} without");
+    assert!(with >= without + 3, "{with} renewals, {without} without");
 }
 
 /// Guards against a successor that hears of the next run of a task before it
--- a/tests/jobs/fuzz.rs
+++ b/tests/jobs/fuzz.rs
@@ -654,7 +654,7 @@
 /// Checks that no rule is violated, and that everything accepted ends.
 fn check_sequence(sequence: &[Operation]) -> Result<(), TestCaseError> {
     let mut world = simulate(sequence);
-    prop_assert!(world.broken.is_empty(), "{:#?}", world.broken);
+    prop_assert!(world.violations.is_empty(), "{:#?}", world.violations);
     let left = world.unfinished();
     prop_assert!(left.is_empty(), "not ended: {left:?}");
     Ok(())
--- a/tests/jobs/incarnations.rs
+++ b/tests/jobs/incarnations.rs
@@ -222,7 +222,7 @@
     world.event(Event::Listed(former));
     world.submit(job(2, "batch", vec![step(1, resources(900, 100))]));
     world.run(REPAIR_TIME);
-    assert!(!world.executors[0].runs(&task(2)), "it has no room for it");
+    assert!(!world.executors[0].runs(&task(2)), "it lacks the capacity");
     world.list_entry(0);
     check_ends(world);
 }
@@ -282,12 +282,12 @@
 /// one.
 #[test]
 fn a_successor_hears_another_incarnation_than_it_has_read_of() {
-    for told in [true, false] {
+    for listed in [true, false] {
         let mut world = running_long_task(1);
         let former = world.executors[0].info.clone();
         world.restart_unlisted(0, EARLIER_CLOCK, false);
         world.take_over();
-        if told {
+        if listed {
             world.event(Event::Listed(former));
         }
         world.run(REPAIR_TIME);
--- a/tests/jobs/indirect_evidence.rs
+++ b/tests/jobs/indirect_evidence.rs
@@ -112,7 +112,7 @@
     world.unlisted.insert("x0".into());
     world.executors[0].isolated = true;
     world.run(LEASE - 1_500);
-    assert!(world.executors[0].runs(&task()), "its lease runs on");
+    assert!(world.executors[0].runs(&task()), "its lease has not expired");
     world.check();
 }
 
@@ -134,7 +134,7 @@
     world.take_over();
     world.list_entry(1);
     world.run(LEASE - 1_500);
-    assert!(world.executors[0].runs(&task()), "its lease runs on");
+    assert!(world.executors[0].runs(&task()), "its lease has not expired");
     world.check();
 }
 
--- a/tests/jobs/membership.rs
+++ b/tests/jobs/membership.rs
@@ -284,8 +284,8 @@
     world.run(600);
     assert_eq!(world.maintained, ["x0"]);
     world.run(1_600);
-    let life = world.executors.len() - 1;
-    assert_eq!(life, LIVE);
+    let newest = world.executors.len() - 1;
+    assert_eq!(newest, LIVE);
     submit_long(&mut world, 3 * LEASE);
     world.run(200);
     assert!(world.executors[LIVE].runs(&task()));
@@ -423,7 +423,7 @@
     world.executors[0].isolated = true;
     world.run(LEASE - 1_500);
     world.check();
-    assert_eq!(world.starts[&task()], 1, "its lease runs on");
+    assert_eq!(world.starts[&task()], 1, "its lease has not expired");
 }
 
 /// A machine returns with another incarnation, which listens elsewhere. Once
--- a/tests/jobs/placement_rounds.rs
+++ b/tests/jobs/placement_rounds.rs
@@ -57,7 +57,7 @@
         let given = world.now;
         while world.executors_with(id).is_empty() {
             world.run(1);
-            assert!(world.now < given + 500, "job {id} has not begun");
+            assert!(world.now < given + 500, "job {id} has not started");
         }
         world.run(4 * WORK);
         assert_eq!(world.state(id), Some(JobState::Succeeded));
--- a/tests/jobs/placement_stats.rs
+++ b/tests/jobs/placement_stats.rs
@@ -34,7 +34,7 @@
     let PlacementStats { rounds, deferred, steps, executors, runs } =
         world.scheduler.placement_stats();
     let all = [rounds, deferred, steps, executors, runs];
-    assert_eq!(counted(world), all, "counters tell the same");
+    assert_eq!(counted(world), all, "counters show the same");
     world.scheduler.placement_stats().since(&before)
 }
 
--- a/tests/jobs/rules.rs
+++ b/tests/jobs/rules.rs
@@ -65,8 +65,8 @@
     gang.gang = true;
     world.submit(job(2, "batch", vec![gang]));
     world.run(100);
-    let begun = world.starts.keys().any(|t| t.step.job == JobId(2));
-    assert!(!begun, "two members do not fit yet");
+    let started = world.starts.keys().any(|t| t.step.job == JobId(2));
+    assert!(!started, "two members do not fit yet");
     world.run(2 * WORK + 300);
     assert_eq!(world.state(2), Some(JobState::Succeeded));
     world.check();
@@ -143,7 +143,7 @@
     labelled.max_per_executor = 1;
     world.submit(job(1, "batch", vec![labelled]));
     world.run(200);
-    assert_eq!(world.starts.len(), 1, "one at a time on the only one");
+    assert_eq!(world.starts.len(), 1, "one at a time on the only executor");
     world.run(2 * WORK + 200);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
 }
@@ -192,7 +192,7 @@
 #[test]
 fn a_wide_task_gets_its_turn_while_small_ones_come() {
     let off = Mechanisms::all_except([Mechanism::GangReservations]);
-    assert!(!wide_task_ends(off), "it is kept waiting without room kept");
+    assert!(!wide_task_ends(off), "it waits without a reservation");
     assert!(wide_task_ends(Mechanisms::default()));
 }
 
@@ -217,7 +217,7 @@
     // Its commit and one call for advice.
     world.run(200);
     assert_eq!(world.starts.len(), FULL as usize + 20);
-    assert_eq!(world.scheduler.counters()["advised"], 1, "one call does");
+    assert_eq!(world.scheduler.counters()["advised"], 1, "one call is enough");
     world.check();
 }
 
--- a/tests/jobs/services.rs
+++ b/tests/jobs/services.rs
@@ -59,11 +59,11 @@
     let filler = "0000000000000002.0.0.0".parse().expect("a task");
     world.usages.insert(server, 150);
     world.run(3_000);
-    assert_eq!(world.percents[&filler], 0, "well before four seconds");
-    assert!(!world.percents.contains_key(&server));
+    assert_eq!(world.share_percents[&filler], 0, "well before four seconds");
+    assert!(!world.share_percents.contains_key(&server));
     world.usages.insert(server, 50);
     world.run(10_000);
-    assert_eq!(world.percents[&filler], 100);
+    assert_eq!(world.share_percents[&filler], 100);
     world.check();
 }
 
--- a/tests/jobs/speeds.rs
+++ b/tests/jobs/speeds.rs
@@ -201,7 +201,7 @@
     }
     tighten_objective(&mut world);
     let quick = urgent_tasks_on_quick(&mut world, 100);
-    assert_eq!(quick, 2, "both of the quick are used");
+    assert_eq!(quick, 2, "both quick executors are used");
     world.check();
 }
 
@@ -276,7 +276,7 @@
         }
     }
     world.run(20 * WORK);
-    assert!(world.unfinished().is_empty(), "patient work is done as well");
+    assert!(world.unfinished().is_empty(), "normal jobs are done, too");
     world.check();
     (in_time, 60)
 }
@@ -403,12 +403,12 @@
         world.run(100);
         let known = world.scheduler.executor(0).expect("a known executor");
         let run = known.runs.values().next().expect("a run");
-        let should = run.expected_end - run.placed_at;
+        let run_time = run.expected_end - run.placed_at;
         world.run(4 * WORK);
-        should
+        run_time
     };
     assert_eq!(expected(&mut world, 1), WORK);
-    assert_eq!(expected(&mut world, 2), WORK, "one gang is no habit");
+    assert_eq!(expected(&mut world, 2), WORK, "one gang is a single sample");
     for id in 3..12 {
         expected(&mut world, id);
     }
--- a/tests/jobs/store_outage.rs
+++ b/tests/jobs/store_outage.rs
@@ -253,7 +253,7 @@
     let began = clients[0].since;
     for client in &clients {
         let (from, waited) = (client.since - began, client.waited);
-        assert!(waited <= RETRY_DELAY / 2 + 60, "{from}: held {waited}");
+        assert!(waited <= RETRY_DELAY / 2 + 60, "{from}: waited {waited}");
         // The last attempt is at most a second before the client gives up.
         if from + CLIENT_TIMEOUT - RETRY_DELAY > 5_000 {
             assert!(client.accepted, "from {from} ms on");
@@ -262,5 +262,5 @@
     // The jobs in a declined commit would be held until the outage ends.
     let clients = outage(Mechanisms::all_except([Mechanism::AfterOutage]), 20);
     let longest = clients.iter().map(|client| client.waited).max();
-    assert!(longest > Some(CLIENT_TIMEOUT), "held {longest:?}");
+    assert!(longest > Some(CLIENT_TIMEOUT), "waited {longest:?}");
 }
--- a/tests/jobs/urgent_tasks.rs
+++ b/tests/jobs/urgent_tasks.rs
@@ -57,8 +57,8 @@
         const INTERVAL: Millis = 10;
         for _ in 0..time / INTERVAL {
             world.run(INTERVAL);
-            let begun = world.starts.keys().map(|task| task.step.job.0);
-            for id in begun {
+            let started = world.starts.keys().map(|task| task.step.job.0);
+            for id in started {
                 if let Some(since) = self.submitted.get(&id) {
                     self.waited.entry(id).or_insert(world.now - since);
                 }
@@ -333,14 +333,25 @@
     let need = resources(1_000, 100);
     let mut headroom = Headroom::default();
     headroom.observe(&demand(60, 40, &need), 1_000);
-    let calm = demand(20, 0, &need);
-    headroom.observe(&calm, 1_000);
-    assert_eq!(headroom.wanted_tasks(&calm, 10_000), 80);
-    headroom.observe(&calm, 16_000);
-    assert_eq!(headroom.wanted_tasks(&calm, 10_000), 30, "half of the peak");
-    headroom.observe(&calm, 200_000);
-    assert_eq!(headroom.wanted_tasks(&calm, 10_000), 0, "it is forgotten");
+    let low_demand = demand(20, 0, &need);
+    headroom.observe(&low_demand, 1_000);
+    assert_eq!(headroom.wanted_tasks(&low_demand, 10_000), 80);
+    headroom.observe(&low_demand, 16_000);
+    assert_eq!(
+        headroom.wanted_tasks(&low_demand, 10_000),
+        30,
+        "half of the peak"
+    );
+    headroom.observe(&low_demand, 200_000);
+    assert_eq!(
+        headroom.wanted_tasks(&low_demand, 10_000),
+        0,
+        "it is forgotten"
+    );
     headroom.observe(&demand(0, 5_000, &need), 200_000);
-    assert_eq!(headroom.wanted_tasks(&calm, 400), 400 / MAX_RESERVED_DIVISOR);
+    assert_eq!(
+        headroom.wanted_tasks(&low_demand, 400),
+        400 / MAX_RESERVED_DIVISOR
+    );
     assert_eq!(headroom.typical_need(), Some(resources(1_500, 150)));
 }
--- a/tests/jobs/world/cordons.rs
+++ b/tests/jobs/world/cordons.rs
@@ -40,10 +40,10 @@
         let Some(since) = self.cordoned_at.get(dc) else { return };
         if self.now > since + LATENCY {
             let line = format!(
-                "{} ms: {task} run {run}: starts in {dc}, which is emptied",
+                "{} ms: {task} run {run}: starts in {dc}, which is cordoned",
                 self.now
             );
-            self.broken.push(line);
+            self.violations.push(line);
         }
     }
 }
--- a/tests/jobs/world/incarnations.rs
+++ b/tests/jobs/world/incarnations.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Crashes the process of an executor; unless `dark`, its host says so.
+    /// Crashes the process of an executor; unless `silent`, its host says so.
     /// Renewals that wait there are aborted, and the next incarnation starts
     /// after a delay.
     pub fn crash_by_itself(&mut self, at: usize, silent: bool) {
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -217,7 +217,7 @@
     /// How often executors have restarted under their own names.
     restarts: u64,
     queue: BTreeMap<(Millis, u64), Pending>,
-    order: u64,
+    sequence: u64,
     pub replies: BTreeMap<u64, Outcome>,
     /// When the end of each job was written.
     pub ended_at: BTreeMap<JobId, Millis>,
@@ -236,7 +236,7 @@
     pub starts: BTreeMap<TaskKey, u32>,
     /// Whether any start was ordered, arrived or not.
     any_start_ordered: bool,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// The incarnations that leaders considered over, with the reason.
     pub incarnations_over: Vec<(String, IncarnationEnd)>,
     /// Run times that differ from the estimate, in percent of it.
@@ -262,7 +262,7 @@
     pub superseded: bool,
     /// The usage that tasks report, and the share at which they run.
     pub usages: BTreeMap<TaskKey, u64>,
-    pub percents: BTreeMap<TaskKey, u32>,
+    pub share_percents: BTreeMap<TaskKey, u32>,
     /// The states of waves as reported to operators.
     pub waves: BTreeMap<u64, bool>,
     /// Machines that are down for maintenance, and until when.
@@ -461,7 +461,7 @@
             executors: Vec::new(),
             restarts: 0,
             queue: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
             replies: BTreeMap::new(),
             ended_at: BTreeMap::new(),
             requests: 0,
@@ -476,7 +476,7 @@
             acknowledged_failures: BTreeMap::new(),
             starts: BTreeMap::new(),
             any_start_ordered: false,
-            broken: Vec::new(),
+            violations: Vec::new(),
             incarnations_over: Vec::new(),
             run_time_percents: BTreeMap::new(),
             failing: BTreeMap::new(),
@@ -489,7 +489,7 @@
             restarting: Vec::new(),
             superseded: false,
             usages: BTreeMap::new(),
-            percents: BTreeMap::new(),
+            share_percents: BTreeMap::new(),
             waves: BTreeMap::new(),
             down: BTreeMap::new(),
             maintained: Vec::new(),
@@ -723,7 +723,7 @@
     }
 
     fn schedule(&mut self, after: Millis, pending: Pending) {
-        self.order += 1;
+        self.sequence += 1;
         let mut at = self.now + after;
         at += self.report_delay(&pending);
         let late = self.event_lag > 0 || self.delivered_until > at;
@@ -731,7 +731,7 @@
             at = self.delivered_until.max(at + self.event_lag);
             self.delivered_until = at;
         }
-        self.queue.insert((at, self.order), pending);
+        self.queue.insert((at, self.sequence), pending);
     }
 
     fn report_delay(&self, pending: &Pending) -> Millis {
@@ -843,7 +843,7 @@
                     );
                 }
                 Action::Throttle { task, percent, .. } => {
-                    self.percents.insert(*task, *percent);
+                    self.share_percents.insert(*task, *percent);
                 }
                 Action::ListMachines => {
                     let listed =
@@ -1043,8 +1043,8 @@
     fn process(&mut self, pending: Pending) {
         match pending {
             Pending::Deliver(..) if self.now <= self.stalled_until => {
-                self.order += 1;
-                let at = (self.stalled_until + 1, self.order);
+                self.sequence += 1;
+                let at = (self.stalled_until + 1, self.sequence);
                 self.queue.insert(at, pending);
             }
             Pending::Deliver(token, event) => self.deliver(token, event),
--- a/tests/jobs/world/oracle.rs
+++ b/tests/jobs/world/oracle.rs
@@ -59,21 +59,22 @@
         gang: bool,
         after: &[u32],
     ) {
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         let executor = &self.executors[at];
         let mut used = Resources::default();
         for run in executor.running.values() {
             used = used.plus(&run.need);
         }
         if !executor.may_use(&used, self.now) {
-            broken.push(format!("over the limits of {}", executor.info.id));
+            violations
+                .push(format!("over the limits of {}", executor.info.id));
         }
         let elsewhere =
             self.executors.iter().enumerate().any(|(i, e)| {
                 i != at && !e.dead && e.running.contains_key(&task)
             });
         if elsewhere {
-            broken.push("runs twice".to_string());
+            violations.push("runs twice".to_string());
         }
         let acknowledged = self.done.get(&task).is_some_and(|runs| {
             runs.iter().any(|r| self.acknowledged_ends.contains(&(task, *r)))
@@ -86,7 +87,7 @@
                     })
             });
         if acknowledged || gang_acknowledged {
-            broken.push("starts after it was done".to_string());
+            violations.push("starts after it was done".to_string());
         }
         for before in after {
             let step = StepKey { step: *before, ..task.step };
@@ -96,13 +97,14 @@
                 .all(|index| self.all_done.contains(&step.task(index)));
             let whole = step_job.gang && self.gangs_done.contains(&step);
             if !all && !whole {
-                broken.push("starts before what it depends on".to_string());
+                violations
+                    .push("starts before what it depends on".to_string());
             }
         }
         let counted = if gang { task.step.task(0) } else { task };
         let failures = self.acknowledged_failures.get(&counted);
         if failures.is_some_and(|runs| runs.len() >= 3) {
-            broken.push("starts after its last attempt".to_string());
+            violations.push("starts after its last attempt".to_string());
         }
         let crashed = self.crashed.get(&task).into_iter().flatten();
         let known =
@@ -112,19 +114,19 @@
             *more += 1;
             if *more > MAX_EXTRA_STARTS {
                 let what = "starts again after it has crashed executors";
-                broken.push(what.to_string());
+                violations.push(what.to_string());
             }
         }
         if self.refused.contains(&task.step.job) {
-            broken.push("starts though its job was refused".to_string());
+            violations.push("starts though its job was refused".to_string());
         }
         let limit = self.highest_limit();
         if limit.is_some_and(|limit| self.limited_runs() > limit) {
-            broken.push("over the limit of its account".to_string());
+            violations.push("over the limit of its account".to_string());
         }
-        for what in broken {
+        for what in violations {
             let line = format!("{} ms: {task} run {run}: {what}", self.now);
-            self.broken.push(line);
+            self.violations.push(line);
         }
     }
 
@@ -180,7 +182,8 @@
                 _ => false,
             };
             if wrong {
-                self.broken.push(format!("{} shows as {state:?}", job.id));
+                self.violations
+                    .push(format!("{} is reported as {state:?}", job.id));
             }
         }
     }
@@ -196,6 +199,6 @@
 
     /// Panics with every violation that was found.
     pub fn check(&self) {
-        assert!(self.broken.is_empty(), "{:#?}", self.broken);
+        assert!(self.violations.is_empty(), "{:#?}", self.violations);
     }
 }
--- a/tests/jobs/world/orders.rs
+++ b/tests/jobs/world/orders.rs
@@ -208,7 +208,7 @@
             task: *task,
             run: run.run,
             checkpoint: String::new(),
-            percent: self.percents.get(task).copied().unwrap_or(100),
+            percent: self.share_percents.get(task).copied().unwrap_or(100),
             usage: self.usages.get(task).copied().unwrap_or(0),
         });
         let answer = Ok(ExecutorReport {
