--- a/tests/jobs/crash_suspects.rs
+++ b/tests/jobs/crash_suspects.rs
@@ -53,8 +53,8 @@
 ///
 /// In production, connections broke 4 to 16 ms after the start of one of
 /// twelve such tasks; all other tasks there had run for at least 185 ms. 479
-/// incarnations were over, and two tasks were started three more times after
-/// three executors had crashed under each.
+/// incarnations were over, which only one counter showed, and two tasks were
+/// started three more times after three executors had crashed under each.
 #[test]
 fn a_task_that_crashes_executors_is_given_up() {
     let mut world = World::new(12);
--- a/tests/jobs/event_lag.rs
+++ b/tests/jobs/event_lag.rs
@@ -67,7 +67,7 @@
 /// Guards against executors that seem slow because run ends wait there while
 /// the leader is stalled.
 #[test]
-fn executors_are_not_slow_since_the_leader_stood_still() {
+fn executors_are_not_slow_because_the_leader_stalled() {
     let mut world = World::new(8);
     world.run(50);
     for id in 1..40 {
@@ -102,8 +102,8 @@
     check_estimate_is_unchanged(&mut world, 100);
 }
 
-/// Orders a task on the only executor, and isolates the executor until its
-/// lease has nearly expired. Returns the time at which that began.
+/// Runs a task on an executor of its own, and isolates that executor until its
+/// lease has nearly expired. Returns the expiry of the lease.
 fn isolate_until_nearly_expired(world: &mut World) -> Millis {
     world.run(500);
     world.submit(wide(1, 1));
@@ -120,7 +120,7 @@
 /// Guards against a task that starts again while its end waits in the leader's
 /// queue.
 #[test]
-fn a_leader_that_stood_still_hears_what_waits_before_a_lease_counts_as_over() {
+fn a_leader_that_stalled_hears_what_waits_before_a_lease_counts_as_over() {
     let mut world = World::new(2);
     let lease_expiry = isolate_until_nearly_expired(&mut world);
     world.stall(2_000);
--- a/tests/jobs/fuzz.rs
+++ b/tests/jobs/fuzz.rs
@@ -104,7 +104,8 @@
     prop_oneof![
         6 => operations(),
         1 => false_ends().prop_map(Operation::FalseEnds),
-        2 => prop_oneof![Just(0u64), 1u64..2_500].prop_map(Operation::EventLag),
+        2 => prop_oneof![Just(0u64), 1u64..2_500]
+            .prop_map(Operation::EventLag),
         1 => (200u64..5_000).prop_map(Operation::Stall),
     ]
 }
@@ -120,7 +121,7 @@
     /// Another leader takes over. It reaches some executors for a time, and
     /// after that only the others.
     TakeOverInTurn(Vec<bool>, u64, u64),
-    /// Like `TakeOverInTurn`, but a task of a new job fails shortly after.
+    /// Like `TakeOverInTurn`, this long before a task of a new job fails.
     FailAndTakeOverInTurn(u64, bool, Vec<bool>, u64, u64),
 }
 
@@ -133,7 +134,9 @@
         2 => (first(), 1u64..60, 1u64..1_200)
             .prop_map(|(f, a, b)| Full::TakeOverInTurn(f, a, b)),
         2 => (1u64..300, any::<bool>(), first(), 1u64..60, 600u64..1_200)
-            .prop_map(|(t, g, f, a, b)| Full::FailAndTakeOverInTurn(t, g, f, a, b)),
+            .prop_map(|(t, g, f, a, b)| {
+                Full::FailAndTakeOverInTurn(t, g, f, a, b)
+            }),
     ]
 }
 
@@ -159,7 +162,8 @@
         6 => operations(),
         1 => false_ends().prop_map(Operation::FalseEnds),
         1 => restarts().prop_map(Operation::Restarts),
-        2 => (0usize..2, any::<bool>()).prop_map(|(a, c)| Operation::Cordon(a, c)),
+        2 => (0usize..2, any::<bool>())
+            .prop_map(|(a, c)| Operation::Cordon(a, c)),
     ]
 }
 
@@ -242,7 +246,8 @@
             .prop_map(|(a, listed)| FalseEnd::Crash(a, listed)),
         3 => (0usize..12, any::<bool>())
             .prop_map(|(a, isolated)| FalseEnd::Isolate(a, isolated)),
-        1 => (0usize..12, 0u64..2).prop_map(|(a, t)| FalseEnd::IsolateFrom(a, t)),
+        1 => (0usize..12, 0u64..2)
+            .prop_map(|(a, t)| FalseEnd::IsolateFrom(a, t)),
         3 => (0usize..12).prop_map(FalseEnd::ListEntry),
         1 => (0usize..12).prop_map(FalseEnd::RemoveEntry),
         2 => order.prop_map(FalseEnd::Takeover),
@@ -262,8 +267,10 @@
         1 => (0u64..8).prop_map(Operation::Cancel),
         1 => (3_000u32..9_000).prop_map(Operation::Limit),
         6 => (1u64..700).prop_map(Operation::Run),
-        2 => (0usize..4, any::<bool>()).prop_map(|(a, c)| Operation::Isolate(a, c)),
-        1 => (0usize..4, 1u32..3).prop_map(|(a, n)| Operation::LoseAnswers(a, n)),
+        2 => (0usize..4, any::<bool>())
+            .prop_map(|(a, c)| Operation::Isolate(a, c)),
+        1 => (0usize..4, 1u32..3)
+            .prop_map(|(a, n)| Operation::LoseAnswers(a, n)),
         1 => (0usize..4, prop::option::of(200u64..7_000))
             .prop_map(|(a, l)| Operation::DelayOrders(a, l)),
         1 => (0usize..4, prop::option::of(1u64..7_000))
@@ -751,7 +758,10 @@
 
     #[test]
     fn no_rule_breaks_while_the_leader_lags(
-        sequence in prop::collection::vec(operations_with_a_lagging_leader(), 10..40),
+        sequence in prop::collection::vec(
+            operations_with_a_lagging_leader(),
+            10..40,
+        ),
     ) {
         check_sequence(&sequence)?;
     }
--- a/tests/jobs/membership.rs
+++ b/tests/jobs/membership.rs
@@ -593,8 +593,8 @@
     Step { estimate: LONG, ..step(3, resources(3_000, 100)) }
 }
 
-/// Guards against a task that starts again after one of its runs was reported
-/// done and that end was acknowledged.
+/// Guards against a task that starts again, eight seconds in one case, after
+/// one of its runs was reported done and that end was acknowledged.
 ///
 /// The executor is silent, and the list shows its machine as down, as it does
 /// for an executor that leaves. Its incarnation counts as over, and the task
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -100,12 +100,13 @@
     pub isolated: bool,
     /// Like `isolated`, but for the leader with this token only.
     pub isolated_from: Option<u64>,
-    /// The number of orders that will be carried out but not answered.
+    /// The number of starts that will be carried out but not answered.
     pub lost_answers: u32,
-    /// If set, orders are carried out after this delay and not answered.
+    /// If set, starts and stops are carried out after this delay and not
+    /// answered.
     pub order_delay: Option<Millis>,
-    /// If set, orders arrive, but their answers come this long after the
-    /// leader has stopped waiting for them.
+    /// If set, orders are carried out, but their answers come this long after
+    /// the leader has stopped waiting for them.
     pub answer_delay: Option<Millis>,
     /// The leader processes the outcome of renewals this much later.
     pub report_delay: Millis,
