--- a/tests/jobs/speeds.rs
+++ b/tests/jobs/speeds.rs
@@ -45,8 +45,7 @@
     }
 }
 
-/// Tightens the objective of urgent jobs to a fifth of their run time and a
-/// little more.
+/// Reduces the slack of urgent jobs to a fifth of their run time plus 100 ms.
 fn tighten_objective(world: &mut World) {
     world.set_policy(|policy| {
         let queue = policy.queues.get_mut("urgent").expect("a queue");
