--- a/tests/jobs/world/oracle.rs
+++ b/tests/jobs/world/oracle.rs
@@ -1,23 +1,23 @@
-//! The oracle: what must hold whenever a task starts, and in the end.
+//! The oracle: what must hold whenever a task starts, and at the end.
 
 use super::*;
 
 impl World {
-    pub(super) fn note_limit(&mut self) {
-        if !self.any_ordered {
-            // Nothing was ordered under an earlier one.
+    pub(super) fn record_limit(&mut self) {
+        if !self.any_start_ordered {
+            // Nothing was ordered under an earlier limit.
             self.limits.clear();
         }
         let limit = self.policy.accounts[LIMITED].limit.cpu_millis;
         self.limits.push((self.now, limit));
     }
 
-    /// The highest limit that any leader may go by, if there is one.
+    /// The highest limit that any leader may apply, if there is one.
     pub(super) fn highest_limit(&self) -> Option<u32> {
         let mut highest = 0;
         let mut until = Millis::MAX;
         for (since, limit) in self.limits.iter().rev() {
-            if until.saturating_add(UNCONFIRMED) < self.now {
+            if until.saturating_add(UNCONFIRMED_LIMIT) < self.now {
                 break;
             }
             if *limit == 0 {
@@ -29,18 +29,18 @@
         Some(highest)
     }
 
-    /// A job is handed in. If it was refused before, it may run from now on,
-    /// unless it is refused again.
-    pub(super) fn attempted(&mut self, job: &Job) {
+    /// Records that a job is submitted. If it was refused before, it may run
+    /// from now on unless it is refused again.
+    pub(super) fn record_submission(&mut self, job: &Job) {
         self.refused.remove(&job.id);
     }
 
-    pub(super) fn note_reply(&mut self, id: u64, outcome: Outcome) {
+    pub(super) fn record_reply(&mut self, id: u64, outcome: Outcome) {
         let Some(&job) = self.submitted.get(&id) else { return };
         match outcome {
             Outcome::Accepted => {
-                self.acknowledged.insert(job);
-                // It was handed in again.
+                self.accepted.insert(job);
+                // The job was submitted again.
                 self.refused.remove(&job);
             }
             outcome if outcome.is_refusal() => {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// What must hold whenever a task starts.
+    /// Checks what must hold whenever a task starts.
     pub(super) fn check_start(
         &mut self,
         at: usize,
@@ -59,75 +59,80 @@
         gang: bool,
         after: &[u32],
     ) {
-        let mut broken = Vec::new();
-        let there = &self.executors[at];
+        let mut violations = Vec::new();
+        let executor = &self.executors[at];
         let mut used = Resources::default();
-        for run in there.running.values() {
+        for run in executor.running.values() {
             used = used.plus(&run.need);
         }
-        if !there.may_hold(&used, self.now) {
-            broken.push(format!("over the limits of {}", there.info.id));
+        if !executor.may_use(&used, self.now) {
+            violations
+                .push(format!("over the limits of {}", executor.info.id));
         }
         let elsewhere =
             self.executors.iter().enumerate().any(|(i, e)| {
                 i != at && !e.dead && e.running.contains_key(&task)
             });
         if elsewhere {
-            broken.push("runs twice".to_string());
+            violations.push("runs twice".to_string());
         }
-        let noted_done = self.done.get(&task).is_some_and(|runs| {
-            runs.iter().any(|r| self.noted.contains(&(task, *r)))
+        let acknowledged = self.done.get(&task).is_some_and(|runs| {
+            runs.iter().any(|r| self.acknowledged_ends.contains(&(task, *r)))
         });
-        let gang_noted = gang
+        let gang_acknowledged = gang
             && self.done.iter().any(|(member, runs)| {
                 member.step == task.step
-                    && runs.iter().any(|r| self.noted.contains(&(*member, *r)))
+                    && runs.iter().any(|r| {
+                        self.acknowledged_ends.contains(&(*member, *r))
+                    })
             });
-        if noted_done || gang_noted {
-            broken.push("starts after it was done".to_string());
+        if acknowledged || gang_acknowledged {
+            violations.push("starts after it was done".to_string());
         }
         for before in after {
             let step = StepKey { step: *before, ..task.step };
             let job = &self.jobs[&task.step.job];
             let step_job = &job.steps[*before as usize];
             let all = (0..step_job.count)
-                .all(|index| self.ever_done.contains(&step.task(index)));
+                .all(|index| self.all_done.contains(&step.task(index)));
             let whole = step_job.gang && self.gangs_done.contains(&step);
             if !all && !whole {
-                broken.push("starts before what it depends on".to_string());
+                violations
+                    .push("starts before what it depends on".to_string());
             }
         }
         let counted = if gang { task.step.task(0) } else { task };
-        let failures = self.noted_failures.get(&counted);
+        let failures = self.acknowledged_failures.get(&counted);
         if failures.is_some_and(|runs| runs.len() >= 3) {
-            broken.push("starts after its last attempt".to_string());
+            violations.push("starts after its last attempt".to_string());
         }
         let crashed = self.crashed.get(&task).into_iter().flatten();
-        let known = crashed.filter(|id| !self.unknowable.contains(*id));
-        if known.count() >= CRASHES {
-            let more = self.more_starts.entry(task).or_default();
+        let known =
+            crashed.filter(|id| !self.unknowable_crashes.contains(*id));
+        if known.count() >= CRASH_THRESHOLD {
+            let more = self.extra_starts.entry(task).or_default();
             *more += 1;
-            if *more > MOST_MORE {
+            if *more > MAX_EXTRA_STARTS {
                 let what = "starts again after it has crashed executors";
-                broken.push(what.to_string());
+                violations.push(what.to_string());
             }
         }
         if self.refused.contains(&task.step.job) {
-            broken.push("starts though its job was refused".to_string());
+            violations.push("starts though its job was refused".to_string());
         }
         let limit = self.highest_limit();
         if limit.is_some_and(|limit| self.limited_runs() > limit) {
-            broken.push("over the limit of its account".to_string());
+            violations.push("over the limit of its account".to_string());
         }
-        for what in broken {
+        for what in violations {
             let line = format!("{} ms: {task} run {run}: {what}", self.now);
-            self.broken.push(line);
+            self.violations.push(line);
         }
     }
 
-    /// Whether all jobs that were accepted have ended, and how.
+    /// The jobs that were accepted and have not ended.
     pub fn unfinished(&mut self) -> Vec<JobId> {
-        let ids: Vec<JobId> = self.acknowledged.iter().copied().collect();
+        let ids: Vec<JobId> = self.accepted.iter().copied().collect();
         ids.into_iter()
             .filter(|id| {
                 !matches!(
@@ -142,7 +147,7 @@
             .collect()
     }
 
-    /// What is said of jobs must be so.
+    /// Checks that the reported states of jobs are true.
     pub fn check_states(&mut self) {
         let jobs: Vec<Job> = self.jobs.values().cloned().collect();
         for job in jobs {
@@ -156,7 +161,7 @@
             let wrong = match state {
                 Some(JobState::Succeeded) => !steps.all(|(number, step)| {
                     let mut all = tasks(number, step.count);
-                    let done = |t: TaskKey| self.ever_done.contains(&t);
+                    let done = |t: TaskKey| self.all_done.contains(&t);
                     if step.gang {
                         all.any(done)
                     } else {
@@ -177,21 +182,23 @@
                 _ => false,
             };
             if wrong {
-                self.broken.push(format!("{} shows as {state:?}", job.id));
+                self.violations
+                    .push(format!("{} is reported as {state:?}", job.id));
             }
         }
     }
 
-    /// Whether so many executors have crashed under a task of a job, or under
-    /// a gang, that it may be given up. Who did it can't be known for sure.
+    /// Whether so many executors have crashed while a task or a gang of a job
+    /// ran there that the job may be given up. Which task crashed an executor
+    /// can't be known for certain.
     pub(super) fn may_give_up(&self, job: &Job) -> bool {
-        let crashed = self.crashed_under.iter();
+        let crashed = self.crashes_during.iter();
         let mut crashed = crashed.filter(|(t, _)| t.step.job == job.id);
-        crashed.any(|(_, crashes)| *crashes >= MAY_GIVE_UP)
+        crashed.any(|(_, crashes)| *crashes >= GIVE_UP_THRESHOLD)
     }
 
-    /// Fails with everything that broke.
+    /// Panics with every violation that was found.
     pub fn check(&self) {
-        assert!(self.broken.is_empty(), "{:#?}", self.broken);
+        assert!(self.violations.is_empty(), "{:#?}", self.violations);
     }
 }
