--- a/src/cell/patience.rs
+++ b/src/cell/call_timeout.rs
@@ -23,13 +23,13 @@
 
 /// The bounds of a time that is waited, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct TimeoutBounds {
     /// The least time, however quick the answers are.
-    pub least: Millis,
+    pub min: Millis,
     /// The time before any answer was seen.
-    pub first: Millis,
+    pub initial: Millis,
     /// The most time, however long nothing is answered.
-    pub most: Millis,
+    pub max: Millis,
 }
 
 /// So many bytes may wait at a machine's own link ahead of a call: the orders
@@ -37,25 +37,25 @@
 /// links take half a second for them.
 const QUEUED_BYTES: u32 = 128 << 10;
 
-impl Bounds {
+impl TimeoutBounds {
     /// The same for calls from a machine whose link carries so many bytes a
     /// millisecond.
-    pub fn behind(self, link_bytes_per_ms: u32) -> Bounds {
-        let extra = link_extra(link_bytes_per_ms);
-        Bounds { most: self.most + extra, ..self }
+    pub fn with_link_delay(self, link_bytes_per_ms: u32) -> TimeoutBounds {
+        let extra = link_delay(link_bytes_per_ms);
+        TimeoutBounds { max: self.max + extra, ..self }
     }
 }
 
 /// By how much answers may be later than usual behind a link that carries so
 /// many bytes a millisecond, in milliseconds.
-pub fn link_extra(link_bytes_per_ms: u32) -> Millis {
+pub fn link_delay(link_bytes_per_ms: u32) -> Millis {
     Millis::from(QUEUED_BYTES / link_bytes_per_ms.max(1))
 }
 
 /// What is known of the round trips to one kind of peer.
 #[derive(Debug)]
-pub struct Patience {
-    bounds: Bounds,
+pub struct CallTimeout {
+    bounds: TimeoutBounds,
     /// Whether round trips are followed at all.
     follows: bool,
     /// The smoothed round trip and its deviation, in milliseconds.
@@ -64,16 +64,16 @@
     unanswered: Cell<u32>,
 }
 
-impl Patience {
+impl CallTimeout {
     /// Nothing was seen yet. If round trips are not followed, the first
     /// answers are waited for as long as all others.
-    pub fn new(bounds: Bounds, follows: bool) -> Patience {
+    pub fn new(bounds: TimeoutBounds, follows: bool) -> CallTimeout {
         let (seen, unanswered) = (Cell::new(None), Cell::new(0));
-        Patience { bounds, follows, seen, unanswered }
+        CallTimeout { bounds, follows, seen, unanswered }
     }
 
     /// A call was answered after this time.
-    pub fn answered(&self, took: Millis) {
+    pub fn record_answer(&self, took: Millis) {
         let took = took as f64;
         let (mean, deviation) = match self.seen.get() {
             None => (took, took / 2.0),
@@ -90,15 +90,15 @@
     }
 
     /// A call was not answered in time.
-    pub fn unanswered(&self) {
+    pub fn record_timeout(&self) {
         self.unanswered.set(self.unanswered.get() + 1);
     }
 
     /// How long an answer is waited for.
-    pub fn within(&self) -> Millis {
-        let Bounds { least, first, most } = self.bounds;
+    pub fn current(&self) -> Millis {
+        let TimeoutBounds { min: least, initial, max: most } = self.bounds;
         let usual = match self.seen.get().filter(|_| self.follows) {
-            None => first,
+            None => initial,
             Some((mean, deviation)) => {
                 let time = mean + DEVIATIONS * deviation;
                 (time.ceil() as Millis).max(least)
--- a/src/cell/decisions.rs
+++ b/src/cell/decision_log.rs
@@ -9,7 +9,7 @@
 use puffinknot_core::jobs::{Action, Event, Outcome, Request, Scheduler};
 use tracing::{info, warn};
 
-use crate::cell::turn::Took;
+use crate::cell::iteration::IterationStats;
 
 fn name(scheduler: &Scheduler, index: ExecutorIndex) -> &str {
     let executor = scheduler.executor(index);
@@ -17,17 +17,22 @@
 }
 
 /// Logs the worst of so many turns that were slow.
-pub fn slow_turn(scheduler: &Scheduler, token: u64, slow: u64, took: &Took) {
+pub fn log_slow_iteration(
+    scheduler: &Scheduler,
+    token: u64,
+    slow: u64,
+    took: &IterationStats,
+) {
     info!(
-        took_ms = took.turn / 1_000,
+        took_ms = took.duration / 1_000,
         cpu_ms = took.cpu / 1_000,
         advance_ms = took.advance / 1_000,
         inputs = took.inputs,
-        oldest_wait_ms = took.oldest.0 / 1_000,
-        oldest = took.oldest.1.name(),
-        steps = took.looked.steps,
-        executors = took.looked.executors,
-        runs = took.looked.runs,
+        oldest_wait_ms = took.longest_wait.0 / 1_000,
+        oldest = took.longest_wait.1.name(),
+        steps = took.placement.steps,
+        executors = took.placement.executors,
+        runs = took.placement.runs,
         jobs = scheduler.live_jobs(),
         slow,
         token,
@@ -36,7 +41,7 @@
 }
 
 /// Logs what the scheduler is told.
-pub fn event(scheduler: &Scheduler, token: u64, event: &Event) {
+pub fn log_event(scheduler: &Scheduler, token: u64, event: &Event) {
     match event {
         Event::Request { id, request, .. } => match request {
             Request::Submit(job) => {
@@ -108,7 +113,7 @@
 }
 
 /// Logs what the scheduler wants done.
-pub fn action(scheduler: &Scheduler, token: u64, action: &Action) {
+pub fn log_action(scheduler: &Scheduler, token: u64, action: &Action) {
     match action {
         Action::Start { executor, task, run, checkpoint, .. } => {
             let executor = name(scheduler, *executor);
--- a/src/cell/turn.rs
+++ b/src/cell/iteration.rs
@@ -15,15 +15,15 @@
 use crate::clock::Micros;
 
 /// The time between two reports of slow turns, in milliseconds.
-pub const REPORT_EVERY: Millis = 1_000;
+pub const REPORT_INTERVAL: Millis = 1_000;
 
 /// What an input of the leader is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum InputKind {
     /// Of a client.
     Request,
     /// An executor's account of what it runs.
-    Held,
+    LeaseRenewal,
     /// An executor's answer to a start.
     Started,
     /// An executor's answer to a stop.
@@ -38,68 +38,70 @@
     Other,
 }
 
-impl Kind {
+impl InputKind {
     /// The kind of an event.
-    pub fn of(event: &Event) -> Kind {
+    pub fn of(event: &Event) -> InputKind {
         match event {
-            Event::Request { .. } => Kind::Request,
-            Event::RenewalAnswered { .. } => Kind::Held,
-            Event::StartAnswered { .. } => Kind::Started,
-            Event::StopAnswered { .. } => Kind::Stopped,
-            Event::Advised { .. } => Kind::Advised,
-            Event::Committed | Event::CommitDeclined(_) => Kind::Committed,
+            Event::Request { .. } => InputKind::Request,
+            Event::RenewalAnswered { .. } => InputKind::LeaseRenewal,
+            Event::StartAnswered { .. } => InputKind::Started,
+            Event::StopAnswered { .. } => InputKind::Stopped,
+            Event::Advised { .. } => InputKind::Advised,
+            Event::Committed | Event::CommitDeclined(_) => {
+                InputKind::Committed
+            }
             Event::Listed(_)
             | Event::Unlisted(_)
             | Event::EntryUnreadable(_)
-            | Event::EntriesRead => Kind::Listed,
+            | Event::EntriesRead => InputKind::Listed,
             Event::Advisors(_)
             | Event::ThrottleAnswered { .. }
             | Event::Wave(_)
             | Event::Machines(_)
             | Event::MaintenanceAnswered { .. }
-            | Event::Tick => Kind::Other,
+            | Event::Tick => InputKind::Other,
         }
     }
 
     /// Its name in log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Request => "request",
-            Kind::Held => "held",
-            Kind::Started => "started",
-            Kind::Stopped => "stopped",
-            Kind::Advised => "advised",
-            Kind::Committed => "committed",
-            Kind::Listed => "listed",
-            Kind::Other => "other",
+            InputKind::Request => "request",
+            InputKind::LeaseRenewal => "held",
+            InputKind::Started => "started",
+            InputKind::Stopped => "stopped",
+            InputKind::Advised => "advised",
+            InputKind::Committed => "committed",
+            InputKind::Listed => "listed",
+            InputKind::Other => "other",
         }
     }
 
     /// The name of how long it waits.
     fn wait(self) -> &'static str {
         match self {
-            Kind::Request => "wait_request",
-            Kind::Held => "wait_held",
-            Kind::Started => "wait_started",
-            Kind::Stopped => "wait_stopped",
-            Kind::Advised => "wait_advised",
-            Kind::Committed => "wait_committed",
-            Kind::Listed => "wait_listed",
-            Kind::Other => "wait_other",
+            InputKind::Request => "wait_request",
+            InputKind::LeaseRenewal => "wait_held",
+            InputKind::Started => "wait_started",
+            InputKind::Stopped => "wait_stopped",
+            InputKind::Advised => "wait_advised",
+            InputKind::Committed => "wait_committed",
+            InputKind::Listed => "wait_listed",
+            InputKind::Other => "wait_other",
         }
     }
 
     /// The name of how long it takes to be dealt with.
     fn handling(self) -> &'static str {
         match self {
-            Kind::Request => "handle_request",
-            Kind::Held => "handle_held",
-            Kind::Started => "handle_started",
-            Kind::Stopped => "handle_stopped",
-            Kind::Advised => "handle_advised",
-            Kind::Committed => "handle_committed",
-            Kind::Listed => "handle_listed",
-            Kind::Other => "handle_other",
+            InputKind::Request => "handle_request",
+            InputKind::LeaseRenewal => "handle_held",
+            InputKind::Started => "handle_started",
+            InputKind::Stopped => "handle_stopped",
+            InputKind::Advised => "handle_advised",
+            InputKind::Committed => "handle_committed",
+            InputKind::Listed => "handle_listed",
+            InputKind::Other => "handle_other",
         }
     }
 }
@@ -115,24 +117,24 @@
 
 /// A turn of the leader's loop that goes on.
 #[derive(Debug)]
-pub struct Turn {
+pub struct Iteration {
     begun: Clocks,
     looked: PlacementStats,
     inputs: u64,
     /// The longest wait of an input, and of which kind that one was.
-    oldest: (Micros, Kind),
+    oldest: (Micros, InputKind),
     /// The input that is being handled, and since when.
-    current: Option<(Kind, Micros)>,
+    current: Option<(InputKind, Micros)>,
     advance: Micros,
 }
 
 /// What a turn took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Took {
+pub struct IterationStats {
     /// When it ended.
     pub ended: Micros,
     /// How long it took.
-    pub turn: Micros,
+    pub duration: Micros,
     /// The processor time of the thread in it.
     pub cpu: Micros,
     /// The part of it in which was done what had become possible.
@@ -140,29 +142,29 @@
     /// How many inputs it took in.
     pub inputs: u64,
     /// The longest wait of an input, and of which kind that one was.
-    pub oldest: (Micros, Kind),
+    pub longest_wait: (Micros, InputKind),
     /// What placing looked through in it.
-    pub looked: PlacementStats,
+    pub placement: PlacementStats,
 }
 
-impl Turn {
+impl Iteration {
     /// Begins a turn; `looked` is what placing has looked through so far.
-    pub fn begin(now: Clocks, looked: PlacementStats) -> Turn {
-        Turn {
+    pub fn begin(now: Clocks, looked: PlacementStats) -> Iteration {
+        Iteration {
             begun: now,
             looked,
             inputs: 0,
-            oldest: (0, Kind::Other),
+            oldest: (0, InputKind::Other),
             current: None,
             advance: 0,
         }
     }
 
     /// An input that was sent at a time is taken in.
-    pub fn take(
+    pub fn begin_input(
         &mut self,
         stats: &Stats,
-        kind: Kind,
+        kind: InputKind,
         sent_at: Micros,
         now: Micros,
     ) {
@@ -184,7 +186,12 @@
     }
 
     /// What has become possible was done, from `since` until now.
-    pub fn advanced(&mut self, stats: &Stats, since: Micros, now: Micros) {
+    pub fn record_advance(
+        &mut self,
+        stats: &Stats,
+        since: Micros,
+        now: Micros,
+    ) {
         self.advance = now.saturating_sub(since);
         stats.took_micros("advance", self.advance);
     }
@@ -195,62 +202,65 @@
         stats: &Stats,
         now: Clocks,
         looked: PlacementStats,
-    ) -> Took {
-        let took = Took {
+    ) -> IterationStats {
+        let took = IterationStats {
             ended: now.mono,
-            turn: now.mono.saturating_sub(self.begun.mono),
+            duration: now.mono.saturating_sub(self.begun.mono),
             cpu: now.cpu.saturating_sub(self.begun.cpu),
             advance: self.advance,
             inputs: self.inputs,
-            oldest: self.oldest,
-            looked: looked.since(&self.looked),
+            longest_wait: self.oldest,
+            placement: looked.since(&self.looked),
         };
-        stats.took_micros("turn", took.turn);
+        stats.took_micros("turn", took.duration);
         stats.took_micros("turn_cpu", took.cpu);
         stats.saw("turn_inputs", took.inputs);
-        if took.looked.rounds > took.looked.deferred {
-            stats.saw("round_steps", took.looked.steps);
-            stats.saw("round_executors", took.looked.executors);
+        if took.placement.rounds > took.placement.deferred {
+            stats.saw("round_steps", took.placement.steps);
+            stats.saw("round_executors", took.placement.executors);
         }
         took
     }
 }
 
-impl Took {
+impl IterationStats {
     /// The time of the turn, or the longest wait that ended in it.
     fn worst(&self) -> Micros {
-        self.turn.max(self.oldest.0)
+        self.duration.max(self.longest_wait.0)
     }
 }
 
 /// Reports slow turns, the worst in a time.
 #[derive(Debug)]
-pub struct SlowTurns {
+pub struct SlowIterations {
     /// Turns and waits from this length on are slow.
     bound: Micros,
     reported: Option<Micros>,
     /// How many were slow since, and the worst of them.
     slow: u64,
-    worst: Option<Took>,
+    worst: Option<IterationStats>,
 }
 
-impl SlowTurns {
+impl SlowIterations {
     /// Turns and waits from this length on, in milliseconds, are slow.
-    pub fn new(bound: Millis) -> SlowTurns {
+    pub fn new(bound: Millis) -> SlowIterations {
         let bound = bound * 1_000;
-        SlowTurns { bound, reported: None, slow: 0, worst: None }
+        SlowIterations { bound, reported: None, slow: 0, worst: None }
     }
 
     /// Takes in a turn. If a report is due, returns how many were slow since
     /// the last one, and the worst of them.
-    pub fn observe(&mut self, took: Took) -> Option<(u64, Took)> {
+    pub fn observe(
+        &mut self,
+        took: IterationStats,
+    ) -> Option<(u64, IterationStats)> {
         if took.worst() >= self.bound {
             self.slow += 1;
             if self.worst.is_none_or(|w| w.worst() <= took.worst()) {
                 self.worst = Some(took);
             }
         }
-        let due = |at| took.ended >= at + REPORT_EVERY * 1_000;
+        let due = |at| took.ended >= at + REPORT_INTERVAL * 1_000;
         if !self.reported.is_none_or(due) {
             return None;
         }
--- a/src/cell/journal.rs
+++ b/src/cell/journal.rs
@@ -29,7 +29,7 @@
 
 /// Why a write was not made.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Unwritten {
+pub enum WriteFailure {
     /// Somebody else has led since, or the journal is closed.
     Superseded,
     /// The store has declined it. These are its changes; nothing of them is
@@ -97,7 +97,10 @@
     ///
     /// If somebody else has led since, or the journal is closed, or nothing of
     /// it is done or will be.
-    pub async fn write(&self, changes: Vec<Change>) -> Result<(), Unwritten> {
+    pub async fn write(
+        &self,
+        changes: Vec<Change>,
+    ) -> Result<(), WriteFailure> {
         let sequence = self.sequence.get() + 1;
         self.sequence.set(sequence);
         let head = head_key(&self.prefix);
@@ -108,7 +111,7 @@
         loop {
             self.wait_out().await;
             if self.closed.get() {
-                return Err(Unwritten::Superseded);
+                return Err(WriteFailure::Superseded);
             }
             transaction.expect = vec![(head.clone(), self.head.get())];
             let Some(answer) = self.attempt(&transaction).await else {
@@ -128,14 +131,14 @@
                     let mut items = items.into_iter();
                     let now = items.find(|item| item.key == head);
                     let Some(now) = now else {
-                        return Err(Unwritten::Superseded);
+                        return Err(WriteFailure::Superseded);
                     };
                     if now.value == value {
                         self.head.set(now.revision);
                         return Ok(());
                     }
                     if now.revision != self.head.get() {
-                        return Err(Unwritten::Superseded);
+                        return Err(WriteFailure::Superseded);
                     }
                 }
                 Err(error) => {
@@ -144,7 +147,7 @@
                     self.pause.set(longer.clamp(FIRST_PAUSE, LAST_PAUSE));
                     if error == WriteError::NotDone && !in_doubt {
                         let changes = self.changes(transaction, &head);
-                        return Err(Unwritten::Declined(changes));
+                        return Err(WriteFailure::Declined(changes));
                     }
                     in_doubt = true;
                 }
--- a/src/cell/lead.rs
+++ b/src/cell/leader.rs
@@ -25,26 +25,26 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-mod answers;
-mod executors;
-mod lease;
-mod offer;
+mod executor_watch;
+mod leader_key;
+mod leadership_offer;
+mod lease_renewal;
 mod orders;
-mod seat;
+mod replies;
+mod routes;
 mod takeover;
-mod ways;
 
+use crate::cell::call_timeout::{CallTimeout, TimeoutBounds};
 use crate::cell::channel::Sender;
-use crate::cell::decisions;
+use crate::cell::decision_log;
+use crate::cell::iteration::{Clocks, InputKind, Iteration, SlowIterations};
 use crate::cell::journal::Journal;
 use crate::cell::node::{Shared, UNCONFIRMED};
-use crate::cell::patience::{Bounds, Patience};
 use crate::cell::ports::Platform;
 use crate::cell::relay::{Relay, Relays};
-use crate::cell::turn::{Clocks, Kind, SlowTurns, Turn};
 use crate::clock::{self, Micros};
 
-use self::ways::Ways;
+use self::routes::Routes;
 
 /// How often the scheduler is told that time has passed.
 const TICK: Millis = 50;
@@ -57,11 +57,12 @@
 
 /// How long answers of executors are waited for. A machine's share of its
 /// processor may be given to it in slices a tenth of a second apart.
-const ORDERS: Bounds = Bounds { least: 120, first: 300, most: 300 };
+const ORDERS: TimeoutBounds =
+    TimeoutBounds { min: 120, initial: 300, max: 300 };
 /// A turn of the loop, or the wait of an input, is slow from so many
 /// milliseconds on: no answer is read meanwhile, and a quarter of the least
 /// time that answers are waited for is gone.
-const SLOW: Millis = ORDERS.least / 4;
+const SLOW: Millis = ORDERS.min / 4;
 
 /// The number of a peer within one tenure.
 pub type PeerId = u64;
@@ -84,10 +85,10 @@
 }
 
 impl Input {
-    fn kind(&self) -> Kind {
+    fn kind(&self) -> InputKind {
         match self {
-            Input::Ask(..) => Kind::Request,
-            Input::Event(event) => Kind::of(event),
+            Input::Ask(..) => InputKind::Request,
+            Input::Event(event) => InputKind::of(event),
             Input::Join(..)
             | Input::StoreSilent(..)
             | Input::Leave(_)
@@ -96,7 +97,7 @@
             | Input::Confirmed(..)
             | Input::KeyGone
             | Input::HandOver(_)
-            | Input::Over => Kind::Other,
+            | Input::Over => InputKind::Other,
         }
     }
 }
@@ -115,7 +116,7 @@
 
 /// The way to the scheduler of this node.
 #[derive(Clone)]
-pub struct LeadHandle {
+pub struct LeaderHandle {
     inputs: mpsc::UnboundedSender<Sent>,
     peers: Rc<Cell<PeerId>>,
     over: Rc<Cell<bool>>,
@@ -123,7 +124,7 @@
     relays: Rc<Relays>,
 }
 
-impl LeadHandle {
+impl LeaderHandle {
     /// Passes on a request of a client of this node.
     pub fn ask(
         &self,
@@ -135,7 +136,7 @@
     }
 
     /// Passes on a request of a client of another node.
-    pub fn ask_for(
+    pub fn ask_for_peer(
         &self,
         peer: PeerId,
         id: RequestId,
@@ -147,7 +148,7 @@
 
     /// Another node has connected. Returns its number, and what is known of
     /// it as a relay.
-    pub fn join(
+    pub fn add_peer(
         &self,
         node: String,
         dc: String,
@@ -165,18 +166,18 @@
     }
 
     /// For how long the store has not answered another node.
-    pub fn store_silent(&self, peer: PeerId, silent: Millis) {
+    pub fn set_store_silence(&self, peer: PeerId, silent: Millis) {
         self.send(Input::StoreSilent(peer, silent));
     }
 
     /// Another node has gone.
-    pub fn leave(&self, peer: PeerId, relay: &Relay) {
+    pub fn remove_peer(&self, peer: PeerId, relay: &Relay) {
         self.relays.remove(relay);
         self.send(Input::Leave(peer));
     }
 
     /// Another node has got advice.
-    pub fn advised(
+    pub fn report_advice(
         &self,
         call: CallId,
         answer: Result<Vec<AdvisedExecutor>, AdviceFailure>,
@@ -185,33 +186,33 @@
     }
 
     /// A version of the policy is in force.
-    pub fn policy(&self, policy: Arc<Policy>) {
+    pub fn set_policy(&self, policy: Arc<Policy>) {
         self.send(Input::Policy(policy));
     }
 
     /// These data centres take no new work.
-    pub fn cordons(&self, cordons: Cordons) {
+    pub fn set_cordons(&self, cordons: Cordons) {
         self.send(Input::Cordons(cordons));
     }
 
     /// The operators want a wave of upkeep.
-    pub fn wave(&self, wave: MaintenanceWave) {
+    pub fn announce_wave(&self, wave: MaintenanceWave) {
         self.send(Input::Event(Event::Wave(wave)));
     }
 
     /// Somebody else leads since this revision.
-    pub fn depose(&self, revision: Revision) {
+    pub fn supersede(&self, revision: Revision) {
         info!(revision, "deposed_by_successor");
         self.send(Input::Over);
     }
 
     /// When the store was last asked and confirmed that nobody else leads.
-    pub fn confirmed(&self) -> Millis {
+    pub fn confirmed_at(&self) -> Millis {
         self.confirmed.get()
     }
 
     /// Whether the tenure is over.
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.over.get()
     }
 
@@ -223,7 +224,7 @@
 }
 
 /// The key of the leader is gone, perhaps by mistake.
-pub fn key_gone<P: Platform>(shared: &Shared<P>) {
+pub fn report_key_removed<P: Platform>(shared: &Shared<P>) {
     if let Some(lead) = shared.lead.borrow().as_ref() {
         lead.send(Input::KeyGone);
     }
@@ -231,7 +232,7 @@
 
 /// At a planned stop: ends the tenure, so that another node may lead.
 pub async fn hand_over<P: Platform>(shared: &Shared<P>) {
-    let lead = shared.lead.borrow().as_ref().map(LeadHandle::clone);
+    let lead = shared.lead.borrow().as_ref().map(LeaderHandle::clone);
     let Some(lead) = lead else { return };
     let (done, over) = oneshot::channel();
     lead.send(Input::HandOver(done));
@@ -240,7 +241,7 @@
 
 /// Begins to lead. The claim was written at `token`, under `lease`, and its
 /// lease was asked for at `confirmed`.
-pub fn begin<P: Platform>(
+pub fn start_term<P: Platform>(
     shared: &Rc<Shared<P>>,
     token: Revision,
     lease: u64,
@@ -248,7 +249,7 @@
 ) {
     let (inputs, received) = mpsc::unbounded_channel();
     let confirmed = Rc::new(Cell::new(confirmed));
-    let handle = LeadHandle {
+    let handle = LeaderHandle {
         inputs,
         peers: Rc::default(),
         over: Rc::default(),
@@ -257,13 +258,17 @@
     };
     *shared.lead.borrow_mut() = Some(handle.clone());
     shared.count("tenures");
-    let tenure = Tenure {
+    let tenure = LeaderTerm {
         journal: Rc::new(Journal::new(
             shared.store.clone(),
             shared.platform.kept_prefix(),
             token,
         )),
-        ways: Rc::new(Ways::new(shared.clone(), handle.relays.clone(), token)),
+        ways: Rc::new(Routes::new(
+            shared.clone(),
+            handle.relays.clone(),
+            token,
+        )),
         shared: shared.clone(),
         handle: handle.clone(),
         token,
@@ -275,8 +280,8 @@
         origins: HashMap::new(),
         requests: 0,
         handed_over: None,
-        patience: Rc::new(Patience::new(
-            ORDERS.behind(shared.settings.borrow().link_bytes_per_ms),
+        patience: Rc::new(CallTimeout::new(
+            ORDERS.with_link_delay(shared.settings.borrow().link_bytes_per_ms),
             shared.has(Mechanism::OrderPatience),
         )),
         invited: 0,
@@ -310,9 +315,9 @@
 }
 
 /// One node's time as leader.
-struct Tenure<P> {
+struct LeaderTerm<P> {
     shared: Rc<Shared<P>>,
-    handle: LeadHandle,
+    handle: LeaderHandle,
     journal: Rc<Journal<P>>,
     token: u64,
     /// When its claim was made.
@@ -328,16 +333,16 @@
     /// Told when open requests are answered, once a hand-over has begun.
     handed_over: Option<oneshot::Sender<()>>,
     /// How orders go to executors.
-    ways: Rc<Ways<P>>,
+    ways: Rc<Routes<P>>,
     /// How long answers of executors are waited for.
-    patience: Rc<Patience>,
+    patience: Rc<CallTimeout>,
     /// When another node was asked last to lead in this one's place.
     invited: Millis,
     /// Which node is asked next.
     turn: usize,
 }
 
-impl<P: Platform> Tenure<P> {
+impl<P: Platform> LeaderTerm<P> {
     /// Leads until it is over, and says why it is.
     async fn run(
         mut self,
@@ -351,10 +356,10 @@
         self.spawn_watch();
         let mut last_tick = 0;
         let mut accounts_told = 0;
-        let mut slow_turns = SlowTurns::new(SLOW);
+        let mut slow_turns = SlowIterations::new(SLOW);
         self.tell_advisors(&mut scheduler);
         for wave in self.shared.waves() {
-            self.handle.wave(wave);
+            self.handle.announce_wave(wave);
         }
         loop {
             let now = clock::mono();
@@ -380,11 +385,12 @@
             }
             let shared = self.shared.clone();
             let stats = &shared.stats;
-            let mut turn = Turn::begin(clocks(), scheduler.placement_stats());
+            let mut turn =
+                Iteration::begin(clocks(), scheduler.placement_stats());
             let mut next = first;
             while let Some(Sent { input, at }) = next {
                 let now = clock::mono_micros();
-                turn.take(stats, input.kind(), at, now);
+                turn.begin_input(stats, input.kind(), at, now);
                 let received = at / 1_000;
                 if let Some(why) = self.input(&mut scheduler, input, received)
                 {
@@ -425,7 +431,7 @@
             let since = clock::mono_micros();
             let actions = scheduler.advance(now);
             let until = clock::mono_micros();
-            turn.advanced(stats, since, until);
+            turn.record_advance(stats, since, until);
             let took = Duration::from_micros(until.saturating_sub(since));
             scheduler.record_advance_time(took, until / 1_000);
             if self.perform(&scheduler, actions) {
@@ -433,7 +439,9 @@
             }
             let took = turn.end(stats, clocks(), scheduler.placement_stats());
             if let Some((slow, worst)) = slow_turns.observe(took) {
-                decisions::slow_turn(&scheduler, self.token, slow, &worst);
+                decision_log::log_slow_iteration(
+                    &scheduler, self.token, slow, &worst,
+                );
             }
             if self.handed_over.is_some() && self.origins.is_empty() {
                 break;
@@ -476,7 +484,7 @@
                 }
                 if self.unsure(&request) {
                     self.shared.count("refused_unconfirmed");
-                    self.reply(id, Outcome::Refused(answers::COME_BACK));
+                    self.reply(id, Outcome::Refused(replies::COME_BACK));
                     return None;
                 }
                 let event = Event::Request { id, caller, request };
@@ -528,7 +536,7 @@
         event: Event,
         received: Millis,
     ) -> Option<&'static str> {
-        decisions::event(scheduler, self.token, &event);
+        decision_log::log_event(scheduler, self.token, &event);
         let now = clock::mono();
         let actions = scheduler.handle_received(event, received, now);
         self.perform(scheduler, actions).then_some("fenced")
--- a/src/cell/lead/executors.rs
+++ b/src/cell/leader/executor_watch.rs
@@ -16,10 +16,10 @@
 use tokio::time::sleep;
 use tracing::warn;
 
-use super::{Input, LeadHandle, Tenure, PAUSE};
-use crate::cell::backlog::Backlog;
+use super::{Input, LeaderHandle, LeaderTerm, PAUSE};
 use crate::cell::node::Shared;
 use crate::cell::ports::{Item, Platform};
+use crate::cell::watch_limit::WatchLimit;
 use crate::clock;
 
 /// How long one watch of the executors' entries waits. On a connection that
@@ -50,7 +50,7 @@
     fn tell<P: Platform>(
         &mut self,
         platform: &P,
-        handle: &LeadHandle,
+        handle: &LeaderHandle,
         item: &Item,
     ) {
         let id = &item.key[platform.executors_prefix().len()..];
@@ -71,7 +71,7 @@
     }
 
     /// An entry can't be read. That is told once, until it can.
-    fn misread(&mut self, handle: &LeadHandle, id: &str, problem: &str) {
+    fn misread(&mut self, handle: &LeaderHandle, id: &str, problem: &str) {
         if !self.unreadable.insert(id.to_string()) {
             return;
         }
@@ -83,21 +83,21 @@
     }
 
     /// Tells the scheduler that an executor is no longer listed.
-    fn tell_gone(&mut self, handle: &LeadHandle, id: &str) {
+    fn tell_gone(&mut self, handle: &LeaderHandle, id: &str) {
         self.entries.remove(id);
         self.unreadable.remove(id);
         handle.send(Input::Event(Event::Unlisted(id.to_string())));
     }
 }
 
-impl<P: Platform> Tenure<P> {
+impl<P: Platform> LeaderTerm<P> {
     /// Tells the scheduler which executors the store lists.
     pub(super) fn spawn_watch(&self) {
         let shared = self.shared.clone();
         let handle = self.handle.clone();
         actix_rt::spawn(async move {
             let mut told = Told::default();
-            while !handle.is_over() {
+            while !handle.has_ended() {
                 watch_executors(&shared, &handle, &mut told).await;
                 sleep(PAUSE).await;
             }
@@ -109,7 +109,7 @@
 /// fails.
 async fn watch_executors<P: Platform>(
     shared: &Shared<P>,
-    handle: &LeadHandle,
+    handle: &LeaderHandle,
     told: &mut Told,
 ) {
     let (platform, store) = (&shared.platform, &shared.store);
@@ -129,8 +129,8 @@
         told.tell_gone(handle, &id);
     }
     handle.send(Input::Event(Event::EntriesRead));
-    let mut backlog = Backlog::default();
-    while !handle.is_over() {
+    let mut backlog = WatchLimit::default();
+    while !handle.has_ended() {
         let changes = store.watch(prefix, revision, WATCH).await;
         let Ok(changes) = changes else { return };
         revision = changes.revision;
@@ -141,7 +141,7 @@
             told.tell(&**platform, handle, item);
         }
         let told_now = changes.removed.len() + changes.written.len();
-        if backlog.answered(told_now) {
+        if backlog.observe(told_now) {
             shared.count("entries_asked_on");
         } else {
             sleep(GATHER).await;
--- a/src/cell/lead/seat.rs
+++ b/src/cell/leader/leader_key.rs
@@ -8,14 +8,14 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use super::{Input, Tenure, PAUSE};
-use crate::cell::follow;
+use super::{Input, LeaderTerm, PAUSE};
 use crate::cell::journal::{head_key, head_value, Journal};
 use crate::cell::node::Shared;
 use crate::cell::ports::{Leader, Platform, WriteError};
+use crate::cell::store_watch;
 use crate::clock;
 
-impl<P: Platform> Tenure<P> {
+impl<P: Platform> LeaderTerm<P> {
     /// The key of the leader is gone although nobody has taken it: takes it
     /// again, if nobody has led in between.
     pub(super) fn reclaim(&self) {
@@ -31,13 +31,14 @@
                 Reclaimed::Yes(revision) => {
                     confirmed.set(sent_at);
                     info!(token, revision, "lead_reclaimed");
-                    shared
-                        .learn_leader(follow::this_leader(&shared, revision));
+                    shared.learn_leader(store_watch::own_leader_entry(
+                        &shared, revision,
+                    ));
                 }
                 Reclaimed::No => handle.send(Input::Over),
                 Reclaimed::Unknown => {
                     sleep(PAUSE).await;
-                    if !handle.is_over() {
+                    if !handle.has_ended() {
                         handle.send(Input::KeyGone);
                     }
                 }
@@ -91,7 +92,7 @@
     let head = journal.head();
     let key = head_key(platform.kept_prefix());
     let mut transaction =
-        follow::claim_transaction(shared, 0, fresh, head_value(token, 0));
+        store_watch::claim_transaction(shared, 0, fresh, head_value(token, 0));
     transaction.expect.push((key, head));
     match store.write(&transaction).await {
         Ok(revision) => {
--- a/src/cell/lead/offer.rs
+++ b/src/cell/leader/leadership_offer.rs
@@ -9,7 +9,7 @@
 use puffinknot_core::jobs::Mechanism;
 use tracing::info;
 
-use super::{Peer, PeerId, Tenure};
+use super::{LeaderTerm, Peer, PeerId};
 use crate::cell::link::ToNode;
 use crate::cell::ports::Platform;
 
@@ -27,7 +27,7 @@
 /// Nodes that the store has answered about as lately as any are asked first.
 const SERVED: Millis = 1_500;
 
-impl<P: Platform> Tenure<P> {
+impl<P: Platform> LeaderTerm<P> {
     /// Whether the store does not serve this node.
     pub(super) fn turned_away(&self, now: Millis) -> bool {
         let store = &self.shared.store;
--- a/src/cell/lead/lease.rs
+++ b/src/cell/leader/lease_renewal.rs
@@ -7,7 +7,7 @@
 use puffinknot_core::ids::Millis;
 use tokio::time::MissedTickBehavior;
 
-use super::{seat, Input, Tenure};
+use super::{leader_key, Input, LeaderTerm};
 use crate::cell::ports::Platform;
 use crate::clock;
 
@@ -16,7 +16,7 @@
 /// The leader's key is read if nothing has confirmed it for so long.
 const CONFIRM_AFTER: Millis = 350;
 
-impl<P: Platform> Tenure<P> {
+impl<P: Platform> LeaderTerm<P> {
     /// Renews the lease for as long as the tenure lasts. That the lease
     /// stands does not show that the key does: if no commit has confirmed
     /// the lead lately, the key is read.
@@ -30,7 +30,7 @@
             let pause = Duration::from_millis(ttl / RENEWALS);
             let mut turns = tokio::time::interval(pause);
             turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
-            while !handle.is_over() {
+            while !handle.has_ended() {
                 turns.tick().await;
                 let renewed = tokio::select! {
                     biased;
@@ -52,7 +52,7 @@
                 if sent_at < confirmed.get() + CONFIRM_AFTER {
                     continue;
                 }
-                match seat::holds_key(&shared, lease.get()).await {
+                match leader_key::holds_key(&shared, lease.get()).await {
                     Some(true) => {
                         confirmed.set(confirmed.get().max(sent_at));
                     }
--- a/src/cell/lead/orders.rs
+++ b/src/cell/leader/orders.rs
@@ -16,12 +16,12 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-use super::{Input, LeadHandle, Tenure, PAUSE};
-use crate::cell::decisions;
-use crate::cell::journal::Unwritten;
+use super::{Input, LeaderHandle, LeaderTerm, PAUSE};
+use crate::cell::call_timeout::CallTimeout;
+use crate::cell::decision_log;
+use crate::cell::journal::WriteFailure;
 use crate::cell::link::{ToNode, ADVICE_WITHIN};
 use crate::cell::order::{Answer, Order, Reply};
-use crate::cell::patience::Patience;
 use crate::cell::ports::{Platform, Transaction};
 use crate::clock;
 
@@ -37,19 +37,19 @@
 
 /// Takes in how long an order took.
 fn learn<T>(
-    patience: &Patience,
+    patience: &CallTimeout,
     answer: &Result<T, OrderFailure>,
     took: Millis,
 ) {
     match answer {
-        Err(OrderFailure::Unknown) => patience.unanswered(),
+        Err(OrderFailure::Unknown) => patience.record_timeout(),
         // A connection that was refused says nothing about answers.
         Err(OrderFailure::NotSent) => {}
-        _ => patience.answered(took),
+        _ => patience.record_answer(took),
     }
 }
 
-impl<P: Platform> Tenure<P> {
+impl<P: Platform> LeaderTerm<P> {
     fn executor(
         &self,
         scheduler: &Scheduler,
@@ -74,13 +74,13 @@
         actions: Vec<Action>,
     ) -> bool {
         for action in actions {
-            decisions::action(scheduler, self.token, &action);
+            decision_log::log_action(scheduler, self.token, &action);
             match action {
                 Action::Reply { id, outcome } => self.answer(id, outcome),
                 Action::Commit(changes) => self.commit(changes),
                 Action::Superseded => return true,
                 Action::JobEnded { job, .. } => {
-                    self.handle.relays.forget(job);
+                    self.handle.relays.forget_job(job);
                 }
                 // These are for the logs only.
                 Action::TakeoverComplete { .. }
@@ -167,7 +167,7 @@
         false
     }
 
-    fn outside(&self) -> (Rc<P>, LeadHandle) {
+    fn outside(&self) -> (Rc<P>, LeaderHandle) {
         (self.shared.platform.clone(), self.handle.clone())
     }
 
@@ -185,8 +185,8 @@
                     confirmed.set(confirmed.get().max(sent_at));
                     handle.send(Input::Event(Event::Committed));
                 }
-                Err(Unwritten::Superseded) => handle.send(Input::Over),
-                Err(Unwritten::Declined(changes)) => {
+                Err(WriteFailure::Superseded) => handle.send(Input::Over),
+                Err(WriteFailure::Declined(changes)) => {
                     let event = Event::CommitDeclined(changes);
                     handle.send(Input::Event(event));
                 }
@@ -211,7 +211,7 @@
         let shared = self.shared.clone();
         let patience = self.patience.clone();
         let wait = order.wait();
-        let within = wait + patience.within();
+        let within = wait + patience.current();
         let late = if shared.has(Mechanism::LateAnswers) { LATE } else { 0 };
         actix_rt::spawn(async move {
             let sent_at = clock::mono();
@@ -222,7 +222,7 @@
             let answer = match timeout(usual, &mut call).await {
                 Ok(answer) => answer,
                 Err(_) => {
-                    patience.unanswered();
+                    patience.record_timeout();
                     let unknown = event(Err(OrderFailure::Unknown));
                     handle.send(Input::Event(unknown));
                     let answer = call.await;
@@ -282,7 +282,7 @@
         let handle = self.handle.clone();
         actix_rt::spawn(async move {
             let (key, value) = shared.platform.wave_state(wave, succeeded);
-            while !handle.is_over() {
+            while !handle.has_ended() {
                 let leader = shared.leader().map(|leader| leader.revision);
                 let condition = shared.platform.leader_key().to_string();
                 let transaction = Transaction {
@@ -320,7 +320,7 @@
                     let advice = platform.advise(step, &executors);
                     let answer = timeout(within, advice).await;
                     let answer = answer.unwrap_or(Err(AdviceFailure::Unknown));
-                    handle.advised(call, answer);
+                    handle.report_advice(call, answer);
                 });
             }
         }
--- a/src/cell/lead/answers.rs
+++ b/src/cell/leader/replies.rs
@@ -5,7 +5,7 @@
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{Outcome, Request, RequestId};
 
-use super::{seat, Input, Origin, Tenure};
+use super::{leader_key, Input, LeaderTerm, Origin};
 use crate::cell::link::ToNode;
 use crate::cell::ports::Platform;
 use crate::clock;
@@ -13,7 +13,7 @@
 /// When a client is to come back that asks what is not sure now.
 pub(super) const COME_BACK: Millis = 1_000;
 
-impl<P: Platform> Tenure<P> {
+impl<P: Platform> LeaderTerm<P> {
     /// Whether the answer might be wrong, since somebody else may lead.
     pub(super) fn unsure(&self, request: &Request) -> bool {
         let lease = self.shared.settings.borrow().leader_lease;
@@ -33,7 +33,7 @@
         let handle = self.handle.clone();
         let lease = self.lease.clone();
         actix_rt::spawn(async move {
-            let leads = seat::holds_key(&shared, lease.get()).await;
+            let leads = leader_key::holds_key(&shared, lease.get()).await;
             handle.send(Input::Confirmed(id, leads));
         });
     }
--- a/src/cell/lead/ways.rs
+++ b/src/cell/leader/routes.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 
 use crate::cell::node::Shared;
-use crate::cell::order::{known, Answer, Order};
+use crate::cell::order::{certain_answer, Answer, Order};
 use crate::cell::ports::Platform;
 use crate::cell::relay::{Relay, Relays};
 use crate::clock;
@@ -35,7 +35,7 @@
 const TRIES: usize = 3;
 
 /// The ways of one tenure's orders.
-pub(super) struct Ways<P> {
+pub(super) struct Routes<P> {
     shared: Rc<Shared<P>>,
     relays: Rc<Relays>,
     token: u64,
@@ -45,20 +45,20 @@
 }
 
 /// One way.
-enum Way {
+enum Route {
     Relay(Rc<Relay>),
     Direct,
 }
 
-impl<P: Platform> Ways<P> {
+impl<P: Platform> Routes<P> {
     pub fn new(
         shared: Rc<Shared<P>>,
         relays: Rc<Relays>,
         token: u64,
-    ) -> Ways<P> {
+    ) -> Routes<P> {
         let begun = clock::mono();
         let executors = RefCell::default();
-        Ways { shared, relays, token, begun, executors }
+        Routes { shared, relays, token, begun, executors }
     }
 
     /// The number of executors.
@@ -83,34 +83,34 @@
         let mut lost = false;
         for _ in 0..TRIES {
             let relay = match self.choose(executor).await {
-                Way::Relay(relay) => relay,
-                Way::Direct => break,
+                Route::Relay(relay) => relay,
+                Route::Direct => break,
             };
             if self.withholds(executor, order) {
-                return known(Err(OrderFailure::NotSent), lost);
+                return certain_answer(Err(OrderFailure::NotSent), lost);
             }
-            let given = if lost { order.again() } else { order.clone() };
+            let given = if lost { order.for_retry() } else { order.clone() };
             let since = self.shared.cordons_since();
             let sent =
                 relay.order(executor, self.token, given, text, within, since);
             // A relay that stands still answers nothing.
             let most = Duration::from_millis(within);
             match timeout(most, sent).await {
-                Ok(Some(answer)) => return known(answer, lost),
+                Ok(Some(answer)) => return certain_answer(answer, lost),
                 Ok(None) => self.shared.count("relays_lost"),
                 Err(_) => return Err(OrderFailure::Unknown),
             }
             lost = true;
         }
         if self.withholds(executor, order) {
-            return known(Err(OrderFailure::NotSent), lost);
+            return certain_answer(Err(OrderFailure::NotSent), lost);
         }
         let platform = &*self.shared.platform;
-        let again = lost.then(|| order.again());
+        let again = lost.then(|| order.for_retry());
         let order = again.as_ref().unwrap_or(order);
         let answer =
             order.carry_out(platform, executor, self.token, text, within);
-        known(answer.await, lost)
+        certain_answer(answer.await, lost)
     }
 
     /// Whether an order is not sent, since operators have wanted its data
@@ -124,21 +124,21 @@
         withholds
     }
 
-    async fn choose(&self, executor: &ExecutorInfo) -> Way {
+    async fn choose(&self, executor: &ExecutorInfo) -> Route {
         let until = self.begun + FIRST_RELAY;
         loop {
             let Some(executors) = self.relayed(executor) else {
-                return Way::Direct;
+                return Route::Direct;
             };
             if let Some(relay) = self.relays.choose(executor, executors) {
-                return Way::Relay(relay);
+                return Route::Relay(relay);
             }
             let now = clock::mono();
             if now >= until {
-                return Way::Direct;
+                return Route::Direct;
             }
             let rest = Duration::from_millis(until - now);
-            let _ = timeout(rest, self.relays.joined()).await;
+            let _ = timeout(rest, self.relays.wait_for_relay()).await;
         }
     }
 
--- a/src/cell/lead/takeover.rs
+++ b/src/cell/leader/takeover.rs
@@ -10,11 +10,11 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-use super::{Tenure, PAUSE};
-use crate::cell::follow;
+use super::{LeaderTerm, PAUSE};
 use crate::cell::journal::head_key;
 use crate::cell::node::UNCONFIRMED;
 use crate::cell::ports::Platform;
+use crate::cell::store_watch;
 use crate::clock;
 
 /// The least time between two writes.
@@ -35,13 +35,15 @@
     }
 }
 
-impl<P: Platform> Tenure<P> {
+impl<P: Platform> LeaderTerm<P> {
     /// Learns what operators want before anything is decided. A node whose
     /// watch hangs may be behind, and a leader that is would let dropped keys
     /// in, and start tasks in data centres that take no new work. Returns
     /// whether the store has said it in time.
-    async fn read_wishes(&self, started: Millis) -> bool {
-        while let Err(error) = follow::read_wishes(&self.shared).await {
+    async fn read_operator_requests(&self, started: Millis) -> bool {
+        while let Err(error) =
+            store_watch::read_operator_requests(&self.shared).await
+        {
             warn!(?error, "wishes_not_read");
             if self.is_too_late(started) {
                 return false;
@@ -53,7 +55,7 @@
 
     /// Whether a takeover that began then has taken too long.
     fn is_too_late(&self, started: Millis) -> bool {
-        clock::mono() > started + UNCONFIRMED || self.handle.is_over()
+        clock::mono() > started + UNCONFIRMED || self.handle.has_ended()
     }
 
     /// Reads what a predecessor has left.
@@ -106,7 +108,7 @@
                 settings.link_bytes_per_ms,
             ),
         };
-        if !self.read_wishes(started).await {
+        if !self.read_operator_requests(started).await {
             return None;
         }
         let policy = self.shared.policy().unwrap_or_default();
--- a/src/cell/link.rs
+++ b/src/cell/link.rs
@@ -25,16 +25,16 @@
 use tokio::time::{interval, sleep, timeout, Instant};
 use tracing::{info, warn};
 
+use crate::cell::call_timeout::link_delay;
 use crate::cell::channel::{self, OpenError, Receiver, Sender};
-use crate::cell::follow::{accept_lead, replace_leader};
-use crate::cell::lead::LeadHandle;
+use crate::cell::leader::LeaderHandle;
 use crate::cell::node::Shared;
 use crate::cell::order::Answer;
-use crate::cell::patience::link_extra;
 use crate::cell::ports::{Leader, Platform};
 use crate::cell::reach;
-use crate::cell::relay::{self, OrderId, Relayed, Texts};
+use crate::cell::relay::{self, JobSpecs, OrderId, RelayedOrder};
 use crate::cell::search::Search;
+use crate::cell::store_watch::{accept_leadership, replace_leader};
 
 /// How often a node tells the leader that it is there.
 const PING: Duration = Duration::from_millis(250);
@@ -99,7 +99,7 @@
     /// Ask for advice.
     Advise(CallId, StepKey, Vec<String>),
     /// Carry out an order.
-    Order(Relayed),
+    Order(RelayedOrder),
     /// The text of a job, ahead of the first order to start a task of it.
     Text(JobId, String),
     /// The text of this job is needed no more.
@@ -292,8 +292,8 @@
     mut receiver: Receiver,
 ) {
     let revision = shared.leader().map(|leader| leader.revision);
-    let texts = Rc::new(Texts::default());
-    let extra = link_extra(shared.settings.borrow().link_bytes_per_ms);
+    let texts = Rc::new(JobSpecs::default());
+    let extra = link_delay(shared.settings.borrow().link_bytes_per_ms);
     let silence = LEADER_SILENCE + Duration::from_millis(extra);
     let mut ping = interval(PING);
     let mut heard = Instant::now();
@@ -328,7 +328,7 @@
 fn take<P: Platform>(
     shared: &Rc<Shared<P>>,
     link: &LinkHandle,
-    texts: &Rc<Texts>,
+    texts: &Rc<JobSpecs>,
     message: ToNode,
 ) {
     match message {
@@ -364,10 +364,10 @@
                 sender.send(&ToLeader::Ordered(id, answer));
             });
         }
-        ToNode::Text(job, text) => texts.learn(job, text),
-        ToNode::Forget(job) => texts.forget(job),
+        ToNode::Text(job, text) => texts.insert(job, text),
+        ToNode::Forget(job) => texts.remove(job),
         ToNode::Lead(revision) => {
-            actix_rt::spawn(accept_lead(shared.clone(), revision));
+            actix_rt::spawn(accept_leadership(shared.clone(), revision));
         }
         ToNode::Policy(value) => shared.learn_policy(&value),
         ToNode::PolicyWanted => {
@@ -423,7 +423,7 @@
     let known: Vec<SocketAddr> =
         shared.peers.borrow().iter().copied().collect();
     shared.peers.borrow_mut().insert(address);
-    let lead = shared.lead.borrow().as_ref().map(LeadHandle::clone);
+    let lead = shared.lead.borrow().as_ref().map(LeaderHandle::clone);
     let leader = shared.leader();
     let (Some(lead), Some(leader)) = (lead, leader.clone()) else {
         let leader = leader.filter(|leader| leader.life != life);
@@ -433,23 +433,25 @@
         return;
     };
     sender.send(&ToNode::Welcome(leader, known));
-    let (peer, relay) = lead.join(node, dc, cpu_millis, sender.clone());
+    let (peer, relay) = lead.add_peer(node, dc, cpu_millis, sender.clone());
     let mut behind = false;
     loop {
         let message = timeout(SILENCE, receiver.next::<ToLeader>()).await;
         let Ok(Some(message)) = message else { break };
-        relay.hear();
+        relay.record_message();
         match message {
-            ToLeader::Ordered(id, answer) => relay.answered(id, answer),
+            ToLeader::Ordered(id, answer) => relay.complete_order(id, answer),
             ToLeader::Ask(id, caller, request) => {
-                lead.ask_for(peer, id, caller, request);
+                lead.ask_for_peer(peer, id, caller, request);
             }
             ToLeader::Policy(value) => shared.learn_policy(&value),
             ToLeader::Cordons(cordons) => shared.learn_cordons(cordons),
-            ToLeader::Advised(call, answer) => lead.advised(call, answer),
+            ToLeader::Advised(call, answer) => {
+                lead.report_advice(call, answer)
+            }
             ToLeader::Ping { policy: version, store_silent } => {
-                lead.store_silent(peer, store_silent);
-                let sure = reach::is_sure(lead.confirmed());
+                lead.set_store_silence(peer, store_silent);
+                let sure = reach::is_sure(lead.confirmed_at());
                 let ours = shared.policy().map(|policy| policy.version);
                 sender.send(&ToNode::Pong { sure, policy: ours });
                 if version > ours && shared.asks_for_policy() {
@@ -466,11 +468,11 @@
             }
             ToLeader::Hello { .. } => break,
         }
-        if lead.is_over() {
+        if lead.has_ended() {
             break;
         }
     }
-    lead.leave(peer, &relay);
+    lead.remove_peer(peer, &relay);
 }
 
 /// How long a leader waits for the advice that a node asks for.
--- a/src/cell/node.rs
+++ b/src/cell/node.rs
@@ -24,15 +24,15 @@
 use tokio::time::{timeout_at, Instant};
 use tracing::{info, warn};
 
-use crate::cell::lead::{self, LeadHandle};
+use crate::cell::leader::{self, LeaderHandle};
 use crate::cell::link::{self, LinkHandle};
 use crate::cell::ports::{Leader, Platform};
 use crate::cell::reach::{self, Reach};
-use crate::cell::relay::Relayed;
+use crate::cell::relay::RelayedOrder;
 use crate::cell::stats::Stats;
 use crate::cell::stop::{self, Closing};
 use crate::cell::store::{self, Store};
-use crate::cell::{follow, ingress};
+use crate::cell::{ingress, store_watch};
 use crate::clock;
 use crate::error::{Error, ErrorKind, Result};
 
@@ -122,7 +122,7 @@
     /// When this node may replace a leader whose lease still runs.
     replaces_from: Cell<Millis>,
     /// The way to the scheduler, while this node leads.
-    pub lead: RefCell<Option<LeadHandle>>,
+    pub lead: RefCell<Option<LeaderHandle>>,
     /// The way to the leader, while another node leads.
     pub link: RefCell<Option<LinkHandle>>,
     /// Whether the leader and the store can be reached.
@@ -235,7 +235,7 @@
             "policy_in_force"
         );
         if let Some(lead) = self.lead.borrow().as_ref() {
-            lead.policy(policy);
+            lead.set_policy(policy);
         }
     }
 
@@ -261,7 +261,7 @@
             "wave_known"
         );
         if let Some(lead) = self.lead.borrow().as_ref() {
-            lead.wave(wave);
+            lead.announce_wave(wave);
         }
     }
 
@@ -308,7 +308,7 @@
         }
         self.stats.set_cordons(&cordons);
         if let Some(lead) = self.lead.borrow().as_ref() {
-            lead.cordons(cordons);
+            lead.set_cordons(cordons);
         } else if let Some(link) = self.link.borrow().as_ref() {
             link.tell_cordons(cordons);
         }
@@ -318,7 +318,7 @@
     /// knows what the leader did not, that its data centre takes no new work.
     /// The leader hears of that on the same channel before it hears the
     /// answer.
-    pub fn withholds(&self, relayed: &Relayed) -> bool {
+    pub fn withholds(&self, relayed: &RelayedOrder) -> bool {
         let withholds = relayed.order.is_start()
             && self.cordons_since() > relayed.cordons_since
             && self.is_cordoned(&self.settings.borrow().dc);
@@ -342,7 +342,7 @@
         info!(node = leader.node, revision = leader.revision, "leader_known");
         if let Some(lead) = self.lead.borrow().as_ref() {
             if leader.life != self.life {
-                lead.depose(leader.revision);
+                lead.supersede(leader.revision);
             }
         }
         *self.leader.borrow_mut() = Some(leader);
@@ -553,7 +553,7 @@
     actix_rt::spawn(ingress::serve_front(front, shared.clone()));
     actix_rt::spawn(link::serve(control, shared.clone()));
     actix_rt::spawn(link::keep(shared.clone()));
-    actix_rt::spawn(follow::run(shared.clone()));
+    actix_rt::spawn(store_watch::run(shared.clone()));
     actix_rt::spawn(reach::watch(shared.clone()));
     let reload = reload(shared.clone(), orders.clone());
     actix_rt::spawn(reload);
@@ -561,7 +561,7 @@
     info!("node_stops");
     let stopped_at = Instant::now();
     shared.draining.set(true);
-    lead::hand_over(&shared).await;
+    leader::hand_over(&shared).await;
     stop::drain(&shared, stopped_at).await;
     info!("node_stopped");
     Ok(())
--- a/src/cell/order.rs
+++ b/src/cell/order.rs
@@ -92,7 +92,7 @@
     /// The same order, to be given once more to an executor that may have
     /// started again since: what it is told of its ends holds for the life
     /// that was meant only.
-    pub fn again(&self) -> Order {
+    pub fn for_retry(&self) -> Order {
         let mut order = self.clone();
         if let Order::Hold { last_seen, .. } = &mut order {
             *last_seen = 0;
@@ -163,7 +163,7 @@
 /// # Errors
 ///
 /// Why the order is not known to be carried out.
-pub fn known(answer: Answer, given_before: bool) -> Answer {
+pub fn certain_answer(answer: Answer, given_before: bool) -> Answer {
     use OrderFailure::{Fenced, Gone, Unknown};
     match answer {
         // These are about the leader and the executor, not about this try.
--- a/src/cell/reach.rs
+++ b/src/cell/reach.rs
@@ -134,7 +134,7 @@
 /// Whether requests that come to this node can be served.
 fn serves<P: Platform>(shared: &Shared<P>) -> bool {
     match shared.lead.borrow().as_ref() {
-        Some(lead) => is_sure(lead.confirmed()),
+        Some(lead) => is_sure(lead.confirmed_at()),
         None => shared.reach.hears(),
     }
 }
--- a/src/cell/relay.rs
+++ b/src/cell/relay.rs
@@ -45,7 +45,7 @@
 
 /// An order, as it goes to a relay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Relayed {
+pub struct RelayedOrder {
     /// Its number.
     pub id: OrderId,
     /// The token of the leader.
@@ -66,18 +66,18 @@
 
 /// What a relay knows of the jobs whose tasks it starts: their texts.
 #[derive(Default)]
-pub struct Texts {
+pub struct JobSpecs {
     by_job: RefCell<HashMap<JobId, Rc<str>>>,
 }
 
-impl Texts {
+impl JobSpecs {
     /// Learns the text of a job.
-    pub fn learn(&self, job: JobId, text: String) {
+    pub fn insert(&self, job: JobId, text: String) {
         self.by_job.borrow_mut().insert(job, text.into());
     }
 
     /// Forgets the text of a job that has ended.
-    pub fn forget(&self, job: JobId) {
+    pub fn remove(&self, job: JobId) {
         self.by_job.borrow_mut().remove(&job);
     }
 
@@ -94,8 +94,8 @@
 /// Carries out an order of the leader's.
 pub async fn carry_out<P: Platform>(
     platform: &P,
-    texts: &Texts,
-    relayed: Relayed,
+    texts: &JobSpecs,
+    relayed: RelayedOrder,
 ) -> Answer {
     let Some(text) = texts.of(&relayed.order) else {
         return Err(OrderFailure::NotSent);
@@ -106,7 +106,7 @@
         address: relayed.address,
         ..ExecutorInfo::default()
     };
-    let Relayed { token, within, order, .. } = relayed;
+    let RelayedOrder { token, within, order, .. } = relayed;
     order.carry_out(platform, &executor, token, &text, within).await
 }
 
@@ -166,7 +166,7 @@
         self.next.set(id);
         let (reply, answer) = oneshot::channel();
         self.open.borrow_mut().insert(id, reply);
-        let message = ToNode::Order(Relayed {
+        let message = ToNode::Order(RelayedOrder {
             id,
             token,
             executor: executor.id.clone(),
@@ -184,12 +184,12 @@
     }
 
     /// The node was heard.
-    pub fn hear(&self) {
+    pub fn record_message(&self) {
         self.heard.set(clock::mono());
     }
 
     /// The node has answered an order.
-    pub fn answered(&self, id: OrderId, answer: Answer) {
+    pub fn complete_order(&self, id: OrderId, answer: Answer) {
         if let Some(reply) = self.open.borrow_mut().remove(&id) {
             // Whoever has asked may have given up since.
             let _ = reply.send(answer);
@@ -221,7 +221,7 @@
 
 impl Relays {
     /// Waits until a node connects.
-    pub async fn joined(&self) {
+    pub async fn wait_for_relay(&self) {
         self.joined.notified().await;
     }
 
@@ -265,7 +265,7 @@
     }
 
     /// A job has ended: its text is needed no more.
-    pub fn forget(&self, job: JobId) {
+    pub fn forget_job(&self, job: JobId) {
         for relay in self.by_dc.borrow().values().flatten() {
             if relay.texts.borrow_mut().remove(&job) {
                 relay.sender.send(&ToNode::Forget(job));
--- a/src/cell/store.rs
+++ b/src/cell/store.rs
@@ -1,7 +1,7 @@
 /*!
 The store, with as much patience as it needs.
 
-A call that is not answered in time is given up, see [`crate::cell::patience`].
+A call that is not answered in time is given up, see [`crate::cell::call_timeout`].
 So an answer that is lost, or a silent store, is noticed soon, and a slow store
 is still used. Reading a page of a range has a time of its own: on a small
 link it takes long while other calls are quick.
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use crate::cell::patience::{Bounds, Patience};
+use crate::cell::call_timeout::{CallTimeout, TimeoutBounds};
 use crate::cell::ports::{
     Changes, Item, Listing, Page, Platform, ReadError, Transaction, WriteError,
 };
@@ -27,10 +27,12 @@
 
 /// The time for a write. The store answers in some milliseconds, a slow one in
 /// a quarter of a second; jobs wait for a write whose answer is lost.
-const WRITES: Bounds = Bounds { least: 150, first: 450, most: 1_000 };
+const WRITES: TimeoutBounds =
+    TimeoutBounds { min: 150, initial: 450, max: 1_000 };
 /// The time for other calls. Nobody waits for them, and one that is given up
 /// too soon makes the store seem away.
-const READS: Bounds = Bounds { least: 450, first: 450, most: 1_000 };
+const READS: TimeoutBounds =
+    TimeoutBounds { min: 450, initial: 450, max: 1_000 };
 /// A large write may take longer by what the machine's link needs for this
 /// many times its bytes: they grow by a third on the wire, and others are sent
 /// beside it.
@@ -69,8 +71,8 @@
 /// The store of a platform.
 pub struct Store<P> {
     platform: Rc<P>,
-    writes: Patience,
-    reads: Patience,
+    writes: CallTimeout,
+    reads: CallTimeout,
     range_within: Cell<Millis>,
     /// What the link adds to the time for a page.
     range_extra: Millis,
@@ -95,8 +97,11 @@
         link_bytes_per_ms: u32,
     ) -> Store<P> {
         let follows = without.enabled(StorePatience);
-        let patience = |bounds: Bounds| {
-            Patience::new(bounds.behind(link_bytes_per_ms), follows)
+        let patience = |bounds: TimeoutBounds| {
+            CallTimeout::new(
+                bounds.with_link_delay(link_bytes_per_ms),
+                follows,
+            )
         };
         let link = link_bytes_per_ms.max(1);
         let carried = (link as usize).min(MOST_BYTES_PER_MS);
@@ -149,13 +154,13 @@
         extra: Millis,
         call: impl std::future::Future<Output = Result<T, ReadError>>,
     ) -> Result<T, ReadError> {
-        let within = Duration::from_millis(self.reads.within() + extra);
+        let within = Duration::from_millis(self.reads.current() + extra);
         let sent_at = clock::mono();
         match timeout(within, call).await {
             Ok(answer) => {
                 // A watch is answered when something happens.
                 if extra == 0 {
-                    self.reads.answered(clock::mono() - sent_at);
+                    self.reads.record_answer(clock::mono() - sent_at);
                 }
                 let unavailable = Err(ReadError::Unavailable);
                 let heard = answer.as_ref().map(|_| ()).map_err(|e| *e);
@@ -164,7 +169,7 @@
             }
             Err(_) => {
                 self.note(false);
-                self.reads.unanswered();
+                self.reads.record_timeout();
                 Err(ReadError::Unavailable)
             }
         }
@@ -297,12 +302,12 @@
         let values = transaction.put.iter().map(|(_, value, _)| value.len());
         let bytes: usize = values.sum();
         let extra = (bytes / self.write_bytes_per_ms) as Millis;
-        let within = Duration::from_millis(self.writes.within() + extra);
+        let within = Duration::from_millis(self.writes.current() + extra);
         let sent_at = clock::mono();
         let call = self.platform.write(transaction);
         match timeout(within, call).await {
             Ok(answer) => {
-                self.writes.answered(clock::mono() - sent_at);
+                self.writes.record_answer(clock::mono() - sent_at);
                 let heard = !matches!(
                     answer,
                     Err(WriteError::NotDone | WriteError::Unknown)
@@ -312,7 +317,7 @@
             }
             Err(_) => {
                 self.note(false);
-                self.writes.unanswered();
+                self.writes.record_timeout();
                 Err(WriteError::Unknown)
             }
         }
--- a/src/cell/follow.rs
+++ b/src/cell/store_watch.rs
@@ -17,7 +17,7 @@
 use tracing::{info, warn};
 
 use crate::cell::journal::{head_key, head_value};
-use crate::cell::lead;
+use crate::cell::leader;
 use crate::cell::node::Shared;
 use crate::cell::ports::{
     Changes, Item, Leader, Listing, Platform, ReadError, Transaction,
@@ -93,7 +93,8 @@
 
 impl<P: Platform> Follower<P> {
     async fn read(&mut self) -> Result<Revision, ReadError> {
-        let Listing { items, revision } = read_wishes(&self.shared).await?;
+        let Listing { items, revision } =
+            read_operator_requests(&self.shared).await?;
         let key = self.shared.platform.leader_key();
         match items.iter().find(|item| item.key == key) {
             Some(item) => self.learn_leader(item),
@@ -126,7 +127,7 @@
                         if key == platform.leader_key() {
                             info!(revision, "leader_key_gone");
                             self.seat = Seat::Vacant;
-                            lead::key_gone(&self.shared);
+                            leader::report_key_removed(&self.shared);
                         }
                     }
                     for item in &written {
@@ -165,7 +166,7 @@
         if item.key == self.shared.platform.leader_key() {
             self.learn_leader(item);
         } else {
-            learn_wish(&self.shared, item);
+            learn_operator_request(&self.shared, item);
         }
     }
 
@@ -235,7 +236,7 @@
 }
 
 /// Learns the policy, or a wave.
-fn learn_wish<P: Platform>(shared: &Shared<P>, item: &Item) {
+fn learn_operator_request<P: Platform>(shared: &Shared<P>, item: &Item) {
     let platform = &shared.platform;
     if item.key == platform.policy_key() {
         shared.learn_policy(&item.value);
@@ -249,13 +250,13 @@
 /// # Errors
 ///
 /// If there is no usable answer.
-pub async fn read_wishes<P: Platform>(
+pub async fn read_operator_requests<P: Platform>(
     shared: &Shared<P>,
 ) -> Result<Listing, ReadError> {
     let platform = &shared.platform;
     let listing = shared.store.read(platform.watched_prefix()).await?;
     for item in &listing.items {
-        learn_wish(shared, item);
+        learn_operator_request(shared, item);
     }
     let cordons = listing
         .items
@@ -288,7 +289,7 @@
 }
 
 /// The leader asks this node to lead in its place. Its key is at `expected`.
-pub async fn accept_lead<P: Platform>(
+pub async fn accept_leadership<P: Platform>(
     shared: Rc<Shared<P>>,
     expected: Revision,
 ) {
@@ -346,9 +347,9 @@
         claim_transaction(shared, expected, lease, head_value(0, 0));
     match store.write(&transaction).await {
         Ok(revision) => {
-            let leader = this_leader(shared, revision);
+            let leader = own_leader_entry(shared, revision);
             info!(token = revision, lease, "lead_claimed");
-            lead::begin(shared, revision, lease, sent_at);
+            leader::start_term(shared, revision, lease, sent_at);
             shared.learn_leader(leader);
             Claimed::Won(revision)
         }
@@ -368,7 +369,7 @@
 }
 
 /// This node as the leader whose key was written at `revision`.
-pub fn this_leader<P: Platform>(
+pub fn own_leader_entry<P: Platform>(
     shared: &Shared<P>,
     revision: Revision,
 ) -> Leader {
--- a/src/cell/backlog.rs
+++ b/src/cell/watch_limit.rs
@@ -14,7 +14,7 @@
 
 /// What the sizes of a store's answers have shown.
 #[derive(Debug, Default)]
-pub struct Backlog {
+pub struct WatchLimit {
     /// The most changes in one answer so far.
     most: usize,
     /// How many changes a full answer has, once that was shown.
@@ -25,10 +25,10 @@
     tries: bool,
 }
 
-impl Backlog {
+impl WatchLimit {
     /// Takes in how many changes an answer has. Returns whether the store is
     /// to be asked on at once.
-    pub fn answered(&mut self, changes: usize) -> bool {
+    pub fn observe(&mut self, changes: usize) -> bool {
         let tried = std::mem::take(&mut self.tries);
         if changes < FEWEST {
             return false;
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -1,6 +1,6 @@
 //! What is known from answers to orders.
 
-use puffinknot::cell::order::{known, Reply};
+use puffinknot::cell::order::{certain_answer, Reply};
 use puffinknot_core::jobs::{ExecutorReport, OrderFailure};
 
 const FAILURES: [OrderFailure; 10] = [
@@ -19,9 +19,9 @@
 #[test]
 fn the_first_answer_is_taken_as_it_is() {
     for failure in FAILURES {
-        assert_eq!(known(Err(failure), false), Err(failure));
+        assert_eq!(certain_answer(Err(failure), false), Err(failure));
     }
-    assert_eq!(known(Ok(Reply::Done), false), Ok(Reply::Done));
+    assert_eq!(certain_answer(Ok(Reply::Done), false), Ok(Reply::Done));
 }
 
 /// A relay was cut off after an executor had begun a task. The order was given
@@ -34,8 +34,12 @@
             OrderFailure::Fenced | OrderFailure::Gone => failure,
             _ => OrderFailure::Unknown,
         };
-        assert_eq!(known(Err(failure), true), Err(expected), "{failure:?}");
+        assert_eq!(
+            certain_answer(Err(failure), true),
+            Err(expected),
+            "{failure:?}"
+        );
     }
     let account = Reply::Account(ExecutorReport::default());
-    assert_eq!(known(Ok(account.clone()), true), Ok(account));
+    assert_eq!(certain_answer(Ok(account.clone()), true), Ok(account));
 }
--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -1,18 +1,19 @@
 //! How long answers of executors are waited for.
 
-use puffinknot::cell::patience::{Bounds, Patience};
+use puffinknot::cell::call_timeout::{CallTimeout, TimeoutBounds};
 
-const BOUNDS: Bounds = Bounds { least: 120, first: 300, most: 300 };
+const BOUNDS: TimeoutBounds =
+    TimeoutBounds { min: 120, initial: 300, max: 300 };
 
-fn fresh() -> Patience {
-    Patience::new(BOUNDS, true)
+fn fresh() -> CallTimeout {
+    CallTimeout::new(BOUNDS, true)
 }
 
 /// Answers after these times, in milliseconds.
-fn after(round_trips: impl IntoIterator<Item = u64>) -> Patience {
+fn after(round_trips: impl IntoIterator<Item = u64>) -> CallTimeout {
     let patience = fresh();
     for took in round_trips {
-        patience.answered(took);
+        patience.record_answer(took);
     }
     patience
 }
@@ -21,59 +22,59 @@
 /// two.
 #[test]
 fn quick_answers_are_not_waited_for_long() {
-    let before = fresh().within();
-    let within = after([2; 20]).within();
+    let before = fresh().current();
+    let within = after([2; 20]).current();
     assert!(within < before, "{within} is not below {before}");
 }
 
 #[test]
 fn slow_answers_are_waited_for_longer() {
-    let quick = after([2; 20]).within();
-    let slow = after([180; 20]).within();
+    let quick = after([2; 20]).current();
+    let slow = after([180; 20]).current();
     assert!(slow > quick && slow > 180, "{slow}");
-    let uneven = after([10, 250, 10, 250, 10, 250]).within();
+    let uneven = after([10, 250, 10, 250, 10, 250]).current();
     assert!(uneven > 250, "{uneven}");
 }
 
 #[test]
 fn silence_doubles_the_time_until_an_answer_comes() {
     let patience = after([2; 20]);
-    let quick = patience.within();
-    patience.unanswered();
-    let doubled = patience.within();
+    let quick = patience.current();
+    patience.record_timeout();
+    let doubled = patience.current();
     assert_eq!(doubled, 2 * quick);
     for _ in 0..100 {
-        patience.unanswered();
+        patience.record_timeout();
     }
-    assert_eq!(patience.within(), fresh().within());
-    patience.answered(2);
-    assert_eq!(patience.within(), quick);
+    assert_eq!(patience.current(), fresh().current());
+    patience.record_answer(2);
+    assert_eq!(patience.current(), quick);
 }
 
 #[test]
 fn round_trips_are_not_followed_if_that_is_switched_off() {
-    let patience = Patience::new(BOUNDS, false);
-    patience.answered(2);
-    assert_eq!(patience.within(), BOUNDS.first);
+    let patience = CallTimeout::new(BOUNDS, false);
+    patience.record_answer(2);
+    assert_eq!(patience.current(), BOUNDS.initial);
 }
 
 /// A slow store must not be taken for a silent one.
 #[test]
 fn what_turns_slow_is_answered_in_the_end() {
-    let bounds = Bounds { least: 150, first: 450, most: 1_000 };
-    let patience = Patience::new(bounds, true);
+    let bounds = TimeoutBounds { min: 150, initial: 450, max: 1_000 };
+    let patience = CallTimeout::new(bounds, true);
     for _ in 0..100 {
-        patience.answered(4);
+        patience.record_answer(4);
     }
     // Sixty times slower than it was.
     let mut given_up = 0;
-    while patience.within() < 240 {
-        patience.unanswered();
+    while patience.current() < 240 {
+        patience.record_timeout();
         given_up += 1;
     }
     assert!(given_up <= 1, "{given_up} calls");
     for _ in 0..3 {
-        patience.answered(240);
+        patience.record_answer(240);
     }
-    assert!(patience.within() > 240, "{}", patience.within());
+    assert!(patience.current() > 240, "{}", patience.current());
 }
--- a/tests/turn.rs
+++ b/tests/turn.rs
@@ -1,20 +1,21 @@
 //! What is measured of the leader's loop.
 
-use puffinknot::cell::stats::Stats;
-use puffinknot::cell::turn::{
-    Clocks, Kind, SlowTurns, Took, Turn, REPORT_EVERY,
+use puffinknot::cell::iteration::{
+    Clocks, InputKind, Iteration, IterationStats, SlowIterations,
+    REPORT_INTERVAL,
 };
+use puffinknot::cell::stats::Stats;
 use puffinknot_core::jobs::scheduler::PlacementStats;
 
-const KINDS: [Kind; 8] = [
-    Kind::Request,
-    Kind::Held,
-    Kind::Started,
-    Kind::Stopped,
-    Kind::Advised,
-    Kind::Committed,
-    Kind::Listed,
-    Kind::Other,
+const KINDS: [InputKind; 8] = [
+    InputKind::Request,
+    InputKind::LeaseRenewal,
+    InputKind::Started,
+    InputKind::Stopped,
+    InputKind::Advised,
+    InputKind::Committed,
+    InputKind::Listed,
+    InputKind::Other,
 ];
 /// A time at which tests begin, in microseconds.
 const BEGIN: u64 = 5_000_000;
@@ -46,9 +47,9 @@
 
 /// A turn that began at a time and took so long, with one input that had
 /// waited.
-fn turn(stats: &Stats, began: u64, took: u64, waited: u64) -> Took {
-    let mut turn = Turn::begin(clocks(began, 0), idle());
-    turn.take(stats, Kind::Held, began - waited, began);
+fn turn(stats: &Stats, began: u64, took: u64, waited: u64) -> IterationStats {
+    let mut turn = Iteration::begin(clocks(began, 0), idle());
+    turn.begin_input(stats, InputKind::LeaseRenewal, began - waited, began);
     turn.finish_input(stats, began);
     turn.end(stats, clocks(began + took, took), idle())
 }
@@ -58,10 +59,10 @@
 fn each_kind_of_input_has_its_own_waits_and_times() {
     let stats = Stats::default();
     for round in 1..=3 {
-        let mut turn = Turn::begin(clocks(BEGIN, 0), idle());
+        let mut turn = Iteration::begin(clocks(BEGIN, 0), idle());
         for (place, kind) in KINDS.into_iter().enumerate() {
             let at = BEGIN + 1_000 * place as u64;
-            turn.take(&stats, kind, at - 20_000, at);
+            turn.begin_input(&stats, kind, at - 20_000, at);
         }
         let at = BEGIN + 1_000 * KINDS.len() as u64;
         turn.finish_input(&stats, at);
@@ -92,17 +93,17 @@
         executors: 900,
         runs: 40,
     };
-    let mut turn = Turn::begin(clocks(BEGIN, 100), before);
-    turn.take(&stats, Kind::Started, BEGIN - 9_000, BEGIN);
-    turn.take(&stats, Kind::Stopped, BEGIN - 30_000, BEGIN + 500);
+    let mut turn = Iteration::begin(clocks(BEGIN, 100), before);
+    turn.begin_input(&stats, InputKind::Started, BEGIN - 9_000, BEGIN);
+    turn.begin_input(&stats, InputKind::Stopped, BEGIN - 30_000, BEGIN + 500);
     turn.finish_input(&stats, BEGIN + 700);
-    turn.advanced(&stats, BEGIN + 800, BEGIN + 40_800);
+    turn.record_advance(&stats, BEGIN + 800, BEGIN + 40_800);
     let took = turn.end(&stats, clocks(BEGIN + 90_000, 12_100), after);
-    let oldest = (30_500, Kind::Stopped);
-    assert_eq!((took.turn, took.cpu), (90_000, 12_000));
+    let oldest = (30_500, InputKind::Stopped);
+    assert_eq!((took.duration, took.cpu), (90_000, 12_000));
     assert_eq!((took.advance, took.inputs), (40_000, 2));
-    assert_eq!(took.oldest, oldest);
-    assert_eq!((took.looked.rounds, took.looked.steps), (1, 5));
+    assert_eq!(took.longest_wait, oldest);
+    assert_eq!((took.placement.rounds, took.placement.steps), (1, 5));
     for (what, sum) in
         [("turn", 90_000), ("turn_cpu", 12_000), ("advance", 40_000)]
     {
@@ -123,7 +124,7 @@
     let stats = Stats::default();
     let put_off = PlacementStats { rounds: 1, deferred: 1, ..idle() };
     for looked in [idle(), put_off] {
-        let turn = Turn::begin(clocks(BEGIN, 0), idle());
+        let turn = Iteration::begin(clocks(BEGIN, 0), idle());
         turn.end(&stats, clocks(BEGIN, 0), looked);
     }
     assert_eq!(total(&stats, "size", "turn_inputs", "count"), 2);
@@ -134,7 +135,7 @@
 #[test]
 fn the_worst_of_the_slow_turns_is_told_once_a_second() {
     let stats = Stats::default();
-    let mut slow = SlowTurns::new(30);
+    let mut slow = SlowIterations::new(30);
     let took = |at, took, waited| turn(&stats, BEGIN + at, took, waited);
     assert_eq!(slow.observe(took(0, 29_999, 29_999)), None);
     let first = took(40_000, 30_000, 0);
@@ -143,7 +144,7 @@
     assert_eq!(slow.observe(took(100_000, 50_000, 0)), None);
     assert_eq!(slow.observe(worst), None);
     assert_eq!(slow.observe(took(300_000, 60_000, 0)), None);
-    let second = 1_000 * REPORT_EVERY;
+    let second = 1_000 * REPORT_INTERVAL;
     let due = 70_000 + second;
     assert_eq!(slow.observe(took(due - 11, 10, 0)), None);
     assert_eq!(slow.observe(took(due, 0, 0)), Some((3, worst)));
