--- a/src/cell/call_timeout.rs
+++ b/src/cell/call_timeout.rs
@@ -1,110 +1,110 @@
 /*!
-How long an answer is waited for.
+The timeout of calls to a peer, adapted to measured round-trip times.
 
-A call that is not answered in time leaves in doubt whether it was carried
-out, and whoever waits for it is late; one that is given up too soon is made
-twice. So the time follows the round trips that were seen, as TCP's
-retransmission timer does (RFC 6298): their smoothed mean and four times their
-deviation. As long as nothing is answered it doubles.
+After a timeout it is unknown whether the call was carried out. A timeout that
+is too long delays the caller, and one that is too short repeats calls that
+were about to be answered. The timeout is therefore computed like that of TCP
+retransmissions (RFC 6298): the smoothed mean of the round-trip times plus four
+times their deviation. It doubles with each consecutive timeout.
 */
 
 use std::cell::Cell;
 
 use puffinknot_core::ids::Millis;
 
-/// The weight of a new round trip in the mean; RFC 6298, section 2.3.
+/// The weight of a new round-trip time in the mean (RFC 6298, section 2.3).
 const MEAN_WEIGHT: f64 = 0.125;
-/// The weight of a new difference in the deviation; the same.
+/// The weight of a new difference in the deviation (RFC 6298, section 2.3).
 const DEVIATION_WEIGHT: f64 = 0.25;
-/// How many deviations are added to the mean; the same.
+/// How many deviations are added to the mean (RFC 6298, section 2.3).
 const DEVIATIONS: f64 = 4.0;
-/// No time is doubled more often: a thousandfold is beyond any bound here.
-const MOST_DOUBLINGS: u32 = 10;
+/// Limits the shift. A factor of 1024 exceeds the ratio of any two bounds.
+const MAX_DOUBLINGS: u32 = 10;
 
-/// The bounds of a time that is waited, in milliseconds.
+/// The bounds of a timeout, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeoutBounds {
-    /// The least time, however quick the answers are.
+    /// The minimum, however fast the answers are.
     pub min: Millis,
-    /// The time before any answer was seen.
+    /// The timeout before the first answer.
     pub initial: Millis,
-    /// The most time, however long nothing is answered.
+    /// The maximum, however many calls in a row time out.
     pub max: Millis,
 }
 
-/// So many bytes may wait at a machine's own link ahead of a call: the orders
-/// for one wide step, with the text of its job in each of them. The slowest
-/// links take half a second for them.
+/// How many bytes a machine's own link may have queued ahead of a call: the
+/// orders for one wide step, each with the job specification. The slowest
+/// links take half a second to send them.
 const QUEUED_BYTES: u32 = 128 << 10;
 
 impl TimeoutBounds {
-    /// The same for calls from a machine whose link carries so many bytes a
-    /// millisecond.
+    /// Returns the bounds for calls from a machine whose link carries
+    /// `link_bytes_per_ms`: the maximum grows by [`link_delay`].
     pub fn with_link_delay(self, link_bytes_per_ms: u32) -> TimeoutBounds {
         let extra = link_delay(link_bytes_per_ms);
         TimeoutBounds { max: self.max + extra, ..self }
     }
 }
 
-/// By how much answers may be later than usual behind a link that carries so
-/// many bytes a millisecond, in milliseconds.
+/// Returns by how many milliseconds the queue of a link that carries
+/// `link_bytes_per_ms` may delay an answer.
 pub fn link_delay(link_bytes_per_ms: u32) -> Millis {
     Millis::from(QUEUED_BYTES / link_bytes_per_ms.max(1))
 }
 
-/// What is known of the round trips to one kind of peer.
+/// The timeout of calls to one kind of peer.
 #[derive(Debug)]
 pub struct CallTimeout {
     bounds: TimeoutBounds,
-    /// Whether round trips are followed at all.
-    follows: bool,
-    /// The smoothed round trip and its deviation, in milliseconds.
-    seen: Cell<Option<(f64, f64)>>,
-    /// Calls in a row that were not answered.
-    unanswered: Cell<u32>,
+    /// Whether the timeout adapts to measured round-trip times.
+    adaptive: bool,
+    /// The smoothed round-trip time and its deviation, in milliseconds.
+    round_trip: Cell<Option<(f64, f64)>>,
+    /// The number of consecutive timeouts.
+    timeouts: Cell<u32>,
 }
 
 impl CallTimeout {
-    /// Nothing was seen yet. If round trips are not followed, the first
-    /// answers are waited for as long as all others.
-    pub fn new(bounds: TimeoutBounds, follows: bool) -> CallTimeout {
-        let (seen, unanswered) = (Cell::new(None), Cell::new(0));
-        CallTimeout { bounds, follows, seen, unanswered }
+    /// Returns a timeout that starts at the initial bound. Unless `adaptive`,
+    /// only consecutive timeouts change it.
+    pub fn new(bounds: TimeoutBounds, adaptive: bool) -> CallTimeout {
+        let (round_trip, timeouts) = (Cell::new(None), Cell::new(0));
+        CallTimeout { bounds, adaptive, round_trip, timeouts }
     }
 
-    /// A call was answered after this time.
-    pub fn record_answer(&self, took: Millis) {
-        let took = took as f64;
-        let (mean, deviation) = match self.seen.get() {
-            None => (took, took / 2.0),
+    /// Records that a call was answered after `elapsed` milliseconds.
+    pub fn record_answer(&self, elapsed: Millis) {
+        let elapsed = elapsed as f64;
+        let (mean, deviation) = match self.round_trip.get() {
+            None => (elapsed, elapsed / 2.0),
             Some((mean, deviation)) => {
-                let off = (took - mean).abs();
+                let difference = (elapsed - mean).abs();
                 (
-                    mean + (took - mean) * MEAN_WEIGHT,
-                    deviation + (off - deviation) * DEVIATION_WEIGHT,
+                    mean + (elapsed - mean) * MEAN_WEIGHT,
+                    deviation + (difference - deviation) * DEVIATION_WEIGHT,
                 )
             }
         };
-        self.seen.set(Some((mean, deviation)));
-        self.unanswered.set(0);
+        self.round_trip.set(Some((mean, deviation)));
+        self.timeouts.set(0);
     }
 
-    /// A call was not answered in time.
+    /// Records that a call timed out.
     pub fn record_timeout(&self) {
-        self.unanswered.set(self.unanswered.get() + 1);
+        self.timeouts.set(self.timeouts.get() + 1);
     }
 
-    /// How long an answer is waited for.
+    /// Returns the timeout of the next call, in milliseconds.
     pub fn current(&self) -> Millis {
-        let TimeoutBounds { min: least, initial, max: most } = self.bounds;
-        let usual = match self.seen.get().filter(|_| self.follows) {
+        let TimeoutBounds { min, initial, max } = self.bounds;
+        let base = match self.round_trip.get().filter(|_| self.adaptive) {
             None => initial,
             Some((mean, deviation)) => {
-                let time = mean + DEVIATIONS * deviation;
-                (time.ceil() as Millis).max(least)
+                let timeout = mean + DEVIATIONS * deviation;
+                (timeout.ceil() as Millis).max(min)
             }
         };
-        let doubled = 1 << self.unanswered.get().min(MOST_DOUBLINGS);
-        (usual * doubled).min(most)
+        let factor = 1 << self.timeouts.get().min(MAX_DOUBLINGS);
+        (base * factor).min(max)
     }
 }
--- a/src/cell/iteration.rs
+++ b/src/cell/iteration.rs
@@ -1,10 +1,11 @@
 /*!
-How long the leader's inputs wait, and what a turn of its loop takes.
+Measures the iterations of the leader's event loop, and how long its inputs
+wait.
 
-While a turn goes on, nothing is read from any connection, and no timer fires:
-what is slow here looks to the leader as if others were late. Times are taken
-on two clocks. A turn that takes long by the monotonic clock, and little
-processor time, was not given its processor.
+During an iteration no connection is read and no timer fires, so that to the
+leader a slow iteration looks like late peers. Iterations are timed by two
+clocks: one that takes long by the monotonic clock but uses little processor
+time was not scheduled by the operating system.
 */
 
 use puffinknot_core::ids::Millis;
@@ -14,32 +15,32 @@
 use crate::cell::stats::Stats;
 use crate::clock::Micros;
 
-/// The time between two reports of slow turns, in milliseconds.
+/// The shortest time between two reports of slow iterations.
 pub const REPORT_INTERVAL: Millis = 1_000;
 
-/// What an input of the leader is about.
+/// The kind of an input of the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InputKind {
-    /// Of a client.
+    /// A client's request.
     Request,
-    /// An executor's account of what it runs.
+    /// An executor's answer to a lease renewal.
     LeaseRenewal,
     /// An executor's answer to a start.
     Started,
     /// An executor's answer to a stop.
     Stopped,
-    /// Advice.
+    /// An answer to a call for advice.
     Advised,
     /// The store's answer to a write.
     Committed,
-    /// Executors' entries in the store.
+    /// A change of the executors' entries in the store.
     Listed,
     /// Anything else.
     Other,
 }
 
 impl InputKind {
-    /// The kind of an event.
+    /// Returns the kind of an event.
     pub fn of(event: &Event) -> InputKind {
         match event {
             Event::Request { .. } => InputKind::Request,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Its name in log lines.
+    /// Returns the name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             InputKind::Request => "request",
@@ -77,8 +78,8 @@
         }
     }
 
-    /// The name of how long it waits.
-    fn wait(self) -> &'static str {
+    /// Returns the name of the metric of the wait in the queue.
+    fn wait_metric(self) -> &'static str {
         match self {
             InputKind::Request => "wait_request",
             InputKind::LeaseRenewal => "wait_held",
@@ -91,8 +92,8 @@
         }
     }
 
-    /// The name of how long it takes to be dealt with.
-    fn handling(self) -> &'static str {
+    /// Returns the name of the metric of the handling time.
+    fn handling_metric(self) -> &'static str {
         match self {
             InputKind::Request => "handle_request",
             InputKind::LeaseRenewal => "handle_held",
@@ -106,7 +107,7 @@
     }
 }
 
-/// The clocks that a turn is measured by.
+/// Readings of the clocks that time an iteration, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Clocks {
     /// The monotonic clock.
@@ -115,52 +116,54 @@
     pub cpu: Micros,
 }
 
-/// A turn of the leader's loop that goes on.
+/// An iteration of the leader's event loop that has not ended.
 #[derive(Debug)]
 pub struct Iteration {
-    begun: Clocks,
-    looked: PlacementStats,
+    started: Clocks,
+    placement: PlacementStats,
     inputs: u64,
-    /// The longest wait of an input, and of which kind that one was.
-    oldest: (Micros, InputKind),
-    /// The input that is being handled, and since when.
+    /// The longest wait of an input, and the kind of that input.
+    longest_wait: (Micros, InputKind),
+    /// The input that is being handled, and when that began.
     current: Option<(InputKind, Micros)>,
     advance: Micros,
 }
 
-/// What a turn took.
+/// The measurements of an iteration. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IterationStats {
-    /// When it ended.
+    /// When it ended, on the monotonic clock.
     pub ended: Micros,
-    /// How long it took.
+    /// How long it took by the monotonic clock.
     pub duration: Micros,
-    /// The processor time of the thread in it.
+    /// The processor time that the thread used.
     pub cpu: Micros,
-    /// The part of it in which was done what had become possible.
+    /// The time spent in `Scheduler::advance`.
     pub advance: Micros,
-    /// How many inputs it took in.
+    /// The number of inputs that it handled.
     pub inputs: u64,
-    /// The longest wait of an input, and of which kind that one was.
+    /// The longest wait of an input, and the kind of that input.
     pub longest_wait: (Micros, InputKind),
-    /// What placing looked through in it.
+    /// What placement examined.
     pub placement: PlacementStats,
 }
 
 impl Iteration {
-    /// Begins a turn; `looked` is what placing has looked through so far.
-    pub fn begin(now: Clocks, looked: PlacementStats) -> Iteration {
+    /// Starts an iteration. `placement` is what placement has examined so
+    /// far.
+    pub fn begin(now: Clocks, placement: PlacementStats) -> Iteration {
         Iteration {
-            begun: now,
-            looked,
+            started: now,
+            placement,
             inputs: 0,
-            oldest: (0, InputKind::Other),
+            longest_wait: (0, InputKind::Other),
             current: None,
             advance: 0,
         }
     }
 
-    /// An input that was sent at a time is taken in.
+    /// Records that the handling of an input that was sent at `sent_at`
+    /// begins, and that of the previous one ends.
     pub fn begin_input(
         &mut self,
         stats: &Stats,
@@ -170,22 +173,25 @@
     ) {
         self.finish_input(stats, now);
         let waited = now.saturating_sub(sent_at);
-        stats.took(kind.wait(), waited / 1_000);
-        if waited >= self.oldest.0 {
-            self.oldest = (waited, kind);
+        stats.took(kind.wait_metric(), waited / 1_000);
+        if waited >= self.longest_wait.0 {
+            self.longest_wait = (waited, kind);
         }
         self.inputs += 1;
         self.current = Some((kind, now));
     }
 
-    /// The current input, if there is one, has been handled.
+    /// Records that the current input, if any, has been handled.
     pub fn finish_input(&mut self, stats: &Stats, now: Micros) {
         if let Some((kind, since)) = self.current.take() {
-            stats.took_micros(kind.handling(), now.saturating_sub(since));
+            stats.took_micros(
+                kind.handling_metric(),
+                now.saturating_sub(since),
+            );
         }
     }
 
-    /// What has become possible was done, from `since` until now.
+    /// Records that `Scheduler::advance` ran from `since` until `now`.
     pub fn record_advance(
         &mut self,
         stats: &Stats,
@@ -196,76 +202,80 @@
         stats.took_micros("advance", self.advance);
     }
 
-    /// The turn ends.
+    /// Ends the iteration and reports its metrics. `placement` is what
+    /// placement has examined so far.
     pub fn end(
         self,
         stats: &Stats,
         now: Clocks,
-        looked: PlacementStats,
+        placement: PlacementStats,
     ) -> IterationStats {
-        let took = IterationStats {
+        let measured = IterationStats {
             ended: now.mono,
-            duration: now.mono.saturating_sub(self.begun.mono),
-            cpu: now.cpu.saturating_sub(self.begun.cpu),
+            duration: now.mono.saturating_sub(self.started.mono),
+            cpu: now.cpu.saturating_sub(self.started.cpu),
             advance: self.advance,
             inputs: self.inputs,
-            longest_wait: self.oldest,
-            placement: looked.since(&self.looked),
+            longest_wait: self.longest_wait,
+            placement: placement.since(&self.placement),
         };
-        stats.took_micros("turn", took.duration);
-        stats.took_micros("turn_cpu", took.cpu);
-        stats.saw("turn_inputs", took.inputs);
-        if took.placement.rounds > took.placement.deferred {
-            stats.saw("round_steps", took.placement.steps);
-            stats.saw("round_executors", took.placement.executors);
+        stats.took_micros("turn", measured.duration);
+        stats.took_micros("turn_cpu", measured.cpu);
+        stats.saw("turn_inputs", measured.inputs);
+        if measured.placement.rounds > measured.placement.deferred {
+            stats.saw("round_steps", measured.placement.steps);
+            stats.saw("round_executors", measured.placement.executors);
         }
-        took
+        measured
     }
 }
 
 impl IterationStats {
-    /// The time of the turn, or the longest wait that ended in it.
+    /// Returns the duration, or the longest wait if that is longer.
     fn worst(&self) -> Micros {
         self.duration.max(self.longest_wait.0)
     }
 }
 
-/// Reports slow turns, the worst in a time.
+/// Limits the rate of reports of slow iterations.
 #[derive(Debug)]
 pub struct SlowIterations {
-    /// Turns and waits from this length on are slow.
-    bound: Micros,
+    /// Iterations and waits of at least this length are slow.
+    threshold: Micros,
+    /// When the last report was made.
     reported: Option<Micros>,
-    /// How many were slow since, and the worst of them.
+    /// The number of slow iterations since then.
     slow: u64,
+    /// The worst of them.
     worst: Option<IterationStats>,
 }
 
 impl SlowIterations {
-    /// Turns and waits from this length on, in milliseconds, are slow.
-    pub fn new(bound: Millis) -> SlowIterations {
-        let bound = bound * 1_000;
-        SlowIterations { bound, reported: None, slow: 0, worst: None }
+    /// Treats iterations and waits of at least `threshold` milliseconds as
+    /// slow.
+    pub fn new(threshold: Millis) -> SlowIterations {
+        let threshold = threshold * 1_000;
+        SlowIterations { threshold, reported: None, slow: 0, worst: None }
     }
 
-    /// Takes in a turn. If a report is due, returns how many were slow since
-    /// the last one, and the worst of them.
+    /// Records an iteration. If a report is due, returns how many iterations
+    /// were slow since the last report, and the worst of them.
     pub fn observe(
         &mut self,
-        took: IterationStats,
+        stats: IterationStats,
     ) -> Option<(u64, IterationStats)> {
-        if took.worst() >= self.bound {
+        if stats.worst() >= self.threshold {
             self.slow += 1;
-            if self.worst.is_none_or(|w| w.worst() <= took.worst()) {
-                self.worst = Some(took);
+            if self.worst.is_none_or(|w| w.worst() <= stats.worst()) {
+                self.worst = Some(stats);
             }
         }
-        let due = |at| took.ended >= at + REPORT_INTERVAL * 1_000;
+        let due = |at| stats.ended >= at + REPORT_INTERVAL * 1_000;
         if !self.reported.is_none_or(due) {
             return None;
         }
         let worst = self.worst.take()?;
-        self.reported = Some(took.ended);
+        self.reported = Some(stats.ended);
         Some((std::mem::take(&mut self.slow), worst))
     }
 }
--- a/src/cell/watch_limit.rs
+++ b/src/cell/watch_limit.rs
@@ -1,60 +1,61 @@
 /*!
-Whether the store may have more changes than it has told.
+Infers how many changes the store returns at most in one answer to a watch.
 
-It tells a bounded number at once, and does not say that there are more. What
-it was asked at once after a full answer shows it: another of the same size
-was cut as well, and that size is the bound. Until the bound is known, an
-answer that has as many changes as any before is tried so now and then.
+The store limits the number of changes in an answer and does not say whether
+there are more. The limit shows when the store is asked again at once: if an
+answer is as large as the largest one before it, both were truncated, and their
+size is the limit. Until the limit is known, some of the answers that are as
+large as any before are followed by such a probe.
 */
 
-/// Answers with fewer changes than this are not cut by any store.
-const FEWEST: usize = 5;
-/// One in so many answers that are as large as any is tried.
-const TRY_ONE_IN: u32 = 5;
+/// No store truncates answers with fewer changes than this.
+const MIN_LIMIT: usize = 5;
+/// A probe follows one in this many answers of the largest size.
+const PROBE_ONE_IN: u32 = 5;
 
-/// What the sizes of a store's answers have shown.
+/// The limit on changes per answer, as far as it is known.
 #[derive(Debug, Default)]
 pub struct WatchLimit {
-    /// The most changes in one answer so far.
-    most: usize,
-    /// How many changes a full answer has, once that was shown.
-    bound: Option<usize>,
-    /// Answers as large as any since the last one that was tried.
-    as_large: u32,
-    /// The last answer was tried.
-    tries: bool,
+    /// The size of the largest answer so far.
+    largest: usize,
+    /// The size of a truncated answer, once it is known.
+    limit: Option<usize>,
+    /// Answers of the largest size since the last probe.
+    since_probe: u32,
+    /// Whether the next answer is that to a probe.
+    probing: bool,
 }
 
 impl WatchLimit {
-    /// Takes in how many changes an answer has. Returns whether the store is
-    /// to be asked on at once.
+    /// Records the number of changes in an answer. Returns whether to ask the
+    /// store again at once, since there may be more.
     pub fn observe(&mut self, changes: usize) -> bool {
-        let tried = std::mem::take(&mut self.tries);
-        if changes < FEWEST {
+        let probed = std::mem::take(&mut self.probing);
+        if changes < MIN_LIMIT {
             return false;
         }
-        if changes > self.most {
-            // No bound is below this.
-            self.bound = None;
-            self.most = changes;
-            return self.try_now();
+        if changes > self.largest {
+            // The limit is at least this.
+            self.limit = None;
+            self.largest = changes;
+            return self.start_probe();
         }
-        if tried && changes == self.most {
-            self.bound = Some(changes);
+        if probed && changes == self.largest {
+            self.limit = Some(changes);
         }
-        if let Some(bound) = self.bound {
-            return changes >= bound;
+        if let Some(limit) = self.limit {
+            return changes >= limit;
         }
-        if changes < self.most {
+        if changes < self.largest {
             return false;
         }
-        self.as_large += 1;
-        self.as_large >= TRY_ONE_IN && self.try_now()
+        self.since_probe += 1;
+        self.since_probe >= PROBE_ONE_IN && self.start_probe()
     }
 
-    fn try_now(&mut self) -> bool {
-        self.as_large = 0;
-        self.tries = true;
+    fn start_probe(&mut self) -> bool {
+        self.since_probe = 0;
+        self.probing = true;
         true
     }
 }
