--- a/src/cell/decision_log.rs
+++ b/src/cell/decision_log.rs
@@ -1,8 +1,8 @@
 /*!
-Log lines for what the leader decides, and for what it is told.
+Logs the decisions of the leader and the events that they are based on.
 
-One line for each event and action that touches a job. docs/REFERENCE.md
-lists the kinds and their fields.
+Each event or action that affects a job is logged as one line.
+docs/REFERENCE.md lists the kinds of lines and their fields.
 */
 
 use puffinknot_core::jobs::message::ExecutorIndex;
@@ -11,28 +11,28 @@
 
 use crate::cell::iteration::IterationStats;
 
-fn name(scheduler: &Scheduler, index: ExecutorIndex) -> &str {
+fn executor_name(scheduler: &Scheduler, index: ExecutorIndex) -> &str {
     let executor = scheduler.executor(index);
     executor.map(|e| e.info.id.as_str()).unwrap_or_default()
 }
 
-/// Logs the worst of so many turns that were slow.
+/// Logs the worst of `slow` slow iterations.
 pub fn log_slow_iteration(
     scheduler: &Scheduler,
     token: u64,
     slow: u64,
-    took: &IterationStats,
+    stats: &IterationStats,
 ) {
     info!(
-        took_ms = took.duration / 1_000,
-        cpu_ms = took.cpu / 1_000,
-        advance_ms = took.advance / 1_000,
-        inputs = took.inputs,
-        oldest_wait_ms = took.longest_wait.0 / 1_000,
-        oldest = took.longest_wait.1.name(),
-        steps = took.placement.steps,
-        executors = took.placement.executors,
-        runs = took.placement.runs,
+        took_ms = stats.duration / 1_000,
+        cpu_ms = stats.cpu / 1_000,
+        advance_ms = stats.advance / 1_000,
+        inputs = stats.inputs,
+        oldest_wait_ms = stats.longest_wait.0 / 1_000,
+        oldest = stats.longest_wait.1.name(),
+        steps = stats.placement.steps,
+        executors = stats.placement.executors,
+        runs = stats.placement.runs,
         jobs = scheduler.live_jobs(),
         slow,
         token,
@@ -40,7 +40,7 @@
     );
 }
 
-/// Logs what the scheduler is told.
+/// Logs an event that the scheduler receives.
 pub fn log_event(scheduler: &Scheduler, token: u64, event: &Event) {
     match event {
         Event::Request { id, request, .. } => match request {
@@ -56,7 +56,7 @@
         Event::RenewalAnswered { executor, answer: Ok(answer), .. } => {
             let meant = scheduler.executor(*executor);
             let meant = meant.and_then(|executor| executor.info.born);
-            let executor = name(scheduler, *executor);
+            let executor = executor_name(scheduler, *executor);
             if meant != answer.born {
                 let born = answer.born;
                 warn!(executor, meant, born, "account_of_another_life");
@@ -73,15 +73,15 @@
             }
         }
         Event::RenewalAnswered { executor, answer: Err(error), .. } => {
-            let executor = name(scheduler, *executor);
+            let executor = executor_name(scheduler, *executor);
             warn!(executor, ?error, "hold_failed");
         }
         Event::StartAnswered { executor, task, run, answer: Err(error) } => {
-            let executor = name(scheduler, *executor);
+            let executor = executor_name(scheduler, *executor);
             warn!(%task, run, executor, ?error, "start_failed");
         }
         Event::StopAnswered { executor, task, run, answer: Err(error) } => {
-            let executor = name(scheduler, *executor);
+            let executor = executor_name(scheduler, *executor);
             warn!(%task, run, executor, ?error, "stop_failed");
         }
         Event::Advised { call, answer: Ok(rows) } => {
@@ -112,20 +112,20 @@
     }
 }
 
-/// Logs what the scheduler wants done.
+/// Logs an action that the scheduler returns.
 pub fn log_action(scheduler: &Scheduler, token: u64, action: &Action) {
     match action {
         Action::Start { executor, task, run, checkpoint, .. } => {
-            let executor = name(scheduler, *executor);
+            let executor = executor_name(scheduler, *executor);
             let resumed = !checkpoint.is_empty();
             info!(%task, run, executor, token, resumed, "start_ordered");
         }
         Action::Stop { executor, task, run } => {
-            let executor = name(scheduler, *executor);
+            let executor = executor_name(scheduler, *executor);
             info!(%task, run, executor, token, "stop_ordered");
         }
         Action::Throttle { executor, task, run, percent } => {
-            let executor = name(scheduler, *executor);
+            let executor = executor_name(scheduler, *executor);
             info!(%task, run, executor, percent, "pace_ordered");
         }
         Action::StartMaintenance { wave, machine } => {
--- a/src/cell/journal.rs
+++ b/src/cell/journal.rs
@@ -1,14 +1,14 @@
 /*!
-The leader's writes.
+Writes of the leader to the store.
 
-Each is made under the condition that the *head*, a key that every write
-changes, is where the last one left it. So a write whose answer was lost can
-be made again: if the first one took effect after all, the second is refused,
-and the head says by whom it was changed. A successor changes the head first,
-so that whatever its predecessor still has under way fails.
+Each write is conditional on the revision of the *head*, a key that every write
+changes. A write whose answer was lost can therefore be repeated: if the first
+attempt took effect, the second one is refused, and the value of the head tells
+which write changed it. A successor changes the head first, so that all writes
+that its predecessor has in flight fail.
 
-A write that the store has declined, and that cannot take effect any more, goes
-back to whoever wants it, who may want less of it by now.
+A write that the store declined, and that can no longer take effect, is
+returned to the caller, which may have fewer changes to make by then.
 */
 
 use std::cell::Cell;
@@ -22,22 +22,22 @@
 use crate::cell::ports::{Platform, Transaction, WriteError};
 use crate::cell::store::Store;
 
-/// The first pause after a write that failed; it doubles up to the last.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
-/// The longest pause after a write that failed.
-const LAST_PAUSE: Duration = Duration::from_millis(320);
+/// The pause after the first failed write. It doubles up to `MAX_PAUSE`.
+const MIN_PAUSE: Duration = Duration::from_millis(20);
+/// The longest pause after a failed write.
+const MAX_PAUSE: Duration = Duration::from_millis(320);
 
-/// Why a write was not made.
+/// Why a write failed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteFailure {
-    /// Somebody else has led since, or the journal is closed.
+    /// Another node has led since, or the journal is closed.
     Superseded,
-    /// The store has declined it. These are its changes; nothing of them is
-    /// done or will be.
+    /// The store declined it. Contains its changes, none of which is or will
+    /// be made.
     Declined(Vec<Change>),
 }
 
-/// The journal of one tenure.
+/// The journal of one leader term.
 pub struct Journal<P> {
     store: Rc<Store<P>>,
     prefix: String,
@@ -45,22 +45,23 @@
     sequence: Cell<u64>,
     head: Cell<Revision>,
     closed: Cell<bool>,
-    /// The pause before the next attempt; none if the last one was answered.
+    /// The pause before the next attempt, zero if the last one was answered.
     pause: Cell<Duration>,
 }
 
-/// The key of the head below the leader's keys.
+/// Returns the key of the head, below the prefix of the leader's keys.
 pub fn head_key(prefix: &str) -> String {
     format!("{prefix}head")
 }
 
-/// The value of the head after the write with this number.
+/// Returns the value of the head after the write with this number.
 pub fn head_value(token: u64, sequence: u64) -> Vec<u8> {
     format!("{token} {sequence}").into_bytes()
 }
 
 impl<P: Platform> Journal<P> {
-    /// The journal of a leader whose claim was written at `token`.
+    /// Returns the journal of a leader whose claim was written at revision
+    /// `token`.
     pub fn new(store: Rc<Store<P>>, prefix: &str, token: u64) -> Journal<P> {
         Journal {
             store,
@@ -73,30 +74,30 @@
         }
     }
 
-    /// Makes no more attempts.
+    /// Closes the journal: no further attempts are made.
     pub fn close(&self) {
         self.closed.set(true);
     }
 
-    /// The revision of the head.
+    /// Returns the revision of the head.
     pub fn head(&self) -> Revision {
         self.head.get()
     }
 
-    /// Takes over the revision that a transaction outside this journal has
-    /// given the head.
+    /// Sets the revision of the head, after a transaction outside of this
+    /// journal has changed it.
     pub fn set_head(&self, revision: Revision) {
         self.head.set(revision);
     }
 
-    /// Writes changes, trying until it is known whether they are made. After
-    /// a write that the store has declined, waits for as long as after an
-    /// attempt that failed.
+    /// Writes changes, and retries until it is known whether they are made. A
+    /// write after one that the store declined is delayed like a retry.
     ///
     /// # Errors
     ///
-    /// If somebody else has led since, or the journal is closed, or nothing of
-    /// it is done or will be.
+    /// Fails if another node has led since, if the journal is closed, or if
+    /// the store declined the write, so that none of the changes is or will be
+    /// made.
     pub async fn write(
         &self,
         changes: Vec<Change>,
@@ -106,17 +107,17 @@
         let head = head_key(&self.prefix);
         let value = head_value(self.token, sequence);
         let mut transaction = self.transaction(&head, &value, changes);
-        // Whether an attempt may still take effect.
+        // Whether an earlier attempt may still take effect.
         let mut in_doubt = false;
         loop {
-            self.wait_out().await;
+            self.wait_to_retry().await;
             if self.closed.get() {
                 return Err(WriteFailure::Superseded);
             }
             transaction.expect = vec![(head.clone(), self.head.get())];
             let Some(answer) = self.attempt(&transaction).await else {
                 warn!(sequence, "write_made_again");
-                self.pause.set(FIRST_PAUSE);
+                self.pause.set(MIN_PAUSE);
                 in_doubt = true;
                 continue;
             };
@@ -129,24 +130,24 @@
                 Err(WriteError::Refused(items)) => {
                     self.pause.set(Duration::ZERO);
                     let mut items = items.into_iter();
-                    let now = items.find(|item| item.key == head);
-                    let Some(now) = now else {
+                    let current = items.find(|item| item.key == head);
+                    let Some(current) = current else {
                         return Err(WriteFailure::Superseded);
                     };
-                    if now.value == value {
-                        self.head.set(now.revision);
+                    if current.value == value {
+                        self.head.set(current.revision);
                         return Ok(());
                     }
-                    if now.revision != self.head.get() {
+                    if current.revision != self.head.get() {
                         return Err(WriteFailure::Superseded);
                     }
                 }
                 Err(error) => {
                     warn!(?error, sequence, "write_retried");
-                    let longer = self.pause.get() * 2;
-                    self.pause.set(longer.clamp(FIRST_PAUSE, LAST_PAUSE));
+                    let doubled = self.pause.get() * 2;
+                    self.pause.set(doubled.clamp(MIN_PAUSE, MAX_PAUSE));
                     if error == WriteError::NotDone && !in_doubt {
-                        let changes = self.changes(transaction, &head);
+                        let changes = self.changes_of(transaction, &head);
                         return Err(WriteFailure::Declined(changes));
                     }
                     in_doubt = true;
@@ -155,9 +156,9 @@
         }
     }
 
-    /// Waits until the next attempt may be made: after a pause, or once the
-    /// store is back.
-    async fn wait_out(&self) {
+    /// Waits out the pause before the next attempt, or until the store is
+    /// reachable again.
+    async fn wait_to_retry(&self) {
         let pause = self.pause.get();
         if pause.is_zero() {
             return;
@@ -191,8 +192,8 @@
         transaction
     }
 
-    /// The changes that a transaction was made of.
-    fn changes(&self, transaction: Transaction, head: &str) -> Vec<Change> {
+    /// Returns the changes that a transaction was built from.
+    fn changes_of(&self, transaction: Transaction, head: &str) -> Vec<Change> {
         let name = |key: String| key[self.prefix.len()..].to_string();
         let puts = transaction.put.into_iter();
         let puts = puts.filter(|(key, ..)| key != head);
@@ -203,8 +204,8 @@
         puts.chain(removed).collect()
     }
 
-    /// Writes once. An attempt that was made before the store went away is
-    /// given up, with no answer, when the store is back.
+    /// Writes once. Returns `None` if the store becomes reachable again before
+    /// it answers: an attempt from before the outage is given up.
     async fn attempt(
         &self,
         transaction: &Transaction,
--- a/src/cell/leader/takeover.rs
+++ b/src/cell/leader/takeover.rs
@@ -22,7 +22,8 @@
 /// The most executors in one call for advice.
 const ADVICE_BATCH: usize = 100;
 
-/// A link that carries fewer bytes a millisecond than this is narrow: 8 Mbit/s.
+/// A link that carries fewer bytes a millisecond than this is narrow: 8
+/// Mbit/s.
 const NARROW: u32 = 1_000;
 
 /// What a leader does without behind a narrow link: what sends more when
--- a/src/cell/order.rs
+++ b/src/cell/order.rs
@@ -1,9 +1,9 @@
 /*!
-Orders to executors, whoever carries them out.
+Orders to executors.
 
-The leader decides on orders; it or another node makes the calls, see
-[`crate::cell::relay`]. An order holds all that the call needs but the text
-of the job, which many orders share.
+The leader decides on orders, and it or a relay makes the calls (see
+[`crate::cell::relay`]). An order contains all that the call needs except for
+the job specification, which many orders share.
 */
 
 use puffinknot_core::ids::Millis;
@@ -14,27 +14,28 @@
 
 use crate::cell::ports::{Hold, Platform, Start};
 
-/// What an executor is told.
+/// A call to an executor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// Extend the lease and give an account.
+    /// Renew the lease and return a report.
     Hold {
         /// The end of the lease, on the executor's clock.
         due: Option<Millis>,
-        /// Ends up to this one may be forgotten.
+        /// The number of the last acknowledged end: the executor may forget
+        /// the ends up to it.
         last_seen: u64,
-        /// Ends of this life up to this one are known to the leader. Executors
-        /// list them until they may be forgotten; they are left out of the
-        /// answer.
+        /// The number of the last end of this incarnation that the leader has
+        /// received. Executors list ends until they are acknowledged; those
+        /// up to this one are left out of the answer.
         known: u64,
-        /// How long the executor may wait for an end, in milliseconds.
+        /// How long the executor may wait for a run to end before it answers.
         wait: Millis,
     },
     /// Start a task.
     Start {
         /// The task.
         task: TaskKey,
-        /// Which run of it.
+        /// The number of the run.
         run: u64,
         /// The end of the lease, on the executor's clock.
         due: Millis,
@@ -50,7 +51,7 @@
         /// The run.
         run: u64,
     },
-    /// Let a run work at a share of the time.
+    /// Throttle a run to a share of the time.
     Pace {
         /// The task.
         task: TaskKey,
@@ -61,22 +62,23 @@
     },
 }
 
-/// What an executor answers.
+/// The answer of an executor to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Its account, to a hold.
+    /// The report, in answer to a lease renewal.
     Account(ExecutorReport),
-    /// The task runs; what its clock showed, as far as it says.
+    /// The task runs. Contains the reading of the executor's clock, if the
+    /// answer has one.
     Started(Option<Millis>),
-    /// It is done.
+    /// The order is carried out.
     Done,
 }
 
-/// What came of an order.
+/// The result of an order.
 pub type Answer = Result<Reply, OrderFailure>;
 
 impl Order {
-    /// How long the executor may take before it answers, in milliseconds.
+    /// Returns how long the executor may wait before it answers.
     pub fn wait(&self) -> Millis {
         match self {
             Order::Hold { wait, .. } => *wait,
@@ -84,14 +86,14 @@
         }
     }
 
-    /// Whether it starts a task.
+    /// Returns whether the order starts a task.
     pub fn is_start(&self) -> bool {
         matches!(self, Order::Start { .. })
     }
 
-    /// The same order, to be given once more to an executor that may have
-    /// started again since: what it is told of its ends holds for the life
-    /// that was meant only.
+    /// Returns the order as it may be sent once more. The executor may have
+    /// restarted in between, and an acknowledgement applies only to the ends
+    /// of the incarnation that it was meant for, so it is left out.
     pub fn for_retry(&self) -> Order {
         let mut order = self.clone();
         if let Order::Hold { last_seen, .. } = &mut order {
@@ -100,40 +102,41 @@
         order
     }
 
-    /// Makes the call, and waits for its answer for so many milliseconds.
-    /// `text` is what a task that is started is told.
+    /// Makes the call and waits for the answer for `within` milliseconds.
+    /// `spec` is the job specification for the task that is started.
     ///
     /// # Errors
     ///
-    /// If the order is not known to be carried out.
+    /// Fails if the order is not known to be carried out.
     pub async fn carry_out<P: Platform>(
         &self,
         platform: &P,
         executor: &ExecutorInfo,
         token: u64,
-        text: &str,
+        spec: &str,
         within: Millis,
     ) -> Answer {
         match self {
             Order::Hold { due, last_seen, known, wait } => {
-                let hold = Hold {
+                let renewal = Hold {
                     due: *due,
                     last_seen: *last_seen,
                     wait: *wait,
                     within,
                 };
-                let mut account = platform.hold(executor, token, hold).await?;
-                // Another life numbers its ends anew.
-                if account.born == executor.born {
-                    account.ended.retain(|end| end.number > *known);
+                let mut report =
+                    platform.hold(executor, token, renewal).await?;
+                // Each incarnation numbers its ends from the start.
+                if report.born == executor.born {
+                    report.ended.retain(|end| end.number > *known);
                 }
-                Ok(Reply::Account(account))
+                Ok(Reply::Account(report))
             }
             Order::Start { task, run, due, checkpoint, ticket } => {
                 let start = Start {
                     task: *task,
                     run: *run,
-                    spec: text,
+                    spec,
                     due: *due,
                     checkpoint,
                     ticket,
@@ -148,27 +151,28 @@
                 stopped.await.map(|()| Reply::Done)
             }
             Order::Pace { task, run, percent } => {
-                let paced =
+                let throttled =
                     platform.pace(executor, token, *task, *run, *percent);
-                paced.await.map(|()| Reply::Done)
+                throttled.await.map(|()| Reply::Done)
             }
         }
     }
 }
 
-/// What is known from an answer. If the order was given before and it is
-/// not known what became of that, a failure is one of this try only: the
-/// first may have been carried out, or be carried out yet.
+/// Returns what is certain after an answer. If the order was sent before and
+/// the result of that attempt is unknown, most failures say something about
+/// the last attempt only: the earlier one may have been or may yet be carried
+/// out.
 ///
 /// # Errors
 ///
-/// Why the order is not known to be carried out.
-pub fn certain_answer(answer: Answer, given_before: bool) -> Answer {
+/// Returns why the order is not known to be carried out.
+pub fn certain_answer(answer: Answer, sent_before: bool) -> Answer {
     use OrderFailure::{Fenced, Gone, Unknown};
     match answer {
-        // These are about the leader and the executor, not about this try.
+        // These apply to the leader and the executor, not to one attempt.
         Err(Fenced | Gone) => answer,
-        Err(_) if given_before => Err(Unknown),
+        Err(_) if sent_before => Err(Unknown),
         answer => answer,
     }
 }
--- a/src/cell/relay.rs
+++ b/src/cell/relay.rs
@@ -1,18 +1,18 @@
 /*!
-Orders that other nodes carry out for the leader.
+Relays: nodes that carry out orders for the leader.
 
-A leader that called each executor itself would need a connection to each of
-them, and its machine's own link would carry the text of a job once for each
-of its tasks. So in a large cell, or behind a narrow link, orders go by
-*relays*: the leader sends an order over the channel that it has to a node of
-the executor's data centre anyway, and that node makes the call under the
-leader's token. The text of a job goes to a relay once.
+A leader that calls each executor itself needs a connection to each of them,
+and the link of its machine carries the job specification once for each task.
+In a large cell, or behind a narrow link, orders therefore go through *relays*:
+the leader sends an order over its existing channel to a node in the executor's
+data centre, and that node makes the call under the leader's token. A job
+specification is sent to a relay once.
 
-A relay decides nothing and keeps nothing that the leader or the executors
-don't know. To whoever waits for an answer it is a part of the network: an
-order may be lost, or carried out late, and executors refuse what is no
-longer due. So nothing depends on it, and one that is gone or silent is
-replaced by another at once; without any, the leader makes the call itself.
+A relay decides nothing and has no state that the leader or the executors lack.
+To the caller it is a part of the network: an order may be lost or carried out
+late, and executors refuse orders that have expired. Nothing depends on a
+single relay: one that is gone or silent is replaced by another at once, and if
+there is none, the leader makes the call itself.
 */
 
 use std::cell::{Cell, RefCell};
@@ -33,55 +33,56 @@
 use crate::cell::ports::Platform;
 use crate::clock;
 
-/// A relay serves up to so many executors, so that the text of a job goes to
-/// few nodes, and the orders for a wide step don't wait for one link.
-const EXECUTORS_EACH: usize = 64;
-/// A node that was not heard for so long, in milliseconds, is no relay until
-/// it is: it says every 350 ms that it is there.
-const QUIET: Millis = 600;
+/// How many executors one relay serves at most. This sends a job specification
+/// to few nodes, and keeps the orders for a wide step off a single link.
+const EXECUTORS_PER_RELAY: usize = 64;
+/// A node that has sent nothing for this long is not used as a relay until it
+/// sends something. Nodes send a heartbeat every 350 ms.
+const HEARTBEAT_TIMEOUT: Millis = 600;
 
 /// The number of an order on one channel.
 pub type OrderId = u64;
 
-/// An order, as it goes to a relay.
+/// An order as it is sent to a relay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RelayedOrder {
-    /// Its number.
+    /// The number of the order.
     pub id: OrderId,
     /// The token of the leader.
     pub token: u64,
     /// The executor's name.
     pub executor: String,
-    /// Which life of it is meant.
+    /// The incarnation that the order is meant for.
     pub born: Option<u64>,
-    /// Where it listens.
+    /// The address that the executor listens on.
     pub address: String,
-    /// How long its answer is waited for, in milliseconds.
+    /// How long to wait for the answer of the executor.
     pub within: Millis,
-    /// From which revision of the store on the leader knew the cordons.
+    /// The revision of the store as of which the leader knew the cordons.
     pub cordons_since: Revision,
-    /// What it is told.
+    /// The order.
     pub order: Order,
 }
 
-/// What a relay knows of the jobs whose tasks it starts: their texts.
+/// The specifications of the jobs whose tasks a relay starts.
 #[derive(Default)]
 pub struct JobSpecs {
     by_job: RefCell<HashMap<JobId, Rc<str>>>,
 }
 
 impl JobSpecs {
-    /// Learns the text of a job.
-    pub fn insert(&self, job: JobId, text: String) {
-        self.by_job.borrow_mut().insert(job, text.into());
+    /// Stores the specification of a job.
+    pub fn insert(&self, job: JobId, spec: String) {
+        self.by_job.borrow_mut().insert(job, spec.into());
     }
 
-    /// Forgets the text of a job that has ended.
+    /// Removes the specification of a job that has ended.
     pub fn remove(&self, job: JobId) {
         self.by_job.borrow_mut().remove(&job);
     }
 
-    fn of(&self, order: &Order) -> Option<Rc<str>> {
+    /// Returns the specification that an order needs, empty if it needs none.
+    fn for_order(&self, order: &Order) -> Option<Rc<str>> {
         match order {
             Order::Start { task, .. } => {
                 self.by_job.borrow().get(&task.step.job).cloned()
@@ -91,13 +92,18 @@
     }
 }
 
-/// Carries out an order of the leader's.
+/// Carries out an order of the leader.
+///
+/// # Errors
+///
+/// Fails if the order is not known to be carried out, and with
+/// [`OrderFailure::NotSent`] if the job specification is missing.
 pub async fn carry_out<P: Platform>(
     platform: &P,
-    texts: &JobSpecs,
+    specs: &JobSpecs,
     relayed: RelayedOrder,
 ) -> Answer {
-    let Some(text) = texts.of(&relayed.order) else {
+    let Some(spec) = specs.for_order(&relayed.order) else {
         return Err(OrderFailure::NotSent);
     };
     let executor = ExecutorInfo {
@@ -107,25 +113,27 @@
         ..ExecutorInfo::default()
     };
     let RelayedOrder { token, within, order, .. } = relayed;
-    order.carry_out(platform, &executor, token, &text, within).await
+    order.carry_out(platform, &executor, token, &spec, within).await
 }
 
-/// A node that may carry out orders, as the leader knows it.
+/// The leader's view of a node that can carry out orders.
 pub struct Relay {
     node: String,
     dc: String,
     cpu_millis: u32,
     sender: Sender,
-    /// When it was heard last.
-    heard: Cell<Millis>,
-    /// The jobs whose texts it knows.
-    texts: RefCell<HashSet<JobId>>,
-    open: RefCell<HashMap<OrderId, oneshot::Sender<Answer>>>,
-    next: Cell<OrderId>,
+    /// When the node last sent anything.
+    last_heard: Cell<Millis>,
+    /// The jobs whose specifications the node has.
+    known_specs: RefCell<HashSet<JobId>>,
+    /// The orders that the node has not answered.
+    pending: RefCell<HashMap<OrderId, oneshot::Sender<Answer>>>,
+    /// The number of the last order.
+    last_id: Cell<OrderId>,
 }
 
 impl Relay {
-    /// A node of this data centre that has just been heard.
+    /// Returns a node that has just connected.
     pub fn new(
         node: String,
         dc: String,
@@ -137,35 +145,35 @@
             dc,
             cpu_millis,
             sender,
-            heard: Cell::new(clock::mono()),
-            texts: RefCell::default(),
-            open: RefCell::default(),
-            next: Cell::default(),
+            last_heard: Cell::new(clock::mono()),
+            known_specs: RefCell::default(),
+            pending: RefCell::default(),
+            last_id: Cell::default(),
         }
     }
 
-    /// Has an order carried out. Returns nothing if the relay is gone before
-    /// it has answered.
+    /// Sends an order to the relay and waits for the answer. Returns `None` if
+    /// the relay disconnects first.
     pub async fn order(
         &self,
         executor: &ExecutorInfo,
         token: u64,
         order: Order,
-        text: &Arc<str>,
+        spec: &Arc<str>,
         within: Millis,
         cordons_since: Revision,
     ) -> Option<Answer> {
         if let Order::Start { task, .. } = &order {
             let job = task.step.job;
-            if self.texts.borrow_mut().insert(job) {
-                let text = text.to_string();
-                self.sender.send(&ToNode::Text(job, text));
+            if self.known_specs.borrow_mut().insert(job) {
+                let spec = spec.to_string();
+                self.sender.send(&ToNode::Text(job, spec));
             }
         }
-        let id = self.next.get() + 1;
-        self.next.set(id);
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
         let (reply, answer) = oneshot::channel();
-        self.open.borrow_mut().insert(id, reply);
+        self.pending.borrow_mut().insert(id, reply);
         let message = ToNode::Order(RelayedOrder {
             id,
             token,
@@ -177,32 +185,33 @@
             order,
         });
         if !self.sender.send(&message) {
-            self.open.borrow_mut().remove(&id);
+            self.pending.borrow_mut().remove(&id);
             return None;
         }
         answer.await.ok()
     }
 
-    /// The node was heard.
+    /// Records that the node has sent something.
     pub fn record_message(&self) {
-        self.heard.set(clock::mono());
+        self.last_heard.set(clock::mono());
     }
 
-    /// The node has answered an order.
+    /// Passes on the answer to an order.
     pub fn complete_order(&self, id: OrderId, answer: Answer) {
-        if let Some(reply) = self.open.borrow_mut().remove(&id) {
-            // Whoever has asked may have given up since.
+        if let Some(reply) = self.pending.borrow_mut().remove(&id) {
+            // The caller may have given up.
             let _ = reply.send(answer);
         }
     }
 
-    fn is_heard(&self) -> bool {
-        clock::mono() <= self.heard.get() + QUIET
+    fn is_alive(&self) -> bool {
+        clock::mono() <= self.last_heard.get() + HEARTBEAT_TIMEOUT
     }
 
-    /// How well it suits an executor: each executor keeps to its relay, and
-    /// to its connections, while other relays come and go.
-    fn suits(&self, executor: &str) -> u64 {
+    /// Returns the rank of this relay for an executor (rendezvous hashing): an
+    /// executor keeps its relay and its connections while other relays come
+    /// and go.
+    fn affinity(&self, executor: &str) -> u64 {
         let mut hasher = SipHasher13::new();
         self.node.hash(&mut hasher);
         executor.hash(&mut hasher);
@@ -210,22 +219,22 @@
     }
 }
 
-/// The nodes that may carry out orders.
+/// The nodes that can carry out orders.
 #[derive(Default)]
 pub struct Relays {
-    /// By data centre, the larger machines first.
+    /// The nodes by data centre, those with more processor time first.
     by_dc: RefCell<HashMap<String, Vec<Rc<Relay>>>>,
-    /// Told when a node has connected.
-    joined: Notify,
+    /// Notified when a node connects.
+    added: Notify,
 }
 
 impl Relays {
-    /// Waits until a node connects.
+    /// Waits until a node connects, in any data centre.
     pub async fn wait_for_relay(&self) {
-        self.joined.notified().await;
+        self.added.notified().await;
     }
 
-    /// A node has connected.
+    /// Adds a node that has connected, in place of its earlier connection.
     pub fn add(&self, relay: Rc<Relay>) {
         let mut by_dc = self.by_dc.borrow_mut();
         let relays = by_dc.entry(relay.dc.clone()).or_default();
@@ -235,20 +244,21 @@
             (b.cpu_millis, &a.node).cmp(&(a.cpu_millis, &b.node))
         });
         drop(by_dc);
-        self.joined.notify_waiters();
+        self.added.notify_waiters();
     }
 
-    /// A node has gone. Whoever waits for its answers is told.
+    /// Removes a node that has disconnected, and wakes those who wait for its
+    /// answers.
     pub fn remove(&self, relay: &Relay) {
         let mut by_dc = self.by_dc.borrow_mut();
         if let Some(relays) = by_dc.get_mut(&relay.dc) {
             relays.retain(|other| !std::ptr::eq(&**other, relay));
         }
-        relay.open.borrow_mut().clear();
+        relay.pending.borrow_mut().clear();
     }
 
-    /// The relay for an executor, if any is heard. `executors` is the number
-    /// of executors in its data centre.
+    /// Returns the relay for an executor, if any is alive. `executors` is the
+    /// number of executors in its data centre.
     pub fn choose(
         &self,
         executor: &ExecutorInfo,
@@ -256,18 +266,18 @@
     ) -> Option<Rc<Relay>> {
         let by_dc = self.by_dc.borrow();
         let relays = by_dc.get(&executor.dc)?;
-        let enough = executors.div_ceil(EXECUTORS_EACH).max(1);
-        let heard = relays.iter().filter(|relay| relay.is_heard());
-        let chosen = heard
-            .take(enough)
-            .max_by_key(|relay| relay.suits(&executor.id))?;
+        let needed = executors.div_ceil(EXECUTORS_PER_RELAY).max(1);
+        let alive = relays.iter().filter(|relay| relay.is_alive());
+        let chosen = alive
+            .take(needed)
+            .max_by_key(|relay| relay.affinity(&executor.id))?;
         Some(chosen.clone())
     }
 
-    /// A job has ended: its text is needed no more.
+    /// Has all relays forget the specification of a job that has ended.
     pub fn forget_job(&self, job: JobId) {
         for relay in self.by_dc.borrow().values().flatten() {
-            if relay.texts.borrow_mut().remove(&job) {
+            if relay.known_specs.borrow_mut().remove(&job) {
                 relay.sender.send(&ToNode::Forget(job));
             }
         }
