--- a/src/cell/leader.rs
+++ b/src/cell/leader.rs
@@ -1,9 +1,9 @@
 /*!
 Runs the scheduler while this node leads.
 
-The scheduler decides; here its actions are carried out, and what comes of
-them is told to it. The node stops to lead when somebody else does, or when
-the store has not confirmed for too long that nobody does.
+The scheduler decides. This module carries out its actions and reports the
+results to it. The node stops leading when another node leads, or when the
+store has not confirmed for too long that no other node does.
 */
 
 use std::cell::{Cell, RefCell};
@@ -46,96 +46,101 @@
 
 use self::routes::Routes;
 
-/// How often the scheduler is told that time has passed.
-const TICK: Millis = 50;
-/// How often the figures of client accounts are taken over, in milliseconds.
-const TELL_ACCOUNTS: Millis = 1_000;
-/// The pause after a call to the store that failed.
-const PAUSE: Duration = Duration::from_millis(100);
-/// The most time that is waited for open requests at a hand-over.
-const HAND_OVER: Duration = Duration::from_millis(300);
-
-/// How long answers of executors are waited for. A machine's share of its
-/// processor may be given to it in slices a tenth of a second apart.
-const ORDERS: TimeoutBounds =
+/// The interval at which the scheduler gets a tick.
+const TICK_INTERVAL: Millis = 50;
+/// The interval at which the metrics of client accounts are updated.
+const USAGE_INTERVAL: Millis = 1_000;
+/// The pause after a failed call to the store.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// How long a handover waits for open requests.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// The timeout of orders. Machines may get their share of the processor in
+/// slices that are a tenth of a second apart, which delays answers.
+const ORDER_TIMEOUT: TimeoutBounds =
     TimeoutBounds { min: 120, initial: 300, max: 300 };
-/// A turn of the loop, or the wait of an input, is slow from so many
-/// milliseconds on: no answer is read meanwhile, and a quarter of the least
-/// time that answers are waited for is gone.
-const SLOW: Millis = ORDERS.min / 4;
+/// An iteration of the event loop, or the wait of an input, of this length is
+/// slow: no answer is read meanwhile, and a quarter of the shortest timeout of
+/// an order has passed.
+const SLOW_ITERATION: Millis = ORDER_TIMEOUT.min / 4;
 
-/// The number of a peer within one tenure.
+/// The number of a peer within one leader term.
 pub type PeerId = u64;
 
-/// What the leader's loop is told.
+/// An input of the leader's event loop.
 enum Input {
-    Ask(Caller, Request, Origin),
+    Request(Caller, Request, Origin),
     Event(Event),
-    Join(PeerId, Peer),
-    StoreSilent(PeerId, Millis),
-    Leave(PeerId),
+    PeerJoined(PeerId, Peer),
+    /// For how long the store has not answered a peer.
+    PeerStoreSilence(PeerId, Millis),
+    PeerLeft(PeerId),
     Policy(Arc<Policy>),
     Cordons(Cordons),
-    /// Whether this node still led after a request about an unknown job came,
-    /// if the store says so.
-    Confirmed(RequestId, Option<bool>),
-    KeyGone,
+    /// Whether this node still led after it received a request about an
+    /// unknown job, or `None` if the store did not answer.
+    LeadershipChecked(RequestId, Option<bool>),
+    /// The leader's key is gone.
+    KeyRemoved,
+    /// Hand over the leadership. The sender is dropped when that is done.
     HandOver(oneshot::Sender<()>),
-    Over,
+    /// End the term.
+    End,
 }
 
 impl Input {
     fn kind(&self) -> InputKind {
         match self {
-            Input::Ask(..) => InputKind::Request,
+            Input::Request(..) => InputKind::Request,
             Input::Event(event) => InputKind::of(event),
-            Input::Join(..)
-            | Input::StoreSilent(..)
-            | Input::Leave(_)
+            Input::PeerJoined(..)
+            | Input::PeerStoreSilence(..)
+            | Input::PeerLeft(_)
             | Input::Policy(_)
             | Input::Cordons(_)
-            | Input::Confirmed(..)
-            | Input::KeyGone
+            | Input::LeadershipChecked(..)
+            | Input::KeyRemoved
             | Input::HandOver(_)
-            | Input::Over => InputKind::Other,
+            | Input::End => InputKind::Other,
         }
     }
 }
 
-/// An input, and when it was sent.
-struct Sent {
+/// An input with the time at which it was sent.
+struct QueuedInput {
     input: Input,
-    at: Micros,
+    sent_at: Micros,
 }
 
-/// Who waits for an answer.
+/// Where a request came from, and thus where its answer goes.
 enum Origin {
-    Here(oneshot::Sender<Outcome>),
+    Local(oneshot::Sender<Outcome>),
     Peer(PeerId, RequestId),
 }
 
-/// The way to the scheduler of this node.
+/// A handle to the leader's event loop on this node.
 #[derive(Clone)]
 pub struct LeaderHandle {
-    inputs: mpsc::UnboundedSender<Sent>,
-    peers: Rc<Cell<PeerId>>,
-    over: Rc<Cell<bool>>,
+    inputs: mpsc::UnboundedSender<QueuedInput>,
+    /// The number of the last peer that was added.
+    last_peer: Rc<Cell<PeerId>>,
+    ended: Rc<Cell<bool>>,
     confirmed: Rc<Cell<Millis>>,
     relays: Rc<Relays>,
 }
 
 impl LeaderHandle {
-    /// Passes on a request of a client of this node.
+    /// Submits a request of a client of this node.
     pub fn ask(
         &self,
         caller: Caller,
         request: Request,
         reply: oneshot::Sender<Outcome>,
     ) {
-        self.send(Input::Ask(caller, request, Origin::Here(reply)));
+        self.send(Input::Request(caller, request, Origin::Local(reply)));
     }
 
-    /// Passes on a request of a client of another node.
+    /// Submits a request of a client of another node.
     pub fn ask_for_peer(
         &self,
         peer: PeerId,
@@ -143,11 +148,11 @@
         caller: Caller,
         request: Request,
     ) {
-        self.send(Input::Ask(caller, request, Origin::Peer(peer, id)));
+        self.send(Input::Request(caller, request, Origin::Peer(peer, id)));
     }
 
-    /// Another node has connected. Returns its number, and what is known of
-    /// it as a relay.
+    /// Adds a node that has connected. Returns its number, and the relay that
+    /// represents it.
     pub fn add_peer(
         &self,
         node: String,
@@ -155,28 +160,28 @@
         cpu_millis: u32,
         sender: Sender,
     ) -> (PeerId, Rc<Relay>) {
-        let id = self.peers.get() + 1;
-        self.peers.set(id);
+        let id = self.last_peer.get() + 1;
+        self.last_peer.set(id);
         let relay = Relay::new(node.clone(), dc, cpu_millis, sender.clone());
         let relay = Rc::new(relay);
         self.relays.add(relay.clone());
-        let peer = Peer { node, sender, cpu_millis, store_silent: 0 };
-        self.send(Input::Join(id, peer));
+        let peer = Peer { node, sender, cpu_millis, store_silence: 0 };
+        self.send(Input::PeerJoined(id, peer));
         (id, relay)
     }
 
-    /// For how long the store has not answered another node.
+    /// Reports for how many milliseconds the store has not answered a peer.
     pub fn set_store_silence(&self, peer: PeerId, silent: Millis) {
-        self.send(Input::StoreSilent(peer, silent));
+        self.send(Input::PeerStoreSilence(peer, silent));
     }
 
-    /// Another node has gone.
+    /// Removes a node that has disconnected.
     pub fn remove_peer(&self, peer: PeerId, relay: &Relay) {
         self.relays.remove(relay);
-        self.send(Input::Leave(peer));
+        self.send(Input::PeerLeft(peer));
     }
 
-    /// Another node has got advice.
+    /// Reports the answer to a call for advice.
     pub fn report_advice(
         &self,
         call: CallId,
@@ -185,62 +190,63 @@
         self.send(Input::Event(Event::Advised { call, answer }));
     }
 
-    /// A version of the policy is in force.
+    /// Puts a version of the policy in force.
     pub fn set_policy(&self, policy: Arc<Policy>) {
         self.send(Input::Policy(policy));
     }
 
-    /// These data centres take no new work.
+    /// Sets the data centres that accept no new work.
     pub fn set_cordons(&self, cordons: Cordons) {
         self.send(Input::Cordons(cordons));
     }
 
-    /// The operators want a wave of upkeep.
+    /// Reports a maintenance wave that operators have requested.
     pub fn announce_wave(&self, wave: MaintenanceWave) {
         self.send(Input::Event(Event::Wave(wave)));
     }
 
-    /// Somebody else leads since this revision.
+    /// Ends the term because another node leads since `revision`.
     pub fn supersede(&self, revision: Revision) {
         info!(revision, "deposed_by_successor");
-        self.send(Input::Over);
+        self.send(Input::End);
     }
 
-    /// When the store was last asked and confirmed that nobody else leads.
+    /// Returns when the last call was sent by which the store has confirmed
+    /// that no other node leads.
     pub fn confirmed_at(&self) -> Millis {
         self.confirmed.get()
     }
 
-    /// Whether the tenure is over.
+    /// Returns whether the term has ended.
     pub fn has_ended(&self) -> bool {
-        self.over.get()
+        self.ended.get()
     }
 
     fn send(&self, input: Input) {
-        let sent = Sent { input, at: clock::mono_micros() };
-        // A tenure that is over answers nobody.
-        let _ = self.inputs.send(sent);
+        let queued = QueuedInput { input, sent_at: clock::mono_micros() };
+        // After the end of the term, nothing receives inputs.
+        let _ = self.inputs.send(queued);
     }
 }
 
-/// The key of the leader is gone, perhaps by mistake.
+/// Reports that the leader's key was removed, perhaps by mistake.
 pub fn report_key_removed<P: Platform>(shared: &Shared<P>) {
     if let Some(lead) = shared.lead.borrow().as_ref() {
-        lead.send(Input::KeyGone);
+        lead.send(Input::KeyRemoved);
     }
 }
 
-/// At a planned stop: ends the tenure, so that another node may lead.
+/// Ends the term before a planned stop, so that another node can lead.
 pub async fn hand_over<P: Platform>(shared: &Shared<P>) {
     let lead = shared.lead.borrow().as_ref().map(LeaderHandle::clone);
     let Some(lead) = lead else { return };
-    let (done, over) = oneshot::channel();
+    let (done, ended) = oneshot::channel();
     lead.send(Input::HandOver(done));
-    let _ = timeout(2 * HAND_OVER, over).await;
+    let _ = timeout(2 * HANDOVER_TIMEOUT, ended).await;
 }
 
-/// Begins to lead. The claim was written at `token`, under `lease`, and its
-/// lease was asked for at `confirmed`.
+/// Starts to lead. The claim was written at revision `token` under `lease`,
+/// and the lease was requested at the time `confirmed`.
 pub fn start_term<P: Platform>(
     shared: &Rc<Shared<P>>,
     token: Revision,
@@ -251,20 +257,20 @@
     let confirmed = Rc::new(Cell::new(confirmed));
     let handle = LeaderHandle {
         inputs,
-        peers: Rc::default(),
-        over: Rc::default(),
+        last_peer: Rc::default(),
+        ended: Rc::default(),
         confirmed: confirmed.clone(),
         relays: Rc::default(),
     };
     *shared.lead.borrow_mut() = Some(handle.clone());
     shared.count("tenures");
-    let tenure = LeaderTerm {
+    let term = LeaderTerm {
         journal: Rc::new(Journal::new(
             shared.store.clone(),
             shared.platform.kept_prefix(),
             token,
         )),
-        ways: Rc::new(Routes::new(
+        routes: Rc::new(Routes::new(
             shared.clone(),
             handle.relays.clone(),
             token,
@@ -272,27 +278,28 @@
         shared: shared.clone(),
         handle: handle.clone(),
         token,
-        begun: clock::mono(),
+        started_at: clock::mono(),
         lease: Rc::new(Cell::new(lease)),
         confirmed,
-        executors: Rc::default(),
+        executor_infos: Rc::default(),
         peers: HashMap::new(),
         origins: HashMap::new(),
-        requests: 0,
-        handed_over: None,
-        patience: Rc::new(CallTimeout::new(
-            ORDERS.with_link_delay(shared.settings.borrow().link_bytes_per_ms),
+        last_request: 0,
+        handover_done: None,
+        order_timeout: Rc::new(CallTimeout::new(
+            ORDER_TIMEOUT
+                .with_link_delay(shared.settings.borrow().link_bytes_per_ms),
             shared.has(Mechanism::OrderPatience),
         )),
-        invited: 0,
-        turn: 0,
+        last_offer: 0,
+        next_candidate: 0,
     };
     actix_rt::spawn(async move {
-        let shared = tenure.shared.clone();
-        let journal = tenure.journal.clone();
-        let lease = tenure.lease.clone();
-        let why = tenure.run(received).await;
-        handle.over.set(true);
+        let shared = term.shared.clone();
+        let journal = term.journal.clone();
+        let lease = term.lease.clone();
+        let why = term.run(received).await;
+        handle.ended.set(true);
         journal.close();
         *shared.lead.borrow_mut() = None;
         info!(token, why, "lead_ended");
@@ -308,116 +315,119 @@
 struct Peer {
     node: String,
     sender: Sender,
-    /// Its processor time, in thousandths of a core.
+    /// The processor time of its machine, in thousandths of a core.
     cpu_millis: u32,
-    /// For how long the store had not answered it.
-    store_silent: Millis,
+    /// For how long the store had not answered it at its last heartbeat.
+    store_silence: Millis,
 }
 
-/// One node's time as leader.
+/// A leader term: the time during which this node leads.
 struct LeaderTerm<P> {
     shared: Rc<Shared<P>>,
     handle: LeaderHandle,
     journal: Rc<Journal<P>>,
     token: u64,
-    /// When its claim was made.
-    begun: Millis,
+    /// When this node learned that its claim had succeeded.
+    started_at: Millis,
     lease: Rc<Cell<u64>>,
-    /// When the last call was sent by which the store has confirmed that
-    /// nobody else leads.
+    /// When the last call was sent by which the store has confirmed that no
+    /// other node leads.
     confirmed: Rc<Cell<Millis>>,
-    executors: Rc<RefCell<HashMap<ExecutorIndex, Rc<ExecutorInfo>>>>,
+    executor_infos: Rc<RefCell<HashMap<ExecutorIndex, Rc<ExecutorInfo>>>>,
     peers: HashMap<PeerId, Peer>,
     origins: HashMap<RequestId, Origin>,
-    requests: RequestId,
-    /// Told when open requests are answered, once a hand-over has begun.
-    handed_over: Option<oneshot::Sender<()>>,
-    /// How orders go to executors.
-    ways: Rc<Routes<P>>,
-    /// How long answers of executors are waited for.
-    patience: Rc<CallTimeout>,
-    /// When another node was asked last to lead in this one's place.
-    invited: Millis,
-    /// Which node is asked next.
-    turn: usize,
+    /// The number of the last request.
+    last_request: RequestId,
+    /// Set once a handover has begun. Dropped when the term ends, which tells
+    /// the caller that open requests are answered.
+    handover_done: Option<oneshot::Sender<()>>,
+    /// Chooses how orders reach executors.
+    routes: Rc<Routes<P>>,
+    /// The timeout of orders.
+    order_timeout: Rc<CallTimeout>,
+    /// When the leadership was last offered to another node.
+    last_offer: Millis,
+    /// Which of the eligible peers gets the next offer.
+    next_candidate: usize,
 }
 
 impl<P: Platform> LeaderTerm<P> {
-    /// Leads until it is over, and says why it is.
+    /// Leads until the term ends, and returns why it ended.
     async fn run(
         mut self,
-        mut inputs: mpsc::UnboundedReceiver<Sent>,
+        mut inputs: mpsc::UnboundedReceiver<QueuedInput>,
     ) -> &'static str {
-        // Reading what a predecessor left may take longer than the lease.
-        self.spawn_renewals();
+        // Reading the state of the predecessor may take longer than the lease.
+        self.spawn_lease_renewals();
         let Some(mut scheduler) = self.take_over().await else {
             return "superseded at the takeover";
         };
-        self.spawn_watch();
+        self.spawn_executor_watch();
         let mut last_tick = 0;
-        let mut accounts_told = 0;
-        let mut slow_turns = SlowIterations::new(SLOW);
-        self.tell_advisors(&mut scheduler);
+        let mut last_usage = 0;
+        let mut slow_iterations = SlowIterations::new(SLOW_ITERATION);
+        self.update_advisors(&mut scheduler);
         for wave in self.shared.waves() {
             self.handle.announce_wave(wave);
         }
         loop {
             let now = clock::mono();
             if self.is_unconfirmed() {
-                self.give_up_requests();
+                self.fail_open_requests();
                 return "not confirmed in time";
             }
-            let next = last_tick + TICK;
+            let next = last_tick + TICK_INTERVAL;
             let next = match scheduler.next_advance() {
                 Some(advance) => next.min(advance),
                 None => next,
             };
             let pause = Duration::from_millis(next.saturating_sub(now));
             if pause.is_zero() {
-                // Connections have their turn, too.
+                // Let connections be served.
                 yield_now().await;
             }
             let first = timeout(pause, inputs.recv()).await.ok().flatten();
             if self.is_unconfirmed() {
-                // The VM was suspended, or the process stood still, while it
-                // waited: timers tell neither, the clock does.
+                // The VM was suspended, or the process was stopped, during the
+                // wait: the clock shows this, while timers do not.
                 continue;
             }
             let shared = self.shared.clone();
             let stats = &shared.stats;
-            let mut turn =
+            let mut iteration =
                 Iteration::begin(clocks(), scheduler.placement_stats());
             let mut next = first;
-            while let Some(Sent { input, at }) = next {
+            while let Some(QueuedInput { input, sent_at }) = next {
                 let now = clock::mono_micros();
-                turn.begin_input(stats, input.kind(), at, now);
-                let received = at / 1_000;
-                if let Some(why) = self.input(&mut scheduler, input, received)
+                iteration.begin_input(stats, input.kind(), sent_at, now);
+                let received = sent_at / 1_000;
+                if let Some(why) =
+                    self.handle_input(&mut scheduler, input, received)
                 {
-                    self.give_up_requests();
+                    self.fail_open_requests();
                     return why;
                 }
                 next = inputs.try_recv().ok();
             }
-            let taken = clock::mono_micros();
-            turn.finish_input(stats, taken);
-            let now = taken / 1_000;
+            let finished = clock::mono_micros();
+            iteration.finish_input(stats, finished);
+            let now = finished / 1_000;
             if self.is_unconfirmed() {
                 continue;
             }
-            if now >= last_tick + TICK {
+            if now >= last_tick + TICK_INTERVAL {
                 last_tick = now;
                 let wall = clock::wall() as i64;
                 scheduler.set_wall_offset(wall - now as i64);
                 self.shared.stats.set_leading(scheduler.counters());
-                if now >= accounts_told + TELL_ACCOUNTS {
-                    accounts_told = now;
+                if now >= last_usage + USAGE_INTERVAL {
+                    last_usage = now;
                     self.shared.stats.set_accounts(scheduler.usage());
                 }
-                if self.turned_away(now) {
-                    self.invite(now);
+                if self.is_store_unreachable(now) {
+                    self.offer_to_next_peer(now);
                 } else {
-                    self.make_way(now);
+                    self.offer_to_larger_machine(now);
                 }
                 scheduler.confirm_leadership(self.confirmed.get());
                 let actions = scheduler.handle(Event::Tick, now);
@@ -425,38 +435,39 @@
                     return "fenced";
                 }
             }
-            if scheduler.executor_count() != self.ways.executors() {
-                self.ways.set_executors(scheduler.executors_by_dc());
+            if scheduler.executor_count() != self.routes.executor_count() {
+                self.routes.set_executors(scheduler.executors_by_dc());
             }
             let since = clock::mono_micros();
             let actions = scheduler.advance(now);
             let until = clock::mono_micros();
-            turn.record_advance(stats, since, until);
-            let took = Duration::from_micros(until.saturating_sub(since));
-            scheduler.record_advance_time(took, until / 1_000);
+            iteration.record_advance(stats, since, until);
+            let elapsed = Duration::from_micros(until.saturating_sub(since));
+            scheduler.record_advance_time(elapsed, until / 1_000);
             if self.perform(&scheduler, actions) {
                 return "fenced";
             }
-            let took = turn.end(stats, clocks(), scheduler.placement_stats());
-            if let Some((slow, worst)) = slow_turns.observe(took) {
+            let measured =
+                iteration.end(stats, clocks(), scheduler.placement_stats());
+            if let Some((slow, worst)) = slow_iterations.observe(measured) {
                 decision_log::log_slow_iteration(
                     &scheduler, self.token, slow, &worst,
                 );
             }
-            if self.handed_over.is_some() && self.origins.is_empty() {
+            if self.handover_done.is_some() && self.origins.is_empty() {
                 break;
             }
         }
         "handed over"
     }
 
-    /// Whether the store has not confirmed for too long that nobody else
-    /// leads.
+    /// Returns whether the store has not confirmed for too long that no other
+    /// node leads.
     fn is_unconfirmed(&self) -> bool {
         clock::mono() > self.confirmed.get() + UNCONFIRMED
     }
 
-    fn tell_advisors(&self, scheduler: &mut Scheduler) {
+    fn update_advisors(&self, scheduler: &mut Scheduler) {
         let own = self.shared.settings.borrow().node.clone();
         let mut names = vec![own];
         names.extend(self.peers.values().map(|peer| peer.node.clone()));
@@ -465,72 +476,74 @@
         scheduler.handle(Event::Advisors(names), clock::mono());
     }
 
-    /// Takes in an input. Returns why the tenure is over, if it is.
-    fn input(
+    /// Handles an input. Returns why the term has ended, if it has.
+    fn handle_input(
         &mut self,
         scheduler: &mut Scheduler,
         input: Input,
         received: Millis,
     ) -> Option<&'static str> {
         match input {
-            Input::Ask(caller, request, origin) => {
-                self.requests += 1;
-                let id = self.requests;
+            Input::Request(caller, request, origin) => {
+                self.last_request += 1;
+                let id = self.last_request;
                 self.origins.insert(id, origin);
-                if self.handed_over.is_some() {
-                    // The next leader is asked at once.
+                if self.handover_done.is_some() {
+                    // The client's node asks the next leader at once.
                     self.reply(id, Outcome::Refused(0));
                     return None;
                 }
-                if self.unsure(&request) {
+                if self.is_unconfirmed_read(&request) {
                     self.shared.count("refused_unconfirmed");
-                    self.reply(id, Outcome::Refused(replies::COME_BACK));
+                    self.reply(id, Outcome::Refused(replies::RETRY_AFTER));
                     return None;
                 }
                 let event = Event::Request { id, caller, request };
-                return self.event(scheduler, event, received);
+                return self.handle_event(scheduler, event, received);
             }
             Input::Event(event) => {
-                return self.event(scheduler, event, received)
+                return self.handle_event(scheduler, event, received)
             }
-            Input::Join(id, peer) => {
+            Input::PeerJoined(id, peer) => {
                 info!(node = peer.node, "node_joined");
-                // What an earlier link of it was asked is lost.
+                // Calls for advice over its earlier connection are lost.
                 self.peers.retain(|_, known| known.node != peer.node);
-                self.tell_advisors(scheduler);
+                self.update_advisors(scheduler);
                 self.peers.insert(id, peer);
-                self.tell_advisors(scheduler);
+                self.update_advisors(scheduler);
             }
-            Input::StoreSilent(peer, silent) => {
+            Input::PeerStoreSilence(peer, silent) => {
                 if let Some(peer) = self.peers.get_mut(&peer) {
-                    peer.store_silent = silent;
+                    peer.store_silence = silent;
                 }
             }
-            Input::Leave(peer) => {
+            Input::PeerLeft(peer) => {
                 if let Some(peer) = self.peers.remove(&peer) {
                     info!(node = peer.node, "node_left");
                 }
-                self.tell_advisors(scheduler);
+                self.update_advisors(scheduler);
             }
             Input::Policy(policy) => scheduler.set_policy(policy),
             Input::Cordons(cordons) => scheduler.set_cordons(cordons),
-            Input::Confirmed(id, leads) => self.deny(id, leads),
-            Input::KeyGone => self.reclaim(),
+            Input::LeadershipChecked(id, leads) => {
+                self.answer_unknown_job(id, leads)
+            }
+            Input::KeyRemoved => self.reclaim(),
             Input::HandOver(done) => {
-                self.handed_over = Some(done);
-                self.invite(clock::mono());
+                self.handover_done = Some(done);
+                self.offer_to_next_peer(clock::mono());
                 let handle = self.handle.clone();
                 actix_rt::spawn(async move {
-                    sleep(HAND_OVER).await;
-                    handle.send(Input::Over);
+                    sleep(HANDOVER_TIMEOUT).await;
+                    handle.send(Input::End);
                 });
             }
-            Input::Over => return Some("over"),
+            Input::End => return Some("over"),
         }
         None
     }
 
-    fn event(
+    fn handle_event(
         &mut self,
         scheduler: &mut Scheduler,
         event: Event,
--- a/src/cell/leader/executor_watch.rs
+++ b/src/cell/leader/executor_watch.rs
@@ -1,11 +1,11 @@
 /*!
-Tells the scheduler which executors the store lists.
+Watches the executors' entries in the store.
 
-Executors write their entries again every second or two though nothing in
-them has changed. So changes are gathered for a while before the next watch,
-and the scheduler is told only of entries that say something new. The store
-tells a bounded number of changes at once: while there are more, nothing is
-gathered, or a large cell would fall behind without end.
+Executors rewrite their entries every second or two even if nothing in them has
+changed. Changes are therefore batched for a while before the next watch, and
+only entries that differ are passed to the scheduler. The store returns a
+limited number of changes at once: while there are more, there is no pause for
+batching, or the watch of a large cell would lag further and further.
 */
 
 use std::collections::{HashMap, HashSet};
@@ -16,38 +16,37 @@
 use tokio::time::sleep;
 use tracing::warn;
 
-use super::{Input, LeaderHandle, LeaderTerm, PAUSE};
+use super::{Input, LeaderHandle, LeaderTerm, RETRY_PAUSE};
 use crate::cell::node::Shared;
 use crate::cell::ports::{Item, Platform};
 use crate::cell::watch_limit::WatchLimit;
 use crate::clock;
 
-/// How long one watch of the executors' entries waits. On a connection that
-/// has fallen silent nothing is learnt for so long: less than the time in
-/// which an executor that leaves has to be noticed. Executors write more often
-/// than that, so that it costs no call.
-const WATCH: Millis = 1_500;
-/// How long changes are gathered before the next watch. A cell of 48
-/// executors would ask 32 times a second without it, and asks five times at
-/// most; a tenth of the two seconds in which an executor that leaves has to be
-/// noticed.
-const GATHER: Duration = Duration::from_millis(200);
-/// An entry that says nothing new is told again after this time, in
-/// milliseconds: the scheduler may have taken the executor for gone.
-const TELL_AGAIN: Millis = 4_000;
+/// How long one watch of the executors' entries waits. This is also how long a
+/// silent connection goes unnoticed, and has to be less than the time in which
+/// a departing executor must be noticed. Executors write more often than this,
+/// so that the limit costs no additional calls.
+const WATCH_TIMEOUT: Millis = 1_500;
+/// How long changes are batched before the next watch. This limits the calls
+/// to five a second; without it, a cell of 48 executors makes 32. It is a
+/// tenth of the two seconds in which a departing executor must be noticed.
+const BATCH_PAUSE: Duration = Duration::from_millis(200);
+/// An unchanged entry is passed to the scheduler again after this time, since
+/// the scheduler may have considered the executor gone.
+const REPEAT_AFTER: Millis = 4_000;
 
-/// What the scheduler was told.
+/// The entries as last passed to the scheduler.
 #[derive(Default)]
-struct Told {
-    /// Entries by the executors' names, and when they were told.
+struct ReportedEntries {
+    /// The entries by executor name, and when each was passed on.
     entries: HashMap<String, (ExecutorInfo, Millis)>,
-    /// The names of executors whose entries can't be read.
+    /// The names of executors whose entries are unreadable.
     unreadable: HashSet<String>,
 }
 
-impl Told {
-    /// Tells the scheduler what an entry says, unless it knows.
-    fn tell<P: Platform>(
+impl ReportedEntries {
+    /// Passes an entry to the scheduler, unless it was passed on lately.
+    fn report_entry<P: Platform>(
         &mut self,
         platform: &P,
         handle: &LeaderHandle,
@@ -56,13 +55,15 @@
         let id = &item.key[platform.executors_prefix().len()..];
         let info = match platform.executor(item) {
             Ok(info) => info,
-            Err(problem) => return self.misread(handle, id, &problem),
+            Err(problem) => {
+                return self.report_unreadable(handle, id, &problem)
+            }
         };
         self.unreadable.remove(id);
         let now = clock::mono();
         let known = self.entries.get(&info.id);
         if known
-            .is_some_and(|(same, at)| *same == info && now < at + TELL_AGAIN)
+            .is_some_and(|(same, at)| *same == info && now < at + REPEAT_AFTER)
         {
             return;
         }
@@ -70,20 +71,25 @@
         handle.send(Input::Event(Event::Listed(info)));
     }
 
-    /// An entry can't be read. That is told once, until it can.
-    fn misread(&mut self, handle: &LeaderHandle, id: &str, problem: &str) {
+    /// Reports an unreadable entry, once until the entry is readable again.
+    fn report_unreadable(
+        &mut self,
+        handle: &LeaderHandle,
+        id: &str,
+        problem: &str,
+    ) {
         if !self.unreadable.insert(id.to_string()) {
             return;
         }
         warn!(problem, executor = id, "entry_unreadable");
-        // It is told of again once it can be read.
+        // The entry is passed on as soon as it is readable again.
         self.entries.remove(id);
         let event = Event::EntryUnreadable(id.to_string());
         handle.send(Input::Event(event));
     }
 
-    /// Tells the scheduler that an executor is no longer listed.
-    fn tell_gone(&mut self, handle: &LeaderHandle, id: &str) {
+    /// Reports that an executor is no longer listed.
+    fn report_gone(&mut self, handle: &LeaderHandle, id: &str) {
         self.entries.remove(id);
         self.unreadable.remove(id);
         handle.send(Input::Event(Event::Unlisted(id.to_string())));
@@ -91,60 +97,60 @@
 }
 
 impl<P: Platform> LeaderTerm<P> {
-    /// Tells the scheduler which executors the store lists.
-    pub(super) fn spawn_watch(&self) {
+    /// Reports the executors that the store lists for as long as the term
+    /// lasts.
+    pub(super) fn spawn_executor_watch(&self) {
         let shared = self.shared.clone();
         let handle = self.handle.clone();
         actix_rt::spawn(async move {
-            let mut told = Told::default();
+            let mut reported = ReportedEntries::default();
             while !handle.has_ended() {
-                watch_executors(&shared, &handle, &mut told).await;
-                sleep(PAUSE).await;
+                watch_executors(&shared, &handle, &mut reported).await;
+                sleep(RETRY_PAUSE).await;
             }
         });
     }
 }
 
-/// Reads the executors' entries and follows their changes until a call
-/// fails.
+/// Reads the executors' entries and watches their changes until a call fails.
 async fn watch_executors<P: Platform>(
     shared: &Shared<P>,
     handle: &LeaderHandle,
-    told: &mut Told,
+    reported: &mut ReportedEntries,
 ) {
     let (platform, store) = (&shared.platform, &shared.store);
     let prefix = platform.executors_prefix();
     let mut present = HashSet::new();
-    // What one page says may be used before the next is there.
+    // Each page is passed on before the next one is read.
     let read = store.read_pages(prefix, |items| {
         for item in items {
             present.insert(item.key[prefix.len()..].to_string());
-            told.tell(&**platform, handle, &item);
+            reported.report_entry(&**platform, handle, &item);
         }
     });
     let Ok(mut revision) = read.await else { return };
-    let known = told.entries.keys().chain(&told.unreadable);
+    let known = reported.entries.keys().chain(&reported.unreadable);
     let gone = known.filter(|id| !present.contains(*id));
     for id in gone.cloned().collect::<Vec<_>>() {
-        told.tell_gone(handle, &id);
+        reported.report_gone(handle, &id);
     }
     handle.send(Input::Event(Event::EntriesRead));
-    let mut backlog = WatchLimit::default();
+    let mut limit = WatchLimit::default();
     while !handle.has_ended() {
-        let changes = store.watch(prefix, revision, WATCH).await;
+        let changes = store.watch(prefix, revision, WATCH_TIMEOUT).await;
         let Ok(changes) = changes else { return };
         revision = changes.revision;
         for key in &changes.removed {
-            told.tell_gone(handle, &key[prefix.len()..]);
+            reported.report_gone(handle, &key[prefix.len()..]);
         }
         for item in &changes.written {
-            told.tell(&**platform, handle, item);
+            reported.report_entry(&**platform, handle, item);
         }
-        let told_now = changes.removed.len() + changes.written.len();
-        if backlog.observe(told_now) {
+        let changed = changes.removed.len() + changes.written.len();
+        if limit.observe(changed) {
             shared.count("entries_asked_on");
         } else {
-            sleep(GATHER).await;
+            sleep(BATCH_PAUSE).await;
         }
     }
 }
--- a/src/cell/leader/leader_key.rs
+++ b/src/cell/leader/leader_key.rs
@@ -1,5 +1,5 @@
 /*!
-Takes the leader's key again when it is gone although nobody has taken it.
+Rewrites the leader's key when it is gone although no other node leads.
 */
 
 use std::cell::Cell;
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use super::{Input, LeaderTerm, PAUSE};
+use super::{Input, LeaderTerm, RETRY_PAUSE};
 use crate::cell::journal::{head_key, head_value, Journal};
 use crate::cell::node::Shared;
 use crate::cell::ports::{Leader, Platform, WriteError};
@@ -16,8 +16,8 @@
 use crate::clock;
 
 impl<P: Platform> LeaderTerm<P> {
-    /// The key of the leader is gone although nobody has taken it: takes it
-    /// again, if nobody has led in between.
+    /// Writes the leader's key again after it was removed, if no other node
+    /// has led in between.
     pub(super) fn reclaim(&self) {
         let shared = self.shared.clone();
         let handle = self.handle.clone();
@@ -35,11 +35,11 @@
                         &shared, revision,
                     ));
                 }
-                Reclaimed::No => handle.send(Input::Over),
+                Reclaimed::No => handle.send(Input::End),
                 Reclaimed::Unknown => {
-                    sleep(PAUSE).await;
+                    sleep(RETRY_PAUSE).await;
                     if !handle.has_ended() {
-                        handle.send(Input::KeyGone);
+                        handle.send(Input::KeyRemoved);
                     }
                 }
             }
@@ -47,7 +47,8 @@
     }
 }
 
-/// Whether the leader's key stands under this lease, if the store says so.
+/// Returns whether the leader's key exists under this lease, or `None` if the
+/// store does not answer.
 pub(super) async fn holds_key<P: Platform>(
     shared: &Shared<P>,
     lease: u64,
@@ -57,7 +58,7 @@
     Some(item.is_some_and(|item| item.lease == lease))
 }
 
-/// What came of an attempt to take the leader's key again.
+/// The result of an attempt to write the leader's key again.
 enum Reclaimed {
     Yes(Revision),
     No,
@@ -75,28 +76,32 @@
         return Reclaimed::Unknown;
     };
     if let Some(item) = item {
-        // Either it was taken again already, or somebody else leads.
-        let ours = item.lease == lease.get();
+        // Either this node has written it again already, or another one leads.
+        let is_own = item.lease == lease.get();
         let leader = shared.leader();
-        let newest = |leader: Leader| leader.revision >= item.revision;
-        return if ours && leader.is_some_and(newest) {
+        let is_newest = |leader: Leader| leader.revision >= item.revision;
+        return if is_own && leader.is_some_and(is_newest) {
             Reclaimed::Yes(item.revision)
         } else {
             Reclaimed::No
         };
     }
     let ttl = shared.settings.borrow().key_lease();
-    let Ok(fresh) = store.grant(ttl).await else {
+    let Ok(new_lease) = store.grant(ttl).await else {
         return Reclaimed::Unknown;
     };
     let head = journal.head();
     let key = head_key(platform.kept_prefix());
-    let mut transaction =
-        store_watch::claim_transaction(shared, 0, fresh, head_value(token, 0));
+    let mut transaction = store_watch::claim_transaction(
+        shared,
+        0,
+        new_lease,
+        head_value(token, 0),
+    );
     transaction.expect.push((key, head));
     match store.write(&transaction).await {
         Ok(revision) => {
-            lease.set(fresh);
+            lease.set(new_lease);
             journal.set_head(revision);
             Reclaimed::Yes(revision)
         }
--- a/src/cell/leader/leadership_offer.rs
+++ b/src/cell/leader/leadership_offer.rs
@@ -1,6 +1,6 @@
 /*!
-Offers the lead to another node: to any that the store serves if it does not
-serve this one, and to a much larger machine at any time.
+Offers the leadership to another node: to any that can reach the store while
+this one can't, and to a much larger machine at any time.
 */
 
 use std::cmp::Reverse;
@@ -13,60 +13,67 @@
 use crate::cell::link::ToNode;
 use crate::cell::ports::Platform;
 
-/// If the store has not answered for so long, another node is asked to lead.
-const INVITE_AFTER: Millis = 550;
-/// The same, if so many calls in a row have failed.
-const INVITE_FAILURES: u32 = 3;
-/// The time until the next node is asked.
-const INVITE_AGAIN: Millis = 250;
+/// The leadership is offered if the store has not answered for this long.
+const OFFER_AFTER: Millis = 550;
+/// The leadership is offered if this many calls in a row have failed.
+const OFFER_AFTER_FAILURES: u32 = 3;
+/// The time until the leadership is offered to the next node.
+const OFFER_INTERVAL: Millis = 250;
 /// A node with at least this many times the processor time is offered the
-/// lead by one that could lead on.
-const MUCH_LARGER: u32 = 2;
-/// The time until such an offer is made again.
-const MAKE_WAY_AGAIN: Millis = 1_000;
-/// Nodes that the store has answered about as lately as any are asked first.
-const SERVED: Millis = 1_500;
+/// leadership even if this node could go on leading.
+const LARGER_MACHINE_FACTOR: u32 = 2;
+/// The time until the next offer to a larger machine.
+const LARGER_MACHINE_OFFER_INTERVAL: Millis = 1_000;
+/// For how long the store may not have answered a peer that gets an offer.
+/// While this node can't reach the store, this is counted from the shortest
+/// such silence of any peer.
+const MAX_STORE_SILENCE: Millis = 1_500;
 
 impl<P: Platform> LeaderTerm<P> {
-    /// Whether the store does not serve this node.
-    pub(super) fn turned_away(&self, now: Millis) -> bool {
+    /// Returns whether this node can't reach the store.
+    pub(super) fn is_store_unreachable(&self, now: Millis) -> bool {
         let store = &self.shared.store;
-        let silent = now > store.answered() + INVITE_AFTER
-            && now > self.confirmed.get() + INVITE_AFTER;
-        silent || store.failures() >= INVITE_FAILURES
+        let silent = now > store.answered() + OFFER_AFTER
+            && now > self.confirmed.get() + OFFER_AFTER;
+        silent || store.failures() >= OFFER_AFTER_FAILURES
     }
 
-    /// Asks another node to lead in this one's place, one after the other.
-    /// This one leads on until another does.
-    pub(super) fn invite(&mut self, now: Millis) {
-        if now < self.invited + INVITE_AGAIN || self.peers.is_empty() {
+    /// Offers the leadership to other nodes in turn. This node goes on leading
+    /// until another one does.
+    pub(super) fn offer_to_next_peer(&mut self, now: Millis) {
+        if now < self.last_offer + OFFER_INTERVAL || self.peers.is_empty() {
             return;
         }
         if !self.shared.has(Mechanism::OfferedLead) {
             return;
         }
         let Some(leader) = self.shared.leader() else { return };
-        let least = self.peers.values().map(|peer| peer.store_silent).min();
+        let least = self.peers.values().map(|peer| peer.store_silence).min();
         let least = least.unwrap_or_default();
-        let mut served: Vec<(&PeerId, &Peer)> = self
+        let mut candidates: Vec<(&PeerId, &Peer)> = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.store_silent <= least + SERVED)
+            .filter(|(_, peer)| {
+                peer.store_silence <= least + MAX_STORE_SILENCE
+            })
             .collect();
-        served.sort_unstable_by_key(|(id, peer)| {
+        candidates.sort_unstable_by_key(|(id, peer)| {
             (Reverse(peer.cpu_millis), **id)
         });
-        let Some((_, peer)) = served.get(self.turn % served.len()) else {
+        let Some((_, peer)) =
+            candidates.get(self.next_candidate % candidates.len())
+        else {
             return;
         };
         self.offer(peer, leader.revision);
-        self.invited = now;
-        self.turn += 1;
+        self.last_offer = now;
+        self.next_candidate += 1;
     }
 
-    /// Offers the lead to a much larger machine that the store serves.
-    pub(super) fn make_way(&mut self, now: Millis) {
-        if now < self.invited + MAKE_WAY_AGAIN {
+    /// Offers the leadership to a much larger machine that can reach the
+    /// store.
+    pub(super) fn offer_to_larger_machine(&mut self, now: Millis) {
+        if now < self.last_offer + LARGER_MACHINE_OFFER_INTERVAL {
             return;
         }
         if !self.shared.has(Mechanism::LargerLeader) {
@@ -74,15 +81,15 @@
         }
         let own = self.shared.settings.borrow().cpu_millis;
         let larger = self.peers.values().filter(|peer| {
-            peer.store_silent <= SERVED
-                && peer.cpu_millis >= own.saturating_mul(MUCH_LARGER)
+            peer.store_silence <= MAX_STORE_SILENCE
+                && peer.cpu_millis >= own.saturating_mul(LARGER_MACHINE_FACTOR)
         });
         let Some(peer) = larger.max_by_key(|peer| peer.cpu_millis) else {
             return;
         };
         let Some(leader) = self.shared.leader() else { return };
         self.offer(peer, leader.revision);
-        self.invited = now;
+        self.last_offer = now;
     }
 
     pub(super) fn offer(&self, peer: &Peer, revision: Revision) {
--- a/src/cell/leader/lease_renewal.rs
+++ b/src/cell/leader/lease_renewal.rs
@@ -1,5 +1,5 @@
 /*!
-Renews the lease of the leader's key, and sees that the key stands.
+Renews the lease of the leader's key, and checks that the key still exists.
 */
 
 use std::time::Duration;
@@ -11,27 +11,27 @@
 use crate::cell::ports::Platform;
 use crate::clock;
 
-/// The lease of the leader is renewed this often within its length.
-const RENEWALS: Millis = 5;
-/// The leader's key is read if nothing has confirmed it for so long.
+/// How many times the leader's lease is renewed within its duration.
+const RENEWALS_PER_LEASE: Millis = 5;
+/// The leader's key is read if nothing has confirmed it for this long.
 const CONFIRM_AFTER: Millis = 350;
 
 impl<P: Platform> LeaderTerm<P> {
-    /// Renews the lease for as long as the tenure lasts. That the lease
-    /// stands does not show that the key does: if no commit has confirmed
-    /// the lead lately, the key is read.
-    pub(super) fn spawn_renewals(&self) {
+    /// Renews the lease for as long as the term lasts. A valid lease does not
+    /// show that the key exists: if no commit has confirmed the leadership
+    /// lately, the key is read.
+    pub(super) fn spawn_lease_renewals(&self) {
         let shared = self.shared.clone();
         let handle = self.handle.clone();
         let lease = self.lease.clone();
         let confirmed = self.confirmed.clone();
         actix_rt::spawn(async move {
             let ttl = shared.settings.borrow().leader_lease;
-            let pause = Duration::from_millis(ttl / RENEWALS);
-            let mut turns = tokio::time::interval(pause);
-            turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
+            let pause = Duration::from_millis(ttl / RENEWALS_PER_LEASE);
+            let mut interval = tokio::time::interval(pause);
+            interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
             while !handle.has_ended() {
-                turns.tick().await;
+                interval.tick().await;
                 let renewed = tokio::select! {
                     biased;
                     renewed = shared.store.renew(lease.get()) => renewed,
@@ -40,7 +40,7 @@
                 match renewed {
                     Ok(true) => {}
                     Ok(false) => {
-                        handle.send(Input::KeyGone);
+                        handle.send(Input::KeyRemoved);
                         continue;
                     }
                     Err(_) => {
@@ -56,7 +56,7 @@
                     Some(true) => {
                         confirmed.set(confirmed.get().max(sent_at));
                     }
-                    Some(false) => handle.send(Input::KeyGone),
+                    Some(false) => handle.send(Input::KeyRemoved),
                     None => shared.count("confirmations_failed"),
                 }
             }
--- a/src/cell/leader/orders.rs
+++ b/src/cell/leader/orders.rs
@@ -1,5 +1,5 @@
 /*!
-Carries out what the scheduler wants done, and tells it what came of it.
+Carries out the scheduler's actions and reports the results to it.
 */
 
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-use super::{Input, LeaderHandle, LeaderTerm, PAUSE};
+use super::{Input, LeaderHandle, LeaderTerm, RETRY_PAUSE};
 use crate::cell::call_timeout::CallTimeout;
 use crate::cell::decision_log;
 use crate::cell::journal::WriteFailure;
@@ -25,49 +25,49 @@
 use crate::cell::ports::{Platform, Transaction};
 use crate::clock;
 
-/// How much longer an order is left open after it counts as unanswered, in
-/// milliseconds. An answer that was held up by a full link still says what
-/// became of the order, and the connection can be used again; given up, it
-/// would have to be asked for once more, over a new connection, and the link
-/// would fill further.
-const LATE: Millis = 3_000;
+/// How much longer than its timeout the answer to an order is awaited. An
+/// answer that a full link has delayed still tells the result of the order,
+/// and its connection can be reused. Otherwise the leader would have to ask
+/// again over a new connection, which would fill the link further.
+const LATE_ANSWER_TIMEOUT: Millis = 3_000;
 
-/// The clocks of two machines run apart by one part in this many at most.
-const CLOCK_DRIFT: Millis = 50;
+/// The clocks of two machines drift apart by at most one part in this many.
+const CLOCK_DRIFT_DIVISOR: Millis = 50;
 
-/// Takes in how long an order took.
-fn learn<T>(
-    patience: &CallTimeout,
+/// Records the result and the duration of an order.
+fn record_outcome<T>(
+    order_timeout: &CallTimeout,
     answer: &Result<T, OrderFailure>,
-    took: Millis,
+    elapsed: Millis,
 ) {
     match answer {
-        Err(OrderFailure::Unknown) => patience.record_timeout(),
-        // A connection that was refused says nothing about answers.
+        Err(OrderFailure::Unknown) => order_timeout.record_timeout(),
+        // A refused connection says nothing about the time of answers.
         Err(OrderFailure::NotSent) => {}
-        _ => patience.record_answer(took),
+        _ => order_timeout.record_answer(elapsed),
     }
 }
 
 impl<P: Platform> LeaderTerm<P> {
-    fn executor(
+    /// Returns the entry of an executor, shared among its orders.
+    fn executor_info(
         &self,
         scheduler: &Scheduler,
         index: ExecutorIndex,
     ) -> Option<Rc<ExecutorInfo>> {
         let executor = scheduler.executor(index)?;
-        let mut known = self.executors.borrow_mut();
-        let info = known
+        let mut infos = self.executor_infos.borrow_mut();
+        let info = infos
             .entry(index)
             .or_insert_with(|| Rc::new(executor.info.clone()));
-        // Its entry may have changed, and its address with it.
+        // The entry may have changed, and with it the address.
         if **info != executor.info {
             *info = Rc::new(executor.info.clone());
         }
         Some(info.clone())
     }
 
-    /// Carries out actions. Returns whether the tenure is over.
+    /// Carries out actions. Returns whether the term has ended.
     pub(super) fn perform(
         &mut self,
         scheduler: &Scheduler,
@@ -82,7 +82,7 @@
                 Action::JobEnded { job, .. } => {
                     self.handle.relays.forget_job(job);
                 }
-                // These are for the logs only.
+                // These are only logged.
                 Action::TakeoverComplete { .. }
                 | Action::NotAdmitted { .. }
                 | Action::OverShare { .. }
@@ -109,14 +109,14 @@
                     wait,
                 } => {
                     let order = Order::Hold { due, last_seen, known, wait };
-                    let held = move |answer: Answer| {
+                    let renewed = move |answer: Answer| {
                         let answer = answer.and_then(|reply| match reply {
-                            Reply::Account(account) => Ok(account),
+                            Reply::Account(report) => Ok(report),
                             _ => Err(OrderFailure::Unknown),
                         });
                         Event::RenewalAnswered { executor, sent_at, answer }
                     };
-                    self.order(scheduler, executor, order, None, held);
+                    self.send_order(scheduler, executor, order, None, renewed);
                 }
                 Action::Start {
                     executor,
@@ -136,8 +136,8 @@
                         });
                         Event::StartAnswered { executor, task, run, answer }
                     };
-                    let text = Some(spec);
-                    self.order(scheduler, executor, order, text, started);
+                    let spec = Some(spec);
+                    self.send_order(scheduler, executor, order, spec, started);
                 }
                 Action::Stop { executor, task, run } => {
                     let order = Order::Stop { task, run };
@@ -145,32 +145,35 @@
                         let answer = answer.map(|_| ());
                         Event::StopAnswered { executor, task, run, answer }
                     };
-                    self.order(scheduler, executor, order, None, stopped);
+                    self.send_order(scheduler, executor, order, None, stopped);
                 }
                 Action::Throttle { executor, task, run, percent } => {
                     let order = Order::Pace { task, run, percent };
-                    let paced = move |answer: Answer| {
+                    let throttled = move |answer: Answer| {
                         let answer = answer.map(|_| ());
                         Event::ThrottleAnswered { executor, answer }
                     };
-                    self.order(scheduler, executor, order, None, paced);
+                    self.send_order(
+                        scheduler, executor, order, None, throttled,
+                    );
                 }
                 Action::ListMachines => self.list_machines(),
                 Action::StartMaintenance { wave, machine } => {
-                    self.upkeep(wave, machine);
+                    self.start_maintenance(wave, machine);
                 }
                 Action::WaveState { wave, succeeded } => {
-                    self.tell_wave_state(wave, succeeded);
+                    self.write_wave_state(wave, succeeded);
                 }
             }
         }
         false
     }
 
-    fn outside(&self) -> (Rc<P>, LeaderHandle) {
+    fn platform_and_handle(&self) -> (Rc<P>, LeaderHandle) {
         (self.shared.platform.clone(), self.handle.clone())
     }
 
+    /// Writes changes to the store.
     fn commit(&self, changes: Vec<Change>) {
         let shared = self.shared.clone();
         let journal = self.journal.clone();
@@ -185,7 +188,7 @@
                     confirmed.set(confirmed.get().max(sent_at));
                     handle.send(Input::Event(Event::Committed));
                 }
-                Err(WriteFailure::Superseded) => handle.send(Input::Over),
+                Err(WriteFailure::Superseded) => handle.send(Input::End),
                 Err(WriteFailure::Declined(changes)) => {
                     let event = Event::CommitDeclined(changes);
                     handle.send(Input::Event(event));
@@ -194,35 +197,41 @@
         });
     }
 
-    /// Gives an order to an executor, and tells the scheduler by `event`
-    /// what came of it: after as long as answers usually take that nothing
-    /// is known, and what the answer says if it comes later.
-    fn order(
+    /// Sends an order to an executor, and reports the result to the scheduler
+    /// as an `event`: after the timeout that the result is unknown, and the
+    /// actual result if the answer comes later.
+    fn send_order(
         &self,
         scheduler: &Scheduler,
         executor: ExecutorIndex,
         order: Order,
-        text: Option<Arc<str>>,
+        spec: Option<Arc<str>>,
         event: impl Fn(Answer) -> Event + 'static,
     ) {
-        let Some(info) = self.executor(scheduler, executor) else { return };
+        let Some(info) = self.executor_info(scheduler, executor) else {
+            return;
+        };
         let handle = self.handle.clone();
-        let ways = self.ways.clone();
+        let routes = self.routes.clone();
         let shared = self.shared.clone();
-        let patience = self.patience.clone();
+        let order_timeout = self.order_timeout.clone();
         let wait = order.wait();
-        let within = wait + patience.current();
-        let late = if shared.has(Mechanism::LateAnswers) { LATE } else { 0 };
+        let within = wait + order_timeout.current();
+        let late = if shared.has(Mechanism::LateAnswers) {
+            LATE_ANSWER_TIMEOUT
+        } else {
+            0
+        };
         actix_rt::spawn(async move {
             let sent_at = clock::mono();
-            let text = text.unwrap_or_else(|| Arc::from(""));
-            let call = ways.order(&info, &order, &text, within + late);
+            let spec = spec.unwrap_or_else(|| Arc::from(""));
+            let call = routes.send(&info, &order, &spec, within + late);
             let mut call = std::pin::pin!(call);
-            let usual = Duration::from_millis(within);
-            let answer = match timeout(usual, &mut call).await {
+            let limit = Duration::from_millis(within);
+            let answer = match timeout(limit, &mut call).await {
                 Ok(answer) => answer,
                 Err(_) => {
-                    patience.record_timeout();
+                    order_timeout.record_timeout();
                     let unknown = event(Err(OrderFailure::Unknown));
                     handle.send(Input::Event(unknown));
                     let answer = call.await;
@@ -233,40 +242,41 @@
                     answer
                 }
             };
-            let took = clock::mono() - sent_at;
+            let elapsed = clock::mono() - sent_at;
             if matches!(order, Order::Start { .. }) {
-                shared.stats.took("start_order", took);
+                shared.stats.took("start_order", elapsed);
             }
             if wait == 0 {
-                learn(&patience, &answer, took);
+                record_outcome(&order_timeout, &answer, elapsed);
             }
             handle.send(Input::Event(event(answer)));
         });
     }
 
     fn list_machines(&self) {
-        let (platform, handle) = self.outside();
+        let (platform, handle) = self.platform_and_handle();
         actix_rt::spawn(async move {
             let machines = platform.machines().await.ok();
             handle.send(Input::Event(Event::Machines(machines)));
         });
     }
 
-    fn upkeep(&self, wave: u64, machine: String) {
-        let (platform, handle) = self.outside();
+    fn start_maintenance(&self, wave: u64, machine: String) {
+        let (platform, handle) = self.platform_and_handle();
         let token = self.token;
         let holder = self.shared.settings.borrow().node.clone();
         let confirmed = self.confirmed.get();
         let lease = self.shared.settings.borrow().leader_lease;
-        let begun = self.begun;
+        let started_at = self.started_at;
         actix_rt::spawn(async move {
-            // Nobody may check the token of this call, so that it is made
-            // only while nobody else can lead: a predecessor may think so
-            // for the length of its lease after it was replaced.
+            // The receiver may not check the token of this call, so the call
+            // is made only while no other node can believe that it leads. A
+            // predecessor may believe so for the length of its lease after it
+            // was replaced.
             let now = clock::mono();
-            let alone = now > begun + lease + lease / CLOCK_DRIFT;
-            let sure = alone && now < confirmed + lease;
-            let answer = if sure {
+            let alone = now > started_at + lease + lease / CLOCK_DRIFT_DIVISOR;
+            let may_call = alone && now < confirmed + lease;
+            let answer = if may_call {
                 platform.upkeep(&holder, token, &machine, wave).await
             } else {
                 Err(MaintenanceFailure::Refused)
@@ -276,17 +286,17 @@
         });
     }
 
-    /// Writes where a wave stands, trying until it is written.
-    fn tell_wave_state(&self, wave: u64, succeeded: bool) {
+    /// Writes the state of a wave, and retries until it is written.
+    fn write_wave_state(&self, wave: u64, succeeded: bool) {
         let shared = self.shared.clone();
         let handle = self.handle.clone();
         actix_rt::spawn(async move {
             let (key, value) = shared.platform.wave_state(wave, succeeded);
             while !handle.has_ended() {
                 let leader = shared.leader().map(|leader| leader.revision);
-                let condition = shared.platform.leader_key().to_string();
+                let leader_key = shared.platform.leader_key().to_string();
                 let transaction = Transaction {
-                    expect: vec![(condition, leader.unwrap_or_default())],
+                    expect: vec![(leader_key, leader.unwrap_or_default())],
                     put: vec![(key.clone(), value.clone(), 0)],
                     remove: Vec::new(),
                 };
@@ -294,11 +304,13 @@
                     info!(wave, succeeded, "wave_state_written");
                     return;
                 }
-                sleep(PAUSE).await;
+                sleep(RETRY_PAUSE).await;
             }
         });
     }
 
+    /// Asks for advice, through the peer that is to ask if it is not this
+    /// node.
     fn advise(
         &self,
         call: CallId,
@@ -314,7 +326,7 @@
                 peer.sender.send(&message);
             }
             _ => {
-                let (platform, handle) = self.outside();
+                let (platform, handle) = self.platform_and_handle();
                 let within = Duration::from_millis(ADVICE_WITHIN);
                 actix_rt::spawn(async move {
                     let advice = platform.advise(step, &executors);
--- a/src/cell/leader/replies.rs
+++ b/src/cell/leader/replies.rs
@@ -1,5 +1,5 @@
 /*!
-Answers requests of this node's clients and of other nodes.
+Answers the requests of this node's clients and of other nodes.
 */
 
 use puffinknot_core::ids::Millis;
@@ -10,21 +10,22 @@
 use crate::cell::ports::Platform;
 use crate::clock;
 
-/// When a client is to come back that asks what is not sure now.
-pub(super) const COME_BACK: Millis = 1_000;
+/// When a client should retry a request whose answer can't be confirmed now.
+pub(super) const RETRY_AFTER: Millis = 1_000;
 
 impl<P: Platform> LeaderTerm<P> {
-    /// Whether the answer might be wrong, since somebody else may lead.
-    pub(super) fn unsure(&self, request: &Request) -> bool {
+    /// Returns whether a request reads state that may be outdated, since
+    /// another node may lead.
+    pub(super) fn is_unconfirmed_read(&self, request: &Request) -> bool {
         let lease = self.shared.settings.borrow().leader_lease;
         let read =
             matches!(request, Request::State { .. } | Request::Pending { .. });
         read && clock::mono() > self.confirmed.get() + lease
     }
 
-    /// Answers a request. That there is no such job is said only once the
-    /// store has confirmed that nobody else leads: a successor may have
-    /// accepted it.
+    /// Answers a request. [`Outcome::NoSuchJob`] is sent only after the store
+    /// has confirmed that no other node leads: a successor may have accepted
+    /// the job.
     pub(super) fn answer(&mut self, id: RequestId, outcome: Outcome) {
         if outcome != Outcome::NoSuchJob {
             return self.reply(id, outcome);
@@ -34,12 +35,17 @@
         let lease = self.lease.clone();
         actix_rt::spawn(async move {
             let leads = leader_key::holds_key(&shared, lease.get()).await;
-            handle.send(Input::Confirmed(id, leads));
+            handle.send(Input::LeadershipChecked(id, leads));
         });
     }
 
-    /// Answers a request about a job that this node does not know.
-    pub(super) fn deny(&mut self, id: RequestId, leads: Option<bool>) {
+    /// Answers a request about an unknown job. `leads` tells whether this node
+    /// still led after the request came, if the store answered.
+    pub(super) fn answer_unknown_job(
+        &mut self,
+        id: RequestId,
+        leads: Option<bool>,
+    ) {
         match leads {
             Some(true) => self.reply(id, Outcome::NoSuchJob),
             Some(false) => {
@@ -49,14 +55,15 @@
             }
             None => {
                 self.shared.count("refused_unconfirmed");
-                self.reply(id, Outcome::Refused(COME_BACK));
+                self.reply(id, Outcome::Refused(RETRY_AFTER));
             }
         }
     }
 
+    /// Sends an answer to where the request came from.
     pub(super) fn reply(&mut self, id: RequestId, outcome: Outcome) {
         match self.origins.remove(&id) {
-            Some(Origin::Here(reply)) => {
+            Some(Origin::Local(reply)) => {
                 let _ = reply.send(outcome);
             }
             Some(Origin::Peer(peer, id)) => {
@@ -68,7 +75,8 @@
         }
     }
 
-    pub(super) fn give_up_requests(&mut self) {
+    /// Answers all open requests with [`Outcome::Unknown`].
+    pub(super) fn fail_open_requests(&mut self) {
         let open: Vec<RequestId> = self.origins.keys().copied().collect();
         for id in open {
             self.reply(id, Outcome::Unknown);
--- a/src/cell/leader/routes.rs
+++ b/src/cell/leader/routes.rs
@@ -1,6 +1,6 @@
 /*!
-Which way orders go: by a relay, see [`crate::cell::relay`], or straight from
-this node.
+Chooses the routes of orders: through a relay (see [`crate::cell::relay`]) or
+directly from this node.
 */
 
 use std::cell::RefCell;
@@ -19,32 +19,32 @@
 use crate::cell::relay::{Relay, Relays};
 use crate::clock;
 
-/// A cell with more executors than this is served by relays; up to it the
-/// leader's processor and descriptors bear a call to each.
-const MOST_DIRECT: usize = 128;
-/// So many bytes a millisecond should the leader's link have for each executor
-/// that it calls itself: for four starts of 4 KB a second, the longest text of
-/// a job.
-const BYTES_PER_MS_EACH: usize = 16;
-/// How long a new leader waits for the first node of a data centre, in
-/// milliseconds. Nodes connect some tens of milliseconds after they hear of
-/// it; calls of its own would cost it a connection for each executor.
-const FIRST_RELAY: Millis = 250;
-/// So many relays are tried, each of which goes before it has answered. More
-/// would take longer than the answer is waited for.
-const TRIES: usize = 3;
+/// A cell with more executors than this uses relays. Up to this number, the
+/// leader's processor and file descriptors suffice for calls to each executor.
+const MAX_DIRECT_EXECUTORS: usize = 128;
+/// How many bytes per millisecond the leader's link needs for each executor
+/// that it calls itself: four starts a second, each with a job specification
+/// of the maximum length, 4 KB.
+const BYTES_PER_MS_PER_EXECUTOR: usize = 16;
+/// How long a new leader waits for the first relay in a data centre. Nodes
+/// connect some tens of milliseconds after they learn of the leader, while
+/// direct calls would need a connection to each executor.
+const RELAY_WAIT: Millis = 250;
+/// How many relays are tried in a row if each disconnects before it answers.
+/// More would take longer than the timeout of the order.
+const MAX_RELAY_ATTEMPTS: usize = 3;
 
-/// The ways of one tenure's orders.
+/// The routes of the orders of one leader term.
 pub(super) struct Routes<P> {
     shared: Rc<Shared<P>>,
     relays: Rc<Relays>,
     token: u64,
-    begun: Millis,
+    started_at: Millis,
     /// The number of executors in each data centre.
     executors: RefCell<BTreeMap<String, usize>>,
 }
 
-/// One way.
+/// The route of an order.
 enum Route {
     Relay(Rc<Relay>),
     Direct,
@@ -56,32 +56,31 @@
         relays: Rc<Relays>,
         token: u64,
     ) -> Routes<P> {
-        let begun = clock::mono();
+        let started_at = clock::mono();
         let executors = RefCell::default();
-        Routes { shared, relays, token, begun, executors }
+        Routes { shared, relays, token, started_at, executors }
     }
 
-    /// The number of executors.
-    pub fn executors(&self) -> usize {
+    /// Returns the number of executors in the cell.
+    pub fn executor_count(&self) -> usize {
         self.executors.borrow().values().sum()
     }
 
-    /// Takes in how many executors each data centre has.
+    /// Sets the number of executors in each data centre.
     pub fn set_executors(&self, executors: BTreeMap<String, usize>) {
         *self.executors.borrow_mut() = executors;
     }
 
-    /// Has an order carried out, and waits for the answer for so many
-    /// milliseconds.
-    pub async fn order(
+    /// Sends an order and waits for the answer for `within` milliseconds.
+    pub async fn send(
         &self,
         executor: &ExecutorInfo,
         order: &Order,
-        text: &Arc<str>,
+        spec: &Arc<str>,
         within: Millis,
     ) -> Answer {
         let mut lost = false;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_RELAY_ATTEMPTS {
             let relay = match self.choose(executor).await {
                 Route::Relay(relay) => relay,
                 Route::Direct => break,
@@ -89,13 +88,13 @@
             if self.withholds(executor, order) {
                 return certain_answer(Err(OrderFailure::NotSent), lost);
             }
-            let given = if lost { order.for_retry() } else { order.clone() };
+            let attempt = if lost { order.for_retry() } else { order.clone() };
             let since = self.shared.cordons_since();
-            let sent =
-                relay.order(executor, self.token, given, text, within, since);
-            // A relay that stands still answers nothing.
-            let most = Duration::from_millis(within);
-            match timeout(most, sent).await {
+            let sent = relay
+                .order(executor, self.token, attempt, spec, within, since);
+            // A relay that hangs neither answers nor disconnects.
+            let limit = Duration::from_millis(within);
+            match timeout(limit, sent).await {
                 Ok(Some(answer)) => return certain_answer(answer, lost),
                 Ok(None) => self.shared.count("relays_lost"),
                 Err(_) => return Err(OrderFailure::Unknown),
@@ -106,15 +105,15 @@
             return certain_answer(Err(OrderFailure::NotSent), lost);
         }
         let platform = &*self.shared.platform;
-        let again = lost.then(|| order.for_retry());
-        let order = again.as_ref().unwrap_or(order);
+        let retry = lost.then(|| order.for_retry());
+        let order = retry.as_ref().unwrap_or(order);
         let answer =
-            order.carry_out(platform, executor, self.token, text, within);
+            order.carry_out(platform, executor, self.token, spec, within);
         certain_answer(answer.await, lost)
     }
 
-    /// Whether an order is not sent, since operators have wanted its data
-    /// centre to take no new work after it was decided.
+    /// Returns whether an order is withheld because its data centre was
+    /// cordoned after the order was decided.
     fn withholds(&self, executor: &ExecutorInfo, order: &Order) -> bool {
         let withholds =
             order.is_start() && self.shared.is_cordoned(&executor.dc);
@@ -124,35 +123,36 @@
         withholds
     }
 
+    /// Chooses the route to an executor.
     async fn choose(&self, executor: &ExecutorInfo) -> Route {
-        let until = self.begun + FIRST_RELAY;
+        let deadline = self.started_at + RELAY_WAIT;
         loop {
-            let Some(executors) = self.relayed(executor) else {
+            let Some(executors) = self.relayed_executors(executor) else {
                 return Route::Direct;
             };
             if let Some(relay) = self.relays.choose(executor, executors) {
                 return Route::Relay(relay);
             }
             let now = clock::mono();
-            if now >= until {
+            if now >= deadline {
                 return Route::Direct;
             }
-            let rest = Duration::from_millis(until - now);
-            let _ = timeout(rest, self.relays.wait_for_relay()).await;
+            let remaining = Duration::from_millis(deadline - now);
+            let _ = timeout(remaining, self.relays.wait_for_relay()).await;
         }
     }
 
-    /// The number of executors in an executor's data centre, if its orders
-    /// should go by a relay.
-    fn relayed(&self, executor: &ExecutorInfo) -> Option<usize> {
+    /// Returns the number of executors in an executor's data centre if its
+    /// orders should go through a relay.
+    fn relayed_executors(&self, executor: &ExecutorInfo) -> Option<usize> {
         if !self.shared.has(Mechanism::Relays) {
             return None;
         }
-        let all = self.executors();
+        let all = self.executor_count();
         let executors = self.executors.borrow();
         let link = self.shared.settings.borrow().link_bytes_per_ms as usize;
-        let narrow = all * BYTES_PER_MS_EACH > link;
-        let here = executors.get(&executor.dc).copied().unwrap_or_default();
-        (narrow || all > MOST_DIRECT).then_some(here)
+        let narrow = all * BYTES_PER_MS_PER_EXECUTOR > link;
+        let in_dc = executors.get(&executor.dc).copied().unwrap_or_default();
+        (narrow || all > MAX_DIRECT_EXECUTORS).then_some(in_dc)
     }
 }
--- a/src/cell/leader/takeover.rs
+++ b/src/cell/leader/takeover.rs
@@ -1,5 +1,5 @@
 /*!
-Reads what a predecessor has left in the store.
+Restores the scheduler from what the predecessor left in the store.
 */
 
 use puffinknot_core::ids::Millis;
@@ -10,37 +10,41 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-use super::{LeaderTerm, PAUSE};
+use super::{LeaderTerm, RETRY_PAUSE};
 use crate::cell::journal::head_key;
 use crate::cell::node::UNCONFIRMED;
 use crate::cell::ports::Platform;
 use crate::cell::store_watch;
 use crate::clock;
 
-/// The least time between two writes.
-const COMMIT_GAP: Millis = 25;
-/// The most executors in one call for advice.
-const ADVICE_BATCH: usize = 100;
+/// The shortest time between two writes.
+const MIN_COMMIT_INTERVAL: Millis = 25;
+/// The maximum number of executors in one call for advice.
+const MAX_ADVICE_BATCH: usize = 100;
 
-/// A link that carries fewer bytes a millisecond than this is narrow: 8
-/// Mbit/s.
-const NARROW: u32 = 1_000;
+/// A link that carries less than this is narrow, in bytes per millisecond
+/// (8 Mbit/s).
+const NARROW_LINK: u32 = 1_000;
 
-/// What a leader does without behind a narrow link: what sends more when
-/// answers are late fills it further.
-fn affordable(without: Mechanisms, link_bytes_per_ms: u32) -> Mechanisms {
+/// Returns the mechanisms that a leader uses on its link. Mechanisms that send
+/// more when answers are late are disabled on a narrow link, since they would
+/// fill it further.
+fn mechanisms_for_link(
+    mechanisms: Mechanisms,
+    link_bytes_per_ms: u32,
+) -> Mechanisms {
     let costly = [Mechanism::SilenceAlarm, Mechanism::ParallelAdvice];
-    match link_bytes_per_ms < NARROW {
-        true => without.except(costly),
-        false => without,
+    match link_bytes_per_ms < NARROW_LINK {
+        true => mechanisms.except(costly),
+        false => mechanisms,
     }
 }
 
 impl<P: Platform> LeaderTerm<P> {
-    /// Learns what operators want before anything is decided. A node whose
-    /// watch hangs may be behind, and a leader that is would let dropped keys
-    /// in, and start tasks in data centres that take no new work. Returns
-    /// whether the store has said it in time.
+    /// Reads the operators' requests before anything is decided. The requests
+    /// that a node knows may be outdated if its watch hangs, and a leader with
+    /// outdated ones would accept revoked keys and start tasks in cordoned
+    /// data centres. Returns whether the store answered in time.
     async fn read_operator_requests(&self, started: Millis) -> bool {
         while let Err(error) =
             store_watch::read_operator_requests(&self.shared).await
@@ -49,24 +53,25 @@
             if self.is_too_late(started) {
                 return false;
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
         true
     }
 
-    /// Whether a takeover that began then has taken too long.
+    /// Returns whether a takeover that began at `started` has taken too long.
     fn is_too_late(&self, started: Millis) -> bool {
         clock::mono() > started + UNCONFIRMED || self.handle.has_ended()
     }
 
-    /// Reads what a predecessor has left.
+    /// Restores the scheduler. Returns `None` if the takeover takes too long,
+    /// if another node leads, or if what the predecessor left is unreadable.
     pub(super) async fn take_over(&self) -> Option<Scheduler> {
         let started = clock::mono();
         let prefix = self.shared.platform.kept_prefix().to_string();
         let listing = loop {
             match self.shared.store.read(&prefix).await {
                 Ok(listing) => break listing,
-                Err(_) => sleep(PAUSE).await,
+                Err(_) => sleep(RETRY_PAUSE).await,
             }
             if self.is_too_late(started) {
                 return None;
@@ -80,7 +85,7 @@
         if !unchanged {
             return None;
         }
-        let kept: Vec<StoredValue> = listing
+        let stored: Vec<StoredValue> = listing
             .items
             .into_iter()
             .filter(|item| item.key != head)
@@ -91,9 +96,9 @@
             })
             .collect();
         let settings = self.shared.settings.borrow().clone();
-        // A predecessor may order for as long as this after it was confirmed
-        // last, and what it ordered then may run for a lease.
-        let inherited_for = UNCONFIRMED
+        // A predecessor may send orders for `UNCONFIRMED` after its leadership
+        // was last confirmed, and such an order may stay in force for a lease.
+        let inherited_order_lifetime = UNCONFIRMED
             + settings.executor_lease
             + settings.executor_lease / 30
             + 200;
@@ -101,10 +106,10 @@
             token: self.token,
             lease: settings.executor_lease,
             ended_retention: settings.keep_ended,
-            inherited_order_lifetime: inherited_for,
-            max_advice_batch: ADVICE_BATCH,
-            min_commit_interval: COMMIT_GAP,
-            mechanisms: affordable(
+            inherited_order_lifetime,
+            max_advice_batch: MAX_ADVICE_BATCH,
+            min_commit_interval: MIN_COMMIT_INTERVAL,
+            mechanisms: mechanisms_for_link(
                 settings.without,
                 settings.link_bytes_per_ms,
             ),
@@ -114,12 +119,12 @@
         }
         let policy = self.shared.policy().unwrap_or_default();
         let now = clock::mono();
-        match Scheduler::restore(config, policy, &kept, now) {
+        match Scheduler::restore(config, policy, &stored, now) {
             Ok(mut scheduler) => {
                 scheduler.set_cordons(self.shared.cordons());
                 info!(
                     token = self.token,
-                    items = kept.len(),
+                    items = stored.len(),
                     jobs = scheduler.live_jobs(),
                     executors = scheduler.executor_count(),
                     ms = now - started,
--- a/src/cell/store_watch.rs
+++ b/src/cell/store_watch.rs
@@ -1,10 +1,11 @@
 /*!
-Learns the operators' policy, which data centres take no new work, and who
-leads, and leads if nobody does.
+Watches the store for the operators' requests and for the leader, and claims
+the leadership if it is vacant.
 
-All are keys of the store below one prefix, so that one watch a node is
-enough. A node that the store turns away learns them from other nodes, see
-[`crate::cell::link`].
+The operators' requests are the policy, cordons and maintenance waves. All keys
+are below one prefix, so that each node needs only one watch. A node that can't
+reach the store learns their values from other nodes (see
+[`crate::cell::link`]).
 */
 
 use std::net::SocketAddr;
@@ -24,23 +25,24 @@
     WriteError,
 };
 
-/// How long one watch waits for a change.
-const WATCH: Millis = 4_000;
-/// The same while this node leads. On a connection that has fallen silent
-/// nothing is learnt for so long, and what operators want of executors binds
-/// the leader within seconds.
-const WATCH_LEADING: Millis = 1_500;
-/// How long a vacancy must last before a node claims it, at the least.
-const VACANT: Millis = 60;
-/// What is added to that at random, at the most.
-const JITTER: Millis = 120;
+/// How long one watch waits for changes.
+const WATCH_TIMEOUT: Millis = 4_000;
+/// How long one watch waits for changes while this node leads. This is also
+/// how long a silent connection goes unnoticed, and the leader has to follow
+/// the operators' requests about executors within seconds.
+const WATCH_TIMEOUT_LEADING: Millis = 1_500;
+/// The shortest time for which the leadership must be vacant before a node
+/// claims it.
+const MIN_VACANCY: Millis = 60;
+/// The limit of the random time that is added to this.
+const MAX_CLAIM_JITTER: Millis = 120;
 /// A machine with less processor time than this, in thousandths of a core,
 /// leads only if no larger one does.
-const LARGE_ENOUGH: u32 = 200;
-/// How much longer such a machine waits for one.
-const DEFERENCE: Millis = 400;
-/// The pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(150);
+const MIN_LEADER_CPU_MILLIS: u32 = 200;
+/// How much longer such a machine waits before it claims the leadership.
+const SMALL_MACHINE_DELAY: Millis = 400;
+/// The pause after a failed call.
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// The value of the leader's key.
 #[derive(Serialize, Deserialize)]
@@ -50,127 +52,132 @@
     address: SocketAddr,
 }
 
-/// What is known about the leader's key.
+/// The state of the leader's key, as far as this node knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Seat {
-    /// Nothing.
+enum KeyState {
+    /// It was not read yet.
     Unknown,
     /// It does not exist.
     Vacant,
-    /// It was written at this revision by this life of a node.
+    /// It was written at this revision by this incarnation of a node.
     Taken(Revision, u64),
-    /// An earlier life of this node has written it.
+    /// It was written at this revision and names no active leader.
     Stale(Revision),
 }
 
-struct Follower<P> {
+/// Watches the keys that all nodes follow.
+struct Watcher<P> {
     shared: Rc<Shared<P>>,
-    seat: Seat,
+    key_state: KeyState,
 }
 
-/// Follows the store for ever.
+/// Watches the store for as long as the node runs.
 pub async fn run<P: Platform>(shared: Rc<Shared<P>>) {
-    let mut follower = Follower { shared, seat: Seat::Unknown };
+    let mut watcher = Watcher { shared, key_state: KeyState::Unknown };
     let mut reachable = true;
     loop {
-        match follower.read().await {
+        match watcher.read().await {
             Ok(revision) => {
                 if !std::mem::replace(&mut reachable, true) {
                     info!("store_regained");
                 }
-                follower.watch(revision).await;
+                watcher.watch(revision).await;
             }
             Err(_) => {
                 if std::mem::replace(&mut reachable, false) {
-                    follower.shared.count("store_lost");
+                    watcher.shared.count("store_lost");
                     warn!("store_lost");
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-impl<P: Platform> Follower<P> {
+impl<P: Platform> Watcher<P> {
     async fn read(&mut self) -> Result<Revision, ReadError> {
         let Listing { items, revision } =
             read_operator_requests(&self.shared).await?;
         let key = self.shared.platform.leader_key();
         match items.iter().find(|item| item.key == key) {
-            Some(item) => self.learn_leader(item),
-            None => self.seat = Seat::Vacant,
+            Some(item) => self.apply_leader(item),
+            None => self.key_state = KeyState::Vacant,
         }
         Ok(revision)
     }
 
-    /// Watches until a call fails, and claims the lead while it is vacant.
+    /// Watches until a call fails, and claims the leadership while it is
+    /// vacant.
     async fn watch(&mut self, from: Revision) {
         let platform = self.shared.platform.clone();
         let mut revision = from;
         loop {
-            let wait = self.patience();
+            let wait = self.watch_timeout();
             let prefix = platform.watched_prefix();
-            let seat = self.seat.clone();
+            let key_state = self.key_state.clone();
             let store = self.shared.store.clone();
             let changes = tokio::select! {
                 biased;
                 changes = store.watch(prefix, revision, wait) => changes,
-                // The watch may never be answered.
+                // A watch from before the outage may never be answered.
                 () = store.regained() => return,
             };
             match changes {
                 Ok(changes) => {
-                    self.learn_cordons(&changes);
+                    self.apply_cordons(&changes);
                     let Changes { written, removed, revision: at } = changes;
                     revision = at;
                     for key in &removed {
                         if key == platform.leader_key() {
                             info!(revision, "leader_key_gone");
-                            self.seat = Seat::Vacant;
+                            self.key_state = KeyState::Vacant;
                             leader::report_key_removed(&self.shared);
                         }
                     }
                     for item in &written {
-                        self.learn(item);
+                        self.apply(item);
                     }
                 }
                 Err(_) => return,
             }
-            if self.seat == seat && self.may_claim() {
+            if self.key_state == key_state && self.may_claim() {
                 self.claim().await;
             }
         }
     }
 
-    /// How long to wait for changes.
-    fn patience(&self) -> Millis {
-        match self.seat {
-            Seat::Stale(_) => 1,
+    /// Returns how long the next watch waits for changes.
+    fn watch_timeout(&self) -> Millis {
+        match self.key_state {
+            KeyState::Stale(_) => 1,
             _ if self.may_claim() => {
-                let deference = deference(&self.shared);
-                VACANT + deference + rand::random_range(0..JITTER)
+                let claim_delay = claim_delay(&self.shared);
+                MIN_VACANCY
+                    + claim_delay
+                    + rand::random_range(0..MAX_CLAIM_JITTER)
             }
-            _ if self.shared.lead.borrow().is_some() => WATCH_LEADING,
-            _ => WATCH,
+            _ if self.shared.lead.borrow().is_some() => WATCH_TIMEOUT_LEADING,
+            _ => WATCH_TIMEOUT,
         }
     }
 
     fn may_claim(&self) -> bool {
-        let vacant = matches!(self.seat, Seat::Vacant | Seat::Stale(_));
+        let vacant =
+            matches!(self.key_state, KeyState::Vacant | KeyState::Stale(_));
         vacant
             && self.shared.lead.borrow().is_none()
             && !self.shared.draining.get()
     }
 
-    fn learn(&mut self, item: &Item) {
+    fn apply(&mut self, item: &Item) {
         if item.key == self.shared.platform.leader_key() {
-            self.learn_leader(item);
+            self.apply_leader(item);
         } else {
-            learn_operator_request(&self.shared, item);
+            apply_operator_request(&self.shared, item);
         }
     }
 
-    fn learn_cordons(&self, changes: &Changes) {
+    fn apply_cordons(&self, changes: &Changes) {
         let platform = &self.shared.platform;
         let mut cordons = self.shared.cordons();
         for item in &changes.written {
@@ -186,30 +193,31 @@
         self.shared.learn_cordons(cordons);
     }
 
-    fn learn_leader(&mut self, item: &Item) {
+    fn apply_leader(&mut self, item: &Item) {
         let value: LeaderValue = match serde_json::from_slice(&item.value) {
             Ok(value) => value,
             Err(_) => {
-                // Nobody that is understood leads.
-                self.seat = Seat::Stale(item.revision);
+                // The value is unreadable, so it names no known leader.
+                self.key_state = KeyState::Stale(item.revision);
                 return;
             }
         };
         let node = self.shared.settings.borrow().node.clone();
-        let ours = value.life == self.shared.life;
+        let is_own = value.life == self.shared.life;
         let leads = self.shared.lead.borrow().is_some();
-        if ours && self.shared.claiming.get() {
-            // The claim will be answered, or its lease will run out.
-            self.seat = Seat::Taken(item.revision, value.life);
+        if is_own && self.shared.claiming.get() {
+            // The claim will be answered, or its lease will expire.
+            self.key_state = KeyState::Taken(item.revision, value.life);
             return;
         }
-        if (value.node == node && !ours) || (ours && !leads) {
-            // An earlier life of this node, or a tenure that was given up,
-            // or a claim whose answer was lost. It does nothing any more.
-            self.seat = Seat::Stale(item.revision);
+        if (value.node == node && !is_own) || (is_own && !leads) {
+            // The key is from an earlier incarnation of this node, from a term
+            // that was given up, or from a claim whose answer was lost. None
+            // of these is active.
+            self.key_state = KeyState::Stale(item.revision);
             return;
         }
-        self.seat = Seat::Taken(item.revision, value.life);
+        self.key_state = KeyState::Taken(item.revision, value.life);
         self.shared.learn_leader(Leader {
             node: value.node,
             life: value.life,
@@ -218,25 +226,25 @@
         });
     }
 
-    /// Claims the lead, and leads if the claim succeeds.
+    /// Claims the leadership, and starts to lead if the claim succeeds.
     async fn claim(&mut self) {
-        let expected = match self.seat {
-            Seat::Stale(revision) => revision,
+        let expected = match self.key_state {
+            KeyState::Stale(revision) => revision,
             _ => 0,
         };
         match claim(&self.shared, expected).await {
             Claimed::Won(revision) => {
-                self.seat = Seat::Taken(revision, self.shared.life);
+                self.key_state = KeyState::Taken(revision, self.shared.life);
             }
-            Claimed::Lost(Some(item)) => self.learn(&item),
-            Claimed::Lost(None) => self.seat = Seat::Vacant,
+            Claimed::Lost(Some(item)) => self.apply(&item),
+            Claimed::Lost(None) => self.key_state = KeyState::Vacant,
             Claimed::Unknown => {}
         }
     }
 }
 
-/// Learns the policy, or a wave.
-fn learn_operator_request<P: Platform>(shared: &Shared<P>, item: &Item) {
+/// Applies an item if it is the policy or a maintenance wave.
+fn apply_operator_request<P: Platform>(shared: &Shared<P>, item: &Item) {
     let platform = &shared.platform;
     if item.key == platform.policy_key() {
         shared.learn_policy(&item.value);
@@ -245,18 +253,19 @@
     }
 }
 
-/// Reads all that operators want now: the policy, cordons and waves.
+/// Reads and applies the operators' current requests: the policy, cordons and
+/// maintenance waves. Returns all that was read.
 ///
 /// # Errors
 ///
-/// If there is no usable answer.
+/// Fails if there is no usable answer.
 pub async fn read_operator_requests<P: Platform>(
     shared: &Shared<P>,
 ) -> Result<Listing, ReadError> {
     let platform = &shared.platform;
     let listing = shared.store.read(platform.watched_prefix()).await?;
     for item in &listing.items {
-        learn_operator_request(shared, item);
+        apply_operator_request(shared, item);
     }
     let cordons = listing
         .items
@@ -268,27 +277,30 @@
     Ok(listing)
 }
 
-/// How much longer than others this node waits before it claims.
-fn deference<P: Platform>(shared: &Shared<P>) -> Millis {
+/// Returns how much longer than others this node waits before it claims the
+/// leadership.
+fn claim_delay<P: Platform>(shared: &Shared<P>) -> Millis {
     let cpu = shared.settings.borrow().cpu_millis;
-    if cpu < LARGE_ENOUGH && shared.has(Mechanism::LargerLeader) {
-        DEFERENCE
+    if cpu < MIN_LEADER_CPU_MILLIS && shared.has(Mechanism::LargerLeader) {
+        SMALL_MACHINE_DELAY
     } else {
         0
     }
 }
 
-/// What came of a claim.
+/// The result of a claim.
 enum Claimed {
     /// This node leads since this revision.
     Won(Revision),
-    /// The key of the leader is not as expected, but so, or absent.
+    /// The leader's key is not as expected. Contains its item unless it is
+    /// absent.
     Lost(Option<Item>),
-    /// There was no answer.
+    /// It is unknown whether the claim succeeds, or none was made.
     Unknown,
 }
 
-/// The leader asks this node to lead in its place. Its key is at `expected`.
+/// Claims the leadership that the leader has offered to this node. The
+/// leader's key is at revision `expected`.
 pub async fn accept_leadership<P: Platform>(
     shared: Rc<Shared<P>>,
     expected: Revision,
@@ -301,8 +313,9 @@
     claim(&shared, expected).await;
 }
 
-/// The process of the leader is gone, though its lease still runs: leads in
-/// its place, if no other node comes first. Its key is at `expected`.
+/// Claims the leadership of a leader whose process is gone while its lease has
+/// not expired, unless another node does so first. The leader's key is at
+/// revision `expected`.
 pub async fn replace_leader<P: Platform>(
     shared: Rc<Shared<P>>,
     expected: Revision,
@@ -310,7 +323,7 @@
     if !shared.may_replace_leader() {
         return;
     }
-    let pause = deference(&shared) + rand::random_range(0..JITTER);
+    let pause = claim_delay(&shared) + rand::random_range(0..MAX_CLAIM_JITTER);
     tokio::time::sleep(Duration::from_millis(pause)).await;
     let known = shared.leader().map(|leader| leader.revision);
     let leads = shared.lead.borrow().is_some();
@@ -321,8 +334,8 @@
     claim(&shared, expected).await;
 }
 
-/// Claims the lead, and leads if the claim succeeds. The key of the leader
-/// must be at `expected`.
+/// Claims the leadership, and starts to lead if the claim succeeds. The
+/// leader's key must be at revision `expected`, or absent if this is zero.
 async fn claim<P: Platform>(
     shared: &Rc<Shared<P>>,
     expected: Revision,
@@ -368,7 +381,8 @@
     }
 }
 
-/// This node as the leader whose key was written at `revision`.
+/// Returns the entry of this node as the leader whose key was written at
+/// `revision`.
 pub fn own_leader_entry<P: Platform>(
     shared: &Shared<P>,
     revision: Revision,
@@ -382,8 +396,8 @@
     }
 }
 
-/// The transaction by which this node claims the lead. The leader's key must
-/// be at `expected`.
+/// Returns the transaction by which this node claims the leadership. The
+/// leader's key must be at revision `expected`, or absent if this is zero.
 pub fn claim_transaction<P: Platform>(
     shared: &Shared<P>,
     expected: Revision,
