--- a/src/cell/leader.rs
+++ b/src/cell/leader.rs
@@ -231,17 +231,17 @@
 
 /// Reports that the leader's key was removed, perhaps by mistake.
 pub fn report_key_removed<P: Platform>(shared: &Shared<P>) {
-    if let Some(lead) = shared.lead.borrow().as_ref() {
-        lead.send(Input::KeyRemoved);
+    if let Some(handle) = shared.lead.borrow().as_ref() {
+        handle.send(Input::KeyRemoved);
     }
 }
 
 /// Ends the term before a planned stop, so that another node can lead.
 pub async fn hand_over<P: Platform>(shared: &Shared<P>) {
-    let lead = shared.lead.borrow().as_ref().map(LeaderHandle::clone);
-    let Some(lead) = lead else { return };
+    let handle = shared.lead.borrow().as_ref().map(LeaderHandle::clone);
+    let Some(handle) = handle else { return };
     let (done, ended) = oneshot::channel();
-    lead.send(Input::HandOver(done));
+    handle.send(Input::HandOver(done));
     let _ = timeout(2 * HANDOVER_TIMEOUT, ended).await;
 }
 
--- a/src/cell/leader/executor_watch.rs
+++ b/src/cell/leader/executor_watch.rs
@@ -45,7 +45,8 @@
 }
 
 impl ReportedEntries {
-    /// Passes an entry to the scheduler, unless it was passed on lately.
+    /// Passes an entry to the scheduler, unless it is unchanged and was passed
+    /// on lately.
     fn report_entry<P: Platform>(
         &mut self,
         platform: &P,
--- a/src/cell/leader/leadership_offer.rs
+++ b/src/cell/leader/leadership_offer.rs
@@ -48,13 +48,14 @@
             return;
         }
         let Some(leader) = self.shared.leader() else { return };
-        let least = self.peers.values().map(|peer| peer.store_silence).min();
-        let least = least.unwrap_or_default();
+        let shortest_silence =
+            self.peers.values().map(|peer| peer.store_silence).min();
+        let shortest_silence = shortest_silence.unwrap_or_default();
         let mut candidates: Vec<(&PeerId, &Peer)> = self
             .peers
             .iter()
             .filter(|(_, peer)| {
-                peer.store_silence <= least + MAX_STORE_SILENCE
+                peer.store_silence <= shortest_silence + MAX_STORE_SILENCE
             })
             .collect();
         candidates.sort_unstable_by_key(|(id, peer)| {
