--- a/src/cell/leader/orders.rs
+++ b/src/cell/leader/orders.rs
@@ -50,7 +50,7 @@
 
 impl<P: Platform> LeaderTerm<P> {
     /// Returns the entry of an executor, shared among its orders.
-    fn cached_info(
+    fn info_for(
         &self,
         scheduler: &Scheduler,
         index: ExecutorIndex,
@@ -208,7 +208,7 @@
         spec: Option<Arc<str>>,
         event: impl Fn(Answer) -> Event + 'static,
     ) {
-        let Some(info) = self.cached_info(scheduler, executor) else {
+        let Some(info) = self.info_for(scheduler, executor) else {
             return;
         };
         let handle = self.handle.clone();
