--- a/src/cell/iteration.rs
+++ b/src/cell/iteration.rs
@@ -173,7 +173,7 @@
     ) {
         self.finish_input(stats, now);
         let waited = now.saturating_sub(sent_at);
-        stats.took(kind.wait_metric(), waited / 1_000);
+        stats.record_latency(kind.wait_metric(), waited / 1_000);
         if waited >= self.longest_wait.0 {
             self.longest_wait = (waited, kind);
         }
@@ -184,7 +184,7 @@
     /// Records that the current input, if any, has been handled.
     pub fn finish_input(&mut self, stats: &Stats, now: Micros) {
         if let Some((kind, since)) = self.current.take() {
-            stats.took_micros(
+            stats.record_duration(
                 kind.handling_metric(),
                 now.saturating_sub(since),
             );
@@ -199,7 +199,7 @@
         now: Micros,
     ) {
         self.advance = now.saturating_sub(since);
-        stats.took_micros("advance", self.advance);
+        stats.record_duration("advance", self.advance);
     }
 
     /// Ends the iteration and reports its metrics. `placement` is what
@@ -219,12 +219,12 @@
             longest_wait: self.longest_wait,
             placement: placement.since(&self.placement),
         };
-        stats.took_micros("turn", measured.duration);
-        stats.took_micros("turn_cpu", measured.cpu);
-        stats.saw("turn_inputs", measured.inputs);
+        stats.record_duration("turn", measured.duration);
+        stats.record_duration("turn_cpu", measured.cpu);
+        stats.record_size("turn_inputs", measured.inputs);
         if measured.placement.rounds > measured.placement.deferred {
-            stats.saw("round_steps", measured.placement.steps);
-            stats.saw("round_executors", measured.placement.executors);
+            stats.record_size("round_steps", measured.placement.steps);
+            stats.record_size("round_executors", measured.placement.executors);
         }
         measured
     }
--- a/src/cell/leader.rs
+++ b/src/cell/leader.rs
@@ -39,7 +39,7 @@
 use crate::cell::decision_log;
 use crate::cell::iteration::{Clocks, InputKind, Iteration, SlowIterations};
 use crate::cell::journal::Journal;
-use crate::cell::node::{Shared, UNCONFIRMED};
+use crate::cell::node::{Shared, MAX_UNCONFIRMED_MS};
 use crate::cell::ports::Platform;
 use crate::cell::relay::{Relay, Relays};
 use crate::clock::{self, Micros};
@@ -267,7 +267,7 @@
     let term = LeaderTerm {
         journal: Rc::new(Journal::new(
             shared.store.clone(),
-            shared.platform.kept_prefix(),
+            shared.platform.leader_state_prefix(),
             token,
         )),
         routes: Rc::new(Routes::new(
@@ -289,7 +289,7 @@
         order_timeout: Rc::new(CallTimeout::new(
             ORDER_TIMEOUT
                 .with_link_delay(shared.settings.borrow().link_bytes_per_ms),
-            shared.has(Mechanism::OrderPatience),
+            shared.is_enabled(Mechanism::OrderPatience),
         )),
         last_offer: 0,
         next_candidate: 0,
@@ -304,7 +304,7 @@
         *shared.lead.borrow_mut() = None;
         info!(token, why, "lead_ended");
         shared.leader_changed.notify_waiters();
-        let _ = shared.store.end(lease.get()).await;
+        let _ = shared.store.revoke(lease.get()).await;
     });
 }
 
@@ -419,7 +419,7 @@
                 last_tick = now;
                 let wall = clock::wall() as i64;
                 scheduler.set_wall_offset(wall - now as i64);
-                self.shared.stats.set_leading(scheduler.counters());
+                self.shared.stats.set_leader_counters(scheduler.counters());
                 if now >= last_usage + USAGE_INTERVAL {
                     last_usage = now;
                     self.shared.stats.set_accounts(scheduler.usage());
@@ -464,7 +464,7 @@
     /// Returns whether the store has not confirmed for too long that no other
     /// node leads.
     fn is_unconfirmed(&self) -> bool {
-        clock::mono() > self.confirmed.get() + UNCONFIRMED
+        clock::mono() > self.confirmed.get() + MAX_UNCONFIRMED_MS
     }
 
     fn update_advisors(&self, scheduler: &mut Scheduler) {
--- a/src/cell/leader/leader_key.rs
+++ b/src/cell/leader/leader_key.rs
@@ -91,7 +91,7 @@
         return Reclaimed::Unknown;
     };
     let head = journal.head();
-    let key = head_key(platform.kept_prefix());
+    let key = head_key(platform.leader_state_prefix());
     let mut transaction = store_watch::claim_transaction(
         shared,
         0,
--- a/src/cell/leader/leadership_offer.rs
+++ b/src/cell/leader/leadership_offer.rs
@@ -33,9 +33,9 @@
     /// Returns whether this node can't reach the store.
     pub(super) fn is_store_unreachable(&self, now: Millis) -> bool {
         let store = &self.shared.store;
-        let silent = now > store.answered() + OFFER_AFTER
+        let silent = now > store.last_answered_at() + OFFER_AFTER
             && now > self.confirmed.get() + OFFER_AFTER;
-        silent || store.failures() >= OFFER_AFTER_FAILURES
+        silent || store.consecutive_failures() >= OFFER_AFTER_FAILURES
     }
 
     /// Offers the leadership to other nodes in turn. This node goes on leading
@@ -44,7 +44,7 @@
         if now < self.last_offer + OFFER_INTERVAL || self.peers.is_empty() {
             return;
         }
-        if !self.shared.has(Mechanism::OfferedLead) {
+        if !self.shared.is_enabled(Mechanism::OfferedLead) {
             return;
         }
         let Some(leader) = self.shared.leader() else { return };
@@ -77,7 +77,7 @@
         if now < self.last_offer + LARGER_MACHINE_OFFER_INTERVAL {
             return;
         }
-        if !self.shared.has(Mechanism::LargerLeader) {
+        if !self.shared.is_enabled(Mechanism::LargerLeader) {
             return;
         }
         let own = self.shared.settings.borrow().cpu_millis;
--- a/src/cell/leader/orders.rs
+++ b/src/cell/leader/orders.rs
@@ -20,7 +20,7 @@
 use crate::cell::call_timeout::CallTimeout;
 use crate::cell::decision_log;
 use crate::cell::journal::WriteFailure;
-use crate::cell::link::{ToNode, ADVICE_WITHIN};
+use crate::cell::link::{ToNode, ADVICE_TIMEOUT_MS};
 use crate::cell::order::{Answer, Order, Reply};
 use crate::cell::ports::{Platform, Transaction};
 use crate::clock;
@@ -182,7 +182,7 @@
         actix_rt::spawn(async move {
             let sent_at = clock::mono();
             let written = journal.write(changes).await;
-            shared.stats.took("commit", clock::mono() - sent_at);
+            shared.stats.record_latency("commit", clock::mono() - sent_at);
             match written {
                 Ok(()) => {
                     confirmed.set(confirmed.get().max(sent_at));
@@ -208,16 +208,14 @@
         spec: Option<Arc<str>>,
         event: impl Fn(Answer) -> Event + 'static,
     ) {
-        let Some(info) = self.info_for(scheduler, executor) else {
-            return;
-        };
+        let Some(info) = self.info_for(scheduler, executor) else { return };
         let handle = self.handle.clone();
         let routes = self.routes.clone();
         let shared = self.shared.clone();
         let order_timeout = self.order_timeout.clone();
         let wait = order.wait();
         let within = wait + order_timeout.current();
-        let late = if shared.has(Mechanism::LateAnswers) {
+        let late = if shared.is_enabled(Mechanism::LateAnswers) {
             LATE_ANSWER_TIMEOUT
         } else {
             0
@@ -244,7 +242,7 @@
             };
             let elapsed = clock::mono() - sent_at;
             if matches!(order, Order::Start { .. }) {
-                shared.stats.took("start_order", elapsed);
+                shared.stats.record_latency("start_order", elapsed);
             }
             if wait == 0 {
                 record_outcome(&order_timeout, &answer, elapsed);
@@ -277,7 +275,9 @@
             let alone = now > started_at + lease + lease / CLOCK_DRIFT_DIVISOR;
             let may_call = alone && now < confirmed + lease;
             let answer = if may_call {
-                platform.upkeep(&holder, token, &machine, wave).await
+                platform
+                    .start_maintenance(&holder, token, &machine, wave)
+                    .await
             } else {
                 Err(MaintenanceFailure::Refused)
             };
@@ -327,7 +327,7 @@
             }
             _ => {
                 let (platform, handle) = self.platform_and_handle();
-                let within = Duration::from_millis(ADVICE_WITHIN);
+                let within = Duration::from_millis(ADVICE_TIMEOUT_MS);
                 actix_rt::spawn(async move {
                     let advice = platform.advise(step, &executors);
                     let answer = timeout(within, advice).await;
--- a/src/cell/leader/routes.rs
+++ b/src/cell/leader/routes.rs
@@ -145,7 +145,7 @@
     /// Returns the number of executors in an executor's data centre if its
     /// orders should go through a relay.
     fn relayed_executors(&self, executor: &ExecutorInfo) -> Option<usize> {
-        if !self.shared.has(Mechanism::Relays) {
+        if !self.shared.is_enabled(Mechanism::Relays) {
             return None;
         }
         let all = self.executor_count();
--- a/src/cell/leader/takeover.rs
+++ b/src/cell/leader/takeover.rs
@@ -12,7 +12,7 @@
 
 use super::{LeaderTerm, RETRY_PAUSE};
 use crate::cell::journal::head_key;
-use crate::cell::node::UNCONFIRMED;
+use crate::cell::node::MAX_UNCONFIRMED_MS;
 use crate::cell::ports::Platform;
 use crate::cell::store_watch;
 use crate::clock;
@@ -60,14 +60,14 @@
 
     /// Returns whether a takeover that began at `started` has taken too long.
     fn is_too_late(&self, started: Millis) -> bool {
-        clock::mono() > started + UNCONFIRMED || self.handle.has_ended()
+        clock::mono() > started + MAX_UNCONFIRMED_MS || self.handle.has_ended()
     }
 
     /// Restores the scheduler. Returns `None` if the takeover takes too long,
     /// if another node leads, or if what the predecessor left is unreadable.
     pub(super) async fn take_over(&self) -> Option<Scheduler> {
         let started = clock::mono();
-        let prefix = self.shared.platform.kept_prefix().to_string();
+        let prefix = self.shared.platform.leader_state_prefix().to_string();
         let listing = loop {
             match self.shared.store.read(&prefix).await {
                 Ok(listing) => break listing,
@@ -96,21 +96,22 @@
             })
             .collect();
         let settings = self.shared.settings.borrow().clone();
-        // A predecessor may send orders for `UNCONFIRMED` after its leadership
-        // was last confirmed, and such an order may stay in force for a lease.
-        let inherited_order_lifetime = UNCONFIRMED
+        // A predecessor may send orders for `MAX_UNCONFIRMED_MS` after its
+        // leadership was last confirmed, and such an order may stay in force
+        // for a lease.
+        let inherited_order_lifetime = MAX_UNCONFIRMED_MS
             + settings.executor_lease
             + settings.executor_lease / 30
             + 200;
         let config = SchedulerConfig {
             token: self.token,
             lease: settings.executor_lease,
-            ended_retention: settings.keep_ended,
+            ended_retention: settings.ended_retention,
             inherited_order_lifetime,
             max_advice_batch: MAX_ADVICE_BATCH,
             min_commit_interval: MIN_COMMIT_INTERVAL,
             mechanisms: mechanisms_for_link(
-                settings.without,
+                settings.mechanisms,
                 settings.link_bytes_per_ms,
             ),
         };
--- a/src/cell/order.rs
+++ b/src/cell/order.rs
@@ -12,7 +12,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::cell::ports::{Hold, Platform, Start};
+use crate::cell::ports::{LeaseRenewal, Platform, Start};
 
 /// A call to an executor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -118,14 +118,14 @@
     ) -> Answer {
         match self {
             Order::Hold { due, last_seen, known, wait } => {
-                let renewal = Hold {
+                let renewal = LeaseRenewal {
                     due: *due,
                     last_seen: *last_seen,
                     wait: *wait,
                     within,
                 };
                 let mut report =
-                    platform.hold(executor, token, renewal).await?;
+                    platform.renew_executor(executor, token, renewal).await?;
                 // Each incarnation numbers its ends from the start.
                 if report.born == executor.born {
                     report.ended.retain(|end| end.number > *known);
@@ -152,7 +152,7 @@
             }
             Order::Pace { task, run, percent } => {
                 let throttled =
-                    platform.pace(executor, token, *task, *run, *percent);
+                    platform.throttle(executor, token, *task, *run, *percent);
                 throttled.await.map(|()| Reply::Done)
             }
         }
--- a/src/cell/store_watch.rs
+++ b/src/cell/store_watch.rs
@@ -120,7 +120,7 @@
                 biased;
                 changes = store.watch(prefix, revision, wait) => changes,
                 // A watch from before the outage may never be answered.
-                () = store.regained() => return,
+                () = store.wait_until_recovered() => return,
             };
             match changes {
                 Ok(changes) => {
@@ -203,7 +203,7 @@
             }
         };
         let node = self.shared.settings.borrow().node.clone();
-        let is_own = value.life == self.shared.life;
+        let is_own = value.life == self.shared.incarnation;
         let leads = self.shared.lead.borrow().is_some();
         if is_own && self.shared.claiming.get() {
             // The claim will be answered, or its lease will expire.
@@ -234,7 +234,8 @@
         };
         match claim(&self.shared, expected).await {
             Claimed::Won(revision) => {
-                self.key_state = KeyState::Taken(revision, self.shared.life);
+                self.key_state =
+                    KeyState::Taken(revision, self.shared.incarnation);
             }
             Claimed::Lost(Some(item)) => self.apply(&item),
             Claimed::Lost(None) => self.key_state = KeyState::Vacant,
@@ -281,7 +282,9 @@
 /// leadership.
 fn claim_delay<P: Platform>(shared: &Shared<P>) -> Millis {
     let cpu = shared.settings.borrow().cpu_millis;
-    if cpu < MIN_LEADER_CPU_MILLIS && shared.has(Mechanism::LargerLeader) {
+    if cpu < MIN_LEADER_CPU_MILLIS
+        && shared.is_enabled(Mechanism::LargerLeader)
+    {
         SMALL_MACHINE_DELAY
     } else {
         0
@@ -370,7 +373,7 @@
             shared.count("claims_lost");
             let key = shared.platform.leader_key();
             let item = items.into_iter().find(|item| item.key == key);
-            let _ = store.end(lease).await;
+            let _ = store.revoke(lease).await;
             Claimed::Lost(item)
         }
         Err(error) => {
@@ -390,7 +393,7 @@
     let settings = shared.settings.borrow();
     Leader {
         node: settings.node.clone(),
-        life: shared.life,
+        life: shared.incarnation,
         address: settings.control,
         revision,
     }
@@ -409,7 +412,7 @@
     let settings = shared.settings.borrow();
     let value = LeaderValue {
         node: settings.node.clone(),
-        life: shared.life,
+        life: shared.incarnation,
         address: settings.control,
     };
     let value = serde_json::to_vec(&value).unwrap_or_default();
@@ -417,7 +420,7 @@
         expect: vec![(key.clone(), expected)],
         put: vec![
             (key, value, lease),
-            (head_key(platform.kept_prefix()), head, 0),
+            (head_key(platform.leader_state_prefix()), head, 0),
         ],
         remove: Vec::new(),
     }
--- a/tests/jobs/latest.rs
+++ b/tests/jobs/ranking.rs
@@ -1,19 +1,19 @@
-//! Steps are ordered by what can still be reached: played against the
-//! decisions, in virtual time.
+//! Steps are ordered by which deadlines they can still meet. These tests
+//! simulate the decisions in virtual time.
 
 use std::collections::BTreeMap;
 
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms, TaskKey};
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
 const EXECUTORS: usize = 8;
-/// What the queues of the world add to twice the chain of a job.
-const TARGET: Millis = 1_000;
-/// A late step gets a turn so long after the one before has started, and room
-/// when a run ends.
-const TURN: Millis = 1_000 + WORK;
+/// The slack that the queues of the cell add to twice the run time of a job.
+const SLACK: Millis = 1_000;
+/// A late step may start this long after the late step before it, and when a
+/// run has ended.
+const LATE_STEP_INTERVAL: Millis = 1_000 + WORK;
 
 fn first_task(id: u64) -> TaskKey {
     format!("{id:016x}.0.0.0").parse().expect("a task")
@@ -22,7 +22,7 @@
 /// A chain of steps that fill an executor each.
 fn chain(id: u64, queue: &str, steps: u32, time: Millis) -> Job {
     let steps = (0..steps).map(|number| {
-        let mut work = step(4, room(1_000, 100));
+        let mut work = step(4, resources(1_000, 100));
         work.estimate = time;
         work.after = number.checked_sub(1).into_iter().collect();
         work
@@ -30,8 +30,8 @@
     job(id, queue, steps.collect())
 }
 
-/// Twice what the cell can do, for some seconds: short jobs, and chains.
-/// Returns how many were done in time.
+/// Twice the cell's throughput for some seconds, from short jobs and from
+/// chains. Returns how many were done in time.
 fn in_time(queue: &str, without: Mechanisms) -> usize {
     let mut world = World::without(EXECUTORS, without);
     world.run(100);
@@ -45,7 +45,7 @@
                 0 => (2, 3 * WORK),
                 _ => (1, WORK),
             };
-            let whole = 2 * Millis::from(steps) * time + TARGET;
+            let whole = 2 * Millis::from(steps) * time + SLACK;
             due.entry(world.now + whole).or_default().push(next);
             world.submit(chain(next, queue, steps, time));
             next += 1;
@@ -76,8 +76,8 @@
     }
 }
 
-/// What can't be in time any more gets a turn, also while there is always
-/// enough that can.
+/// Steps that can't be in time any more start eventually, even while there are
+/// always enough that can.
 #[test]
 fn what_is_late_is_not_starved() {
     for queue in ["urgent", "batch"] {
@@ -87,7 +87,8 @@
             world.submit(chain(id, queue, 1, 20 * WORK));
             world.run(20);
         }
-        // Three of them wait until they are late; what comes then never is.
+        // Three of them wait until they are late; the jobs that arrive later
+        // are never late.
         let since = world.now;
         let mut next = 100;
         while !world.starts.contains_key(&first_task(4)) {
@@ -95,23 +96,26 @@
             next += 1;
             world.run(WORK);
             let waited = world.now - since;
-            assert!(waited <= 4 * (20 * WORK + TURN), "{waited}");
+            assert!(
+                waited <= 4 * (20 * WORK + LATE_STEP_INTERVAL),
+                "{waited}"
+            );
         }
         world.check();
     }
 }
 
-/// A step wider than the room takes several rounds, and has to start so much
-/// earlier.
+/// A step that is wider than the cell takes several rounds, and has to start
+/// that much earlier.
 #[test]
-fn a_step_wider_than_the_room_goes_by_its_rounds() {
+fn a_step_wider_than_the_cell_goes_by_its_rounds() {
     let mut world = World::new(2);
     world.run(100);
     world.submit(chain(1, "batch", 2, WORK));
     world.run(50);
     // Both have the same deadline; the second one takes four rounds.
     world.submit(chain(2, "batch", 1, 2 * WORK));
-    let mut wide = step(32, room(1_000, 100));
+    let mut wide = step(32, resources(1_000, 100));
     wide.estimate = 2 * WORK;
     world.submit(job(3, "batch", vec![wide]));
     world.submit(chain(4, "batch", 1, 2 * WORK));
