--- a/src/cell/reachability.rs
+++ b/src/cell/reachability.rs
@@ -139,7 +139,7 @@
 /// Whether this node can serve client requests.
 fn can_serve<P: Platform>(shared: &Shared<P>) -> bool {
     match shared.lead.borrow().as_ref() {
-        Some(lead) => is_confirmed(lead.confirmed()),
+        Some(lead) => is_confirmed(lead.confirmed_at()),
         None => shared.reachability.heard_recently(),
     }
 }
--- a/src/cell/store.rs
+++ b/src/cell/store.rs
@@ -1,7 +1,7 @@
 /*!
 Calls to the store, with adaptive timeouts.
 
-A call that is not answered in time is given up, see [`crate::cell::patience`].
+A call that is not answered in time is given up, see [`crate::cell::call_timeout`].
 A lost answer or a silent store is thus noticed soon, while a slow store can
 still be used. Reading a page of a range has a separate timeout, since it
 takes long on a narrow link on which other calls are quick.
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use crate::cell::patience::{Bounds, Patience};
+use crate::cell::call_timeout::{CallTimeout, TimeoutBounds};
 use crate::cell::ports::{
     Changes, Item, Listing, Page, Platform, ReadError, Transaction, WriteError,
 };
@@ -28,10 +28,12 @@
 /// The timeout for writes, in milliseconds. The store answers within a few
 /// milliseconds, a slow one within a quarter of a second. Jobs wait for a
 /// write whose answer is lost, so the timeout is short.
-const WRITE_TIMEOUT: Bounds = Bounds { least: 150, first: 450, most: 1_000 };
+const WRITE_TIMEOUT: TimeoutBounds =
+    TimeoutBounds { min: 150, initial: 450, max: 1_000 };
 /// The timeout for other calls, in milliseconds. Nobody waits for them, and a
 /// call that is given up too soon makes the store look unavailable.
-const READ_TIMEOUT: Bounds = Bounds { least: 450, first: 450, most: 1_000 };
+const READ_TIMEOUT: TimeoutBounds =
+    TimeoutBounds { min: 450, initial: 450, max: 1_000 };
 /// The timeout of a write is extended by the time that the link of the machine
 /// needs to carry the bytes of the write this many times: they grow by a third
 /// on the wire, and other data is sent at the same time.
@@ -72,8 +74,8 @@
 /// The store of a platform.
 pub struct Store<P> {
     platform: Rc<P>,
-    writes: Patience,
-    reads: Patience,
+    writes: CallTimeout,
+    reads: CallTimeout,
     page_timeout: Cell<Millis>,
     /// The extension of the page timeout for the link, in milliseconds.
     page_link_time: Millis,
@@ -97,8 +99,11 @@
         link_bytes_per_ms: u32,
     ) -> Store<P> {
         let adaptive = mechanisms.enabled(StorePatience);
-        let adaptive_timeout = |bounds: Bounds| {
-            Patience::new(bounds.behind(link_bytes_per_ms), adaptive)
+        let adaptive_timeout = |bounds: TimeoutBounds| {
+            CallTimeout::new(
+                bounds.with_link_delay(link_bytes_per_ms),
+                adaptive,
+            )
         };
         let link = link_bytes_per_ms.max(1);
         let carried = (link as usize).min(MAX_WRITE_BYTES_PER_MS);
@@ -158,14 +163,14 @@
         extra: Millis,
         call: impl std::future::Future<Output = Result<T, ReadError>>,
     ) -> Result<T, ReadError> {
-        let within = Duration::from_millis(self.reads.within() + extra);
+        let within = Duration::from_millis(self.reads.current() + extra);
         let sent_at = clock::mono();
         match timeout(within, call).await {
             Ok(answer) => {
                 // A watch waits for changes, so how long it takes says nothing
                 // about the round trip.
                 if extra == 0 {
-                    self.reads.answered(clock::mono() - sent_at);
+                    self.reads.record_answer(clock::mono() - sent_at);
                 }
                 let unavailable = Err(ReadError::Unavailable);
                 let outcome = answer.as_ref().map(|_| ()).map_err(|e| *e);
@@ -174,7 +179,7 @@
             }
             Err(_) => {
                 self.record_call(false);
-                self.reads.unanswered();
+                self.reads.record_timeout();
                 Err(ReadError::Unavailable)
             }
         }
@@ -310,12 +315,12 @@
         let values = transaction.put.iter().map(|(_, value, _)| value.len());
         let bytes: usize = values.sum();
         let extra = (bytes / self.write_bytes_per_ms) as Millis;
-        let within = Duration::from_millis(self.writes.within() + extra);
+        let within = Duration::from_millis(self.writes.current() + extra);
         let sent_at = clock::mono();
         let call = self.platform.write(transaction);
         match timeout(within, call).await {
             Ok(answer) => {
-                self.writes.answered(clock::mono() - sent_at);
+                self.writes.record_answer(clock::mono() - sent_at);
                 let answered = !matches!(
                     answer,
                     Err(WriteError::NotDone | WriteError::Unknown)
@@ -325,7 +330,7 @@
             }
             Err(_) => {
                 self.record_call(false);
-                self.writes.unanswered();
+                self.writes.record_timeout();
                 Err(WriteError::Unknown)
             }
         }
