--- a/puffinknot-core/src/contract.rs
+++ b/puffinknot-core/src/contract.rs
@@ -140,7 +140,7 @@
     /// The scope that is home to a key.
     pub fn scope_for_key(&self, key: u128) -> Scope {
         let parts = u64::from(self.call_scopes().max(1));
-        Scope::Calls((hash(&key) % parts) as u16)
+        Scope::Calls((stable_hash(&key) % parts) as u16)
     }
 }
 
@@ -172,7 +172,7 @@
     scope: Scope,
     vms: impl Iterator<Item = &'a VmId>,
 ) -> Option<&'a VmId> {
-    vms.max_by_key(|vm| (hash(&(scope, *vm)), *vm))
+    vms.max_by_key(|vm| (stable_hash(&(scope, *vm)), *vm))
 }
 
 /// Spreads scopes evenly: each scope in turn goes to the VM that it weighs
@@ -200,7 +200,7 @@
 }
 
 /// A hash that is the same on every VM and in every version.
-pub fn hash<T: Hash>(value: &T) -> u64 {
+pub fn stable_hash<T: Hash>(value: &T) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0, 0);
     value.hash(&mut hasher);
     hasher.finish()
--- a/puffinknot-core/src/keys.rs
+++ b/puffinknot-core/src/idempotency.rs
@@ -21,22 +21,25 @@
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Key {
+pub struct IdempotencyKey {
     /// The UUID, whose upper 48 bits are a time in milliseconds.
     pub uuid: u128,
     /// The caller.
     pub caller: CallerId,
 }
 
-impl Key {
+impl IdempotencyKey {
     /// The time in the key, in milliseconds since 1970.
     pub fn stamp(&self) -> Millis {
         (self.uuid >> 80) as Millis
     }
 
     /// The smallest UUID that is stamped with this time.
-    fn first_at(stamp: Millis) -> Key {
-        Key { uuid: u128::from(stamp) << 80, caller: CallerId::default() }
+    fn first_at(stamp: Millis) -> IdempotencyKey {
+        IdempotencyKey {
+            uuid: u128::from(stamp) << 80,
+            caller: CallerId::default(),
+        }
     }
 }
 
@@ -51,7 +54,7 @@
 
 /// Limits of the memory for keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct KeysConfig {
+pub struct KeyTableConfig {
     /// How long a key is remembered, in milliseconds.
     pub window: Millis,
     /// How far clocks of callers and VMs may differ, in milliseconds.
@@ -60,35 +63,35 @@
     pub capacity: usize,
 }
 
-impl Default for KeysConfig {
-    fn default() -> KeysConfig {
-        KeysConfig { window: 120_000, skew: 500, capacity: 200_000 }
+impl Default for KeyTableConfig {
+    fn default() -> KeyTableConfig {
+        KeyTableConfig { window: 120_000, skew: 500, capacity: 200_000 }
     }
 }
 
 /// The keys of one home.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Keys {
-    config: KeysConfig,
+pub struct KeyTable {
+    config: KeyTableConfig,
     /// Keys stamped before this time may be known to an earlier home only.
     serves_from: Option<Millis>,
     /// Keys stamped before this time have been dropped. It never falls, so
     /// that a wall clock that is set back can't revive a dropped key.
     floor: Millis,
-    keys: BTreeMap<Key, KeyState>,
+    keys: BTreeMap<IdempotencyKey, KeyState>,
 }
 
-impl Keys {
+impl KeyTable {
     /// An empty memory that can't admit anything before it is settled.
-    pub fn new(config: KeysConfig) -> Keys {
-        Keys { config, ..Keys::default() }
+    pub fn new(config: KeyTableConfig) -> KeyTable {
+        KeyTable { config, ..KeyTable::default() }
     }
 
     /// The tenure was settled at `wall`. Keys stamped later are new.
     ///
     /// An earlier home admits a key up to one `skew` ahead of its clock,
     /// and that clock may be one `skew` ahead of this VM's.
-    pub fn settle(&mut self, wall: Millis) {
+    pub fn complete_takeover(&mut self, wall: Millis) {
         if self.serves_from.is_none() {
             self.serves_from = Some(wall + 2 * self.config.skew);
         }
@@ -101,16 +104,16 @@
     }
 
     /// Takes over what an earlier home knew when it stopped.
-    pub fn adopt(&mut self, memory: KeyMemory) {
+    pub fn adopt(&mut self, memory: KeySnapshot) {
         self.keys.extend(memory.keys);
         self.serves_from = memory.serves_from;
         self.floor = self.floor.max(memory.floor);
     }
 
     /// Everything this home knows, for a successor.
-    pub fn export(&self) -> KeyMemory {
+    pub fn export(&self) -> KeySnapshot {
         let keys = self.keys.iter().map(|(k, s)| (k.clone(), *s)).collect();
-        KeyMemory { serves_from: self.serves_from, floor: self.floor, keys }
+        KeySnapshot { serves_from: self.serves_from, floor: self.floor, keys }
     }
 
     /// Whether the call with this key may be started, at wall time `wall`.
@@ -118,7 +121,11 @@
     /// # Errors
     ///
     /// The outcome to answer with if it may not.
-    pub fn check(&self, key: &Key, wall: Millis) -> Result<(), Outcome> {
+    pub fn check(
+        &self,
+        key: &IdempotencyKey,
+        wall: Millis,
+    ) -> Result<(), Outcome> {
         let config = &self.config;
         match self.keys.get(key) {
             Some(KeyState::Started) => {
@@ -156,17 +163,17 @@
     }
 
     /// Records that a call is about to be sent to a target.
-    pub fn start(&mut self, key: &Key) {
+    pub fn start(&mut self, key: &IdempotencyKey) {
         self.keys.insert(key.clone(), KeyState::Started);
     }
 
     /// Records that a call was answered.
-    pub fn answered(&mut self, key: &Key) {
+    pub fn answered(&mut self, key: &IdempotencyKey) {
         self.keys.insert(key.clone(), KeyState::Answered);
     }
 
     /// The call certainly did not run, so that the key may be used again.
-    pub fn forget(&mut self, key: &Key) {
+    pub fn forget(&mut self, key: &IdempotencyKey) {
         self.keys.remove(key);
     }
 
@@ -174,7 +181,7 @@
     pub fn expire(&mut self, wall: Millis) {
         let oldest = wall.saturating_sub(self.config.window);
         self.floor = self.floor.max(oldest);
-        self.keys = self.keys.split_off(&Key::first_at(self.floor));
+        self.keys = self.keys.split_off(&IdempotencyKey::first_at(self.floor));
     }
 
     /// The number of keys remembered.
@@ -192,11 +199,11 @@
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize,
 )]
-pub struct KeyMemory {
+pub struct KeySnapshot {
     /// Keys stamped before this time are not known here.
     pub serves_from: Option<Millis>,
     /// Keys stamped before this time have been dropped.
     pub floor: Millis,
     /// The keys and what is known of each.
-    pub keys: Vec<(Key, KeyState)>,
+    pub keys: Vec<(IdempotencyKey, KeyState)>,
 }
--- a/puffinknot-core/src/lib.rs
+++ b/puffinknot-core/src/lib.rs
@@ -13,9 +13,9 @@
 * [`config`] reads and checks the operators' file.
 * [`contract`] says which VM alone may fill which targets, under an epoch
   that only grows, and who should take a contract over.
-* [`tenure`] is what a new holder has to finish before it may trust what it
+* [`term`] is what a new holder has to finish before it may trust what it
   knows: presenting its epoch to every target of the contract.
-* [`keys`] remembers calls that must not be repeated.
+* [`idempotency`] remembers calls that must not be repeated.
 * [`calls`] hands executor slots to calls, and queues or refuses the rest.
 * [`tasks`] places tasks on workers under leases.
 * [`jobs`] runs jobs of several steps for a cell that one node leads.
@@ -40,11 +40,11 @@
 pub mod calls;
 pub mod config;
 pub mod contract;
+pub mod idempotency;
 pub mod ids;
 pub mod jobs;
-pub mod keys;
 pub mod node;
 pub mod outcome;
 pub mod store;
 pub mod tasks;
-pub mod tenure;
+pub mod term;
--- a/puffinknot-core/src/node/claims.rs
+++ b/puffinknot-core/src/node/claims.rs
@@ -12,14 +12,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::contract::{assign, Contract, ContractMap, Scope};
+use crate::idempotency::KeySnapshot;
 use crate::ids::{DcName, Epoch, Millis, Revision, TargetId, VmId};
-use crate::keys::KeyMemory;
 use crate::outcome::Reason;
 use crate::store::{Key, Value, Write, WriteResult};
 use crate::tasks::{Placer, PlacerConfig};
-use crate::tenure::Tenure;
+use crate::term::Term;
 
-use super::homes::Home;
+use super::held_calls::Home;
 use super::view::Versioned;
 use super::{Action, Node, Now, TargetKind};
 
@@ -71,7 +71,7 @@
     assigned: BTreeMap<Scope, VmId>,
     assigned_at: Millis,
     orphans: BTreeMap<Scope, Millis>,
-    inherited: BTreeMap<Scope, (Epoch, KeyMemory)>,
+    inherited: BTreeMap<Scope, (Epoch, KeySnapshot)>,
     bequests: BTreeMap<Scope, Bequest>,
 }
 
@@ -109,7 +109,7 @@
         &mut self,
         scope: Scope,
         epoch: Epoch,
-        memory: KeyMemory,
+        memory: KeySnapshot,
     ) {
         self.inherited.insert(scope, (epoch, memory));
     }
@@ -198,7 +198,7 @@
         if self.still_writing(now) || now.mono < self.claims.rest_until {
             return;
         }
-        if self.platform_answers(now) {
+        if self.platform_is_reachable(now) {
             if self.view.revision > 0 && !self.claims.reading {
                 self.propose(now);
             }
@@ -390,7 +390,12 @@
         let bequest = Bequest { to: to.clone(), sent_at: now.mono, taken };
         self.claims.bequests.insert(scope, bequest);
         if let Some(memory) = memory {
-            self.out.push(Action::Bequeath { vm: to, scope, epoch, memory });
+            self.out.push(Action::SendHandover {
+                vm: to,
+                scope,
+                epoch,
+                memory,
+            });
         }
         self.requeue_waiting(now, scope, Reason::Draining);
     }
@@ -471,7 +476,9 @@
             .map(|(vm, _)| (*vm).clone())
             .collect();
         able.insert(self.config.vm.clone());
-        let Some(map) = self.view.map(&self.config.dc) else { return };
+        let Some(map) = self.view.contract_map(&self.config.dc) else {
+            return;
+        };
         let assigned = assign(map.contracts.keys(), &able);
         for (scope, vm) in assigned {
             if vm == self.config.vm && self.silent_holder(now, scope) {
@@ -545,7 +552,7 @@
     ) {
         let confirmed = contract.epoch == epoch;
         let targets = contract.targets.clone();
-        let tenure = Tenure::new(epoch, contract.since, confirmed, targets);
+        let tenure = Term::new(epoch, contract.since, confirmed, targets);
         if scope == Scope::Tasks {
             let config = PlacerConfig::default();
             let dc = self.config.dc.clone();
--- a/puffinknot-core/src/node/homes.rs
+++ b/puffinknot-core/src/node/held_calls.rs
@@ -5,10 +5,10 @@
 use crate::calls::{CallId, Condition, Dequeued, Load, Pool};
 use crate::config::Policy;
 use crate::contract::Scope;
+use crate::idempotency::{KeySnapshot, KeyTable, KeyTableConfig};
 use crate::ids::{Epoch, Millis, TargetId};
-use crate::keys::{KeyMemory, Keys, KeysConfig};
 use crate::outcome::{Outcome, Reason};
-use crate::tenure::Tenure;
+use crate::term::Term;
 
 use super::routing::Place;
 use super::{Action, ExecutorInfo, Node, Now, TargetError};
@@ -52,9 +52,9 @@
 /// One contract for calls, while this VM holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Home {
-    pub(super) tenure: Tenure,
+    pub(super) tenure: Term,
     pub(super) pool: Pool,
-    pub(super) keys: Keys,
+    pub(super) keys: KeyTable,
     /// The epoch of the holder that passed its keys on.
     heir_of: Option<Epoch>,
     targets: BTreeSet<TargetId>,
@@ -62,12 +62,12 @@
 }
 
 impl Home {
-    pub(super) fn new(tenure: Tenure, keys: &KeysConfig) -> Home {
+    pub(super) fn new(tenure: Term, keys: &KeyTableConfig) -> Home {
         let policy = Policy::default();
         Home {
             tenure,
             pool: Pool::new((&policy).into()),
-            keys: Keys::new(keys.clone()),
+            keys: KeyTable::new(keys.clone()),
             heir_of: None,
             targets: BTreeSet::new(),
             asked: BTreeMap::new(),
@@ -79,7 +79,7 @@
     }
 
     /// Takes the keys of the holder before.
-    pub(super) fn inherit(&mut self, epoch: Epoch, memory: KeyMemory) {
+    pub(super) fn inherit(&mut self, epoch: Epoch, memory: KeySnapshot) {
         self.keys.adopt(memory);
         self.heir_of = Some(epoch);
     }
@@ -94,8 +94,8 @@
     }
 
     pub(super) fn settle_if_done(&mut self, now: Now) {
-        if self.tenure.settled() {
-            self.keys.settle(now.wall);
+        if self.tenure.takeover_complete() {
+            self.keys.complete_takeover(now.wall);
         }
     }
 
@@ -113,7 +113,7 @@
         for target in gone {
             self.pool.remove(&target);
             self.asked.remove(&target);
-            self.tenure.seen(&target);
+            self.tenure.epoch_accepted(&target);
         }
         self.targets = targets.clone();
         self.settle_if_done(now);
@@ -211,7 +211,7 @@
                 home.executor_failed(&target);
             }
             let epoch = home.tenure.epoch.clone();
-            self.out.push(Action::Ask { target, epoch });
+            self.out.push(Action::QueryExecutor { target, epoch });
         }
     }
 
@@ -282,7 +282,7 @@
         let older = home.answered(now, target, foreign);
         home.check_heritage(&info.previous);
         home.pool.report(target, condition, info.slots, older);
-        home.tenure.seen(target);
+        home.tenure.epoch_accepted(target);
         home.settle_if_done(now);
         self.pump(now, scope);
     }
--- a/puffinknot-core/src/node/work.rs
+++ b/puffinknot-core/src/node/held_tasks.rs
@@ -33,7 +33,8 @@
     }
 
     fn write_progress(&mut self, now: Now) {
-        let answers = self.platform_answers(now) && !self.claims.resting(now);
+        let answers =
+            self.platform_is_reachable(now) && !self.claims.resting(now);
         let Some(work) = &self.work else { return };
         if self.progress_write.is_some() || !answers {
             return;
--- a/puffinknot-core/src/node/mod.rs
+++ b/puffinknot-core/src/node/mod.rs
@@ -16,11 +16,11 @@
 */
 
 mod claims;
-mod homes;
+mod held_calls;
+mod held_tasks;
 mod routing;
 mod status;
 mod view;
-mod work;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,18 +28,20 @@
 
 use crate::calls::{CallId, Condition, Load};
 use crate::contract::Scope;
+use crate::idempotency::{
+    IdempotencyKey as CallKey, KeySnapshot, KeyTableConfig,
+};
 use crate::ids::{CallerId, DcName, Epoch, Millis, Revision, TargetId, VmId};
-use crate::keys::{Key as CallKey, KeyMemory, KeysConfig};
 use crate::outcome::{Outcome, Reason};
 use crate::store::{Key, Stored, Write, WriteResult};
 use crate::tasks::{Placer, SyncReply, SyncRequest};
 
 use self::claims::Claims;
-use self::homes::Home;
+use self::held_calls::Home;
+use self::held_tasks::ProgressWrite;
 use self::routing::CallState;
-pub use self::status::{HomeView, JobStatus, NodeStatus, TargetView};
+pub use self::status::{ContractStatus, JobStatus, NodeStatus, TargetStatus};
 pub use self::view::View;
-use self::work::ProgressWrite;
 
 /// A moment on the clocks of this VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -67,7 +69,7 @@
     /// For how long readings of the VM list must lack a target that is gone.
     pub gone_after: Millis,
     /// The limits of the memory for keys.
-    pub keys: KeysConfig,
+    pub keys: KeyTableConfig,
 }
 
 impl NodeConfig {
@@ -80,7 +82,7 @@
             member_ttl: 3_000,
             rebalance_after: 2_000,
             gone_after: 3_000,
-            keys: KeysConfig::default(),
+            keys: KeyTableConfig::default(),
         }
     }
 }
@@ -97,7 +99,7 @@
 
 /// A target in the VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Listed {
+pub struct ListedTarget {
     /// Its name.
     pub id: TargetId,
     /// What it is.
@@ -110,17 +112,17 @@
 
 /// Entries of the VM list that could not be read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Unread {
+pub struct UnreadableEntries {
     /// The targets that they name.
-    pub named: BTreeSet<TargetId>,
+    pub targets: BTreeSet<TargetId>,
     /// How many name no target, so that they may be anybody's.
-    pub nameless: usize,
+    pub unidentified: usize,
 }
 
-impl Unread {
+impl UnreadableEntries {
     /// Whether an entry of this target may be among them.
-    pub fn may_be(&self, target: &TargetId) -> bool {
-        self.nameless > 0 || self.named.contains(target)
+    pub fn may_include(&self, target: &TargetId) -> bool {
+        self.unidentified > 0 || self.targets.contains(target)
     }
 }
 
@@ -233,13 +235,13 @@
         result: WriteResult,
     },
     /// The VM list was read.
-    Listed(Vec<Listed>),
+    Listed(Vec<ListedTarget>),
     /// The VM list was read, but for some entries.
-    ListedInPart(Vec<Listed>, Unread),
+    ListedPartially(Vec<ListedTarget>, UnreadableEntries),
     /// A peer has sent its summary.
-    Heard(Summary),
+    SummaryReceived(Summary),
     /// A peer has sent what it knows of the platform's values.
-    Learned(Vec<Stored>),
+    ValuesReceived(Vec<Stored>),
     /// A caller wants an answer.
     Call(CallId, Call),
     /// A peer wants a call run under a contract.
@@ -257,9 +259,9 @@
         sent: bool,
     },
     /// An attempt at an executor has ended.
-    Attempted(CallId, Attempt),
+    AttemptEnded(CallId, Attempt),
     /// An executor was asked for its state under an epoch.
-    Executor {
+    ExecutorReplied {
         /// The executor.
         target: TargetId,
         /// The epoch that was presented.
@@ -268,7 +270,7 @@
         result: Result<ExecutorInfo, TargetError>,
     },
     /// A sync with a worker has ended.
-    Synced {
+    SyncEnded {
         /// The worker.
         target: TargetId,
         /// The epoch of the sync.
@@ -279,20 +281,20 @@
         result: Result<SyncReply, TargetError>,
     },
     /// A holder passes on what it knows before it gives a contract up.
-    Bequest {
+    HandoverReceived {
         /// The contract.
         scope: Scope,
         /// The holder's epoch.
         epoch: Epoch,
         /// The keys it remembers.
-        memory: KeyMemory,
+        memory: KeySnapshot,
     },
     /// The successor has taken note of a bequest, or has not.
-    BequestEnded {
+    HandoverEnded {
         /// The contract.
         scope: Scope,
         /// Whether the successor has it.
-        taken: bool,
+        acknowledged: bool,
     },
     /// The VM is to stop: it gives up its contracts.
     Drain,
@@ -311,7 +313,7 @@
         draining: bool,
     },
     /// Present the epoch to an executor and ask for its state.
-    Ask {
+    QueryExecutor {
         /// The executor.
         target: TargetId,
         /// The epoch.
@@ -357,7 +359,7 @@
         vm: VmId,
     },
     /// Pass on what this VM knows to the successor of a contract.
-    Bequeath {
+    SendHandover {
         /// The successor.
         vm: VmId,
         /// The contract.
@@ -365,10 +367,10 @@
         /// The epoch of this VM.
         epoch: Epoch,
         /// The keys it remembers.
-        memory: KeyMemory,
+        memory: KeySnapshot,
     },
     /// A new revision of the operators' file is in force.
-    InForce(Revision),
+    ConfigApplied(Revision),
 }
 
 /// How often things happened.
@@ -482,13 +484,13 @@
                 self.on_written(now, key, result);
             }
             Event::Listed(listed) => {
-                self.on_listed(now, listed, &Unread::default());
+                self.on_listed(now, listed, &UnreadableEntries::default());
             }
-            Event::ListedInPart(listed, unread) => {
+            Event::ListedPartially(listed, unread) => {
                 self.on_listed(now, listed, &unread);
             }
-            Event::Heard(summary) => self.on_heard(now, summary),
-            Event::Learned(stored) => self.on_learned(now, stored),
+            Event::SummaryReceived(summary) => self.on_heard(now, summary),
+            Event::ValuesReceived(stored) => self.on_learned(now, stored),
             Event::Call(id, call) => self.on_call(now, id, call),
             Event::Hop(id, scope, call) => self.on_hop(now, id, scope, call),
             Event::Abandoned(id) => self.on_abandoned(now, id),
@@ -496,20 +498,20 @@
                 self.on_hop_ended(now, id, outcome);
             }
             Event::HopFailed { id, sent } => self.on_hop_failed(now, id, sent),
-            Event::Attempted(id, attempt) => {
+            Event::AttemptEnded(id, attempt) => {
                 self.on_attempted(now, id, attempt);
             }
-            Event::Executor { target, epoch, result } => {
+            Event::ExecutorReplied { target, epoch, result } => {
                 self.on_executor(now, target, epoch, result);
             }
-            Event::Synced { target, epoch, seq, result } => {
+            Event::SyncEnded { target, epoch, seq, result } => {
                 self.on_synced(now, target, epoch, seq, result);
             }
-            Event::Bequest { scope, epoch, memory } => {
+            Event::HandoverReceived { scope, epoch, memory } => {
                 self.claims.inherit(scope, epoch, memory);
             }
-            Event::BequestEnded { scope, taken } => {
-                self.on_bequest_ended(now, scope, taken);
+            Event::HandoverEnded { scope, acknowledged } => {
+                self.on_bequest_ended(now, scope, acknowledged);
             }
             Event::Drain => self.on_drain(now),
         }
@@ -542,7 +544,7 @@
     }
 
     /// Whether nothing depends on this VM any more, so that it may stop.
-    pub fn drained(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.draining
             && self.calls.is_empty()
             && self.homes.is_empty()
@@ -551,7 +553,7 @@
 
     /// Whether the platform has answered within the time that a member
     /// counts as alive.
-    pub fn platform_answers(&self, now: Now) -> bool {
+    pub fn platform_is_reachable(&self, now: Now) -> bool {
         self.claims.renewed_within(now, self.config.member_ttl)
     }
 
@@ -563,7 +565,7 @@
             vm: self.config.vm.clone(),
             dc: self.config.dc.clone(),
             draining: self.draining,
-            platform: self.platform_answers(now),
+            platform: self.platform_is_reachable(now),
             config: self.view.config_revision(),
             maps: self.view.map_revisions(),
             epochs: self.view.epochs(&self.config.dc),
--- a/puffinknot-core/src/node/routing.rs
+++ b/puffinknot-core/src/node/routing.rs
@@ -178,7 +178,7 @@
         let key = state.call.key.as_ref()?;
         let caller = self.view.config.value.caller(&state.call.caller)?;
         let dc = &caller.data_centre;
-        let scope = self.view.map(dc)?.scope_for_key(key.uuid);
+        let scope = self.view.contract_map(dc)?.scope_for_key(key.uuid);
         if state.tried.contains(&(dc.clone(), scope)) {
             return None;
         }
--- a/puffinknot-core/src/node/status.rs
+++ b/puffinknot-core/src/node/status.rs
@@ -12,7 +12,7 @@
 
 /// A target as its holder sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetView {
+pub struct TargetStatus {
     /// Its name.
     pub id: TargetId,
     /// Whether it takes new work.
@@ -25,7 +25,7 @@
 
 /// A contract that a VM holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HomeView {
+pub struct ContractStatus {
     /// The contract.
     pub scope: Scope,
     /// The epoch, as text.
@@ -41,7 +41,7 @@
     /// How long calls take on average, in milliseconds.
     pub mean_ms: Millis,
     /// Its targets.
-    pub targets: Vec<TargetView>,
+    pub targets: Vec<TargetStatus>,
 }
 
 /// A job as the holder of the tasks sees it.
@@ -82,7 +82,7 @@
     /// The holder of each contract of this data centre.
     pub contracts: BTreeMap<Scope, VmId>,
     /// The contracts that this VM holds.
-    pub homes: Vec<HomeView>,
+    pub homes: Vec<ContractStatus>,
     /// The jobs of this data centre, if this VM holds that contract.
     pub jobs: Vec<JobStatus>,
     /// How often things happened.
@@ -101,7 +101,7 @@
             vm: self.config.vm.clone(),
             dc: dc.clone(),
             draining: self.draining,
-            platform: self.platform_answers(now),
+            platform: self.platform_is_reachable(now),
             config: self.view.config_revision(),
             members: self.member_revisions(),
             contracts: holders.collect(),
@@ -122,11 +122,11 @@
         members.map(|vm| (vm.clone(), revision(vm))).collect()
     }
 
-    fn call_homes(&self) -> Vec<HomeView> {
-        let view = |(scope, home): (&Scope, &super::Home)| HomeView {
+    fn call_homes(&self) -> Vec<ContractStatus> {
+        let view = |(scope, home): (&Scope, &super::Home)| ContractStatus {
             scope: *scope,
             epoch: home.tenure.epoch.to_string(),
-            settled: home.tenure.settled(),
+            settled: home.tenure.takeover_complete(),
             confirmed: home.tenure.confirmed,
             running: home.pool.running(),
             waiting: home.pool.queue_len(),
@@ -134,7 +134,7 @@
             targets: home
                 .pool
                 .usage()
-                .map(|(id, slots, used, condition)| TargetView {
+                .map(|(id, slots, used, condition)| TargetStatus {
                     id: id.clone(),
                     ready: condition == Condition::Ready,
                     slots,
@@ -145,18 +145,18 @@
         self.homes.iter().map(view).collect()
     }
 
-    fn task_home(&self) -> Option<HomeView> {
+    fn task_home(&self) -> Option<ContractStatus> {
         let work = self.work.as_ref()?;
-        let targets = work.workers().into_iter().map(|worker| TargetView {
+        let targets = work.workers().into_iter().map(|worker| TargetStatus {
             id: worker.id,
             ready: worker.ready,
             slots: worker.tasks.len() as u32,
             used: worker.tasks.len() as u32,
         });
-        Some(HomeView {
+        Some(ContractStatus {
             scope: Scope::Tasks,
             epoch: work.tenure.epoch.to_string(),
-            settled: work.tenure.settled(),
+            settled: work.tenure.takeover_complete(),
             confirmed: work.tenure.confirmed,
             running: work.placed(),
             waiting: work.waiting(),
--- a/puffinknot-core/src/node/view.rs
+++ b/puffinknot-core/src/node/view.rs
@@ -13,7 +13,7 @@
 use crate::store::{Key, Member, Stored, Value};
 use crate::tasks::Progress;
 
-use super::{Action, Listed, Node, Now, Summary, Unread};
+use super::{Action, ListedTarget, Node, Now, Summary, UnreadableEntries};
 
 /// A peer is forgotten after this many times the span in which it should
 /// have been heard.
@@ -53,7 +53,7 @@
     pub(super) quiet: BTreeSet<VmId>,
     /// The room under each contract, as its holder said last.
     pub(super) loads: BTreeMap<(DcName, Scope), Load>,
-    pub(super) listed: BTreeMap<TargetId, Listed>,
+    pub(super) listed: BTreeMap<TargetId, ListedTarget>,
     /// When the VM list was read last, so that it shows who is missing.
     pub(super) listed_at: Option<Millis>,
     /// Targets of a contract that no reading of the VM list has named since
@@ -97,7 +97,7 @@
     }
 
     /// The contracts of a data centre as the platform holds them.
-    pub fn map(&self, dc: &DcName) -> Option<&ContractMap> {
+    pub fn contract_map(&self, dc: &DcName) -> Option<&ContractMap> {
         self.maps.get(dc).map(|map| &map.value)
     }
 
@@ -107,7 +107,7 @@
         dc: &DcName,
         scope: Scope,
     ) -> Option<&Contract> {
-        self.map(dc)?.contracts.get(&scope)
+        self.contract_map(dc)?.contracts.get(&scope)
     }
 
     /// Whether the target is leaving, as anybody has said.
@@ -148,7 +148,7 @@
     }
 
     pub(super) fn epochs(&self, dc: &DcName) -> BTreeMap<Scope, Epoch> {
-        let Some(map) = self.map(dc) else { return BTreeMap::new() };
+        let Some(map) = self.contract_map(dc) else { return BTreeMap::new() };
         let scopes = map.contracts.keys();
         let known = scopes.filter_map(|scope| {
             Some((*scope, self.epoch(dc, *scope)?.clone()))
@@ -157,7 +157,7 @@
     }
 
     pub(super) fn leaving_here(&self, dc: &DcName) -> BTreeSet<TargetId> {
-        let mine = |l: &&Listed| l.dc == *dc && self.is_leaving(&l.id);
+        let mine = |l: &&ListedTarget| l.dc == *dc && self.is_leaving(&l.id);
         let listed = self.listed.values().filter(mine);
         listed.map(|l| l.id.clone()).collect()
     }
@@ -279,7 +279,7 @@
             Ok(value) => {
                 self.view.config = Versioned { revision, value };
                 self.view.config_text = text;
-                self.out.push(Action::InForce(revision));
+                self.out.push(Action::ConfigApplied(revision));
                 self.configure();
             }
             Err(_) => self.counters.bad_values += 1,
@@ -364,31 +364,33 @@
     pub(super) fn on_listed(
         &mut self,
         now: Now,
-        listed: Vec<Listed>,
-        unread: &Unread,
+        listed: Vec<ListedTarget>,
+        unread: &UnreadableEntries,
     ) {
         let known = std::mem::take(&mut self.view.listed);
-        let mut all: BTreeMap<TargetId, Listed> =
-            known.into_iter().filter(|(id, _)| unread.may_be(id)).collect();
+        let mut all: BTreeMap<TargetId, ListedTarget> = known
+            .into_iter()
+            .filter(|(id, _)| unread.may_include(id))
+            .collect();
         all.extend(listed.into_iter().map(|l| (l.id.clone(), l)));
         self.view.listed = all;
         let listed = &self.view.listed;
         let may_be =
-            |id: &TargetId| listed.contains_key(id) || unread.may_be(id);
+            |id: &TargetId| listed.contains_key(id) || unread.may_include(id);
         self.view.leaving.retain(may_be);
-        if unread.nameless == 0 {
+        if unread.unidentified == 0 {
             self.note_missing(now, unread);
         } else {
             self.view.missing.retain(|id, _| {
-                !listed.contains_key(id) && !unread.named.contains(id)
+                !listed.contains_key(id) && !unread.targets.contains(id)
             });
         }
         self.after_change(now);
     }
 
     /// Takes note of the targets that a reading of the VM list lacks.
-    fn note_missing(&mut self, now: Now, unread: &Unread) {
-        let enrolled = self.view.map(&self.config.dc).map(|map| {
+    fn note_missing(&mut self, now: Now, unread: &UnreadableEntries) {
+        let enrolled = self.view.contract_map(&self.config.dc).map(|map| {
             let contracts = map.contracts.values();
             contracts.flat_map(|c| c.targets.iter().cloned()).collect()
         });
@@ -403,7 +405,7 @@
         let mut missing = BTreeMap::new();
         for target in enrolled {
             let listed = self.view.listed.contains_key(&target);
-            if !listed && !unread.named.contains(&target) {
+            if !listed && !unread.targets.contains(&target) {
                 let since = self.view.missing.get(&target).copied();
                 missing.insert(target, since.unwrap_or(now.mono));
             }
--- a/puffinknot-core/src/tasks/placer/exchange.rs
+++ b/puffinknot-core/src/tasks/placer/exchange.rs
@@ -35,7 +35,7 @@
         self.largest.cpu_millis = self.largest.cpu_millis.max(has.cpu_millis);
         self.largest.memory_mb = self.largest.memory_mb.max(has.memory_mb);
         state.counter = reply.counter;
-        self.tenure.seen(id);
+        self.tenure.epoch_accepted(id);
         self.stirred = true;
         if let Some(tasks) = reply.tasks {
             self.reconcile(read_at, id, reply.seq, &tasks);
--- a/puffinknot-core/src/tasks/placer/mod.rs
+++ b/puffinknot-core/src/tasks/placer/mod.rs
@@ -9,12 +9,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::config::{Config, Job, Priority, Repeat, Resources, Room};
-use crate::contract::hash;
+use crate::contract::stable_hash;
 use crate::ids::{DcName, Epoch, Millis, TargetId, TaskId};
 use crate::tasks::fit::Fit;
 use crate::tasks::message::{SyncRequest, WorkerInfo};
 use crate::tasks::progress::Progress;
-use crate::tenure::Tenure;
+use crate::term::Term;
 
 mod exchange;
 mod record;
@@ -220,7 +220,7 @@
     config: PlacerConfig,
     dc: DcName,
     /// The tenure under which this VM places tasks.
-    pub tenure: Tenure,
+    pub tenure: Term,
     /// Jobs and their number of tasks at the start of the tenure.
     old: BTreeMap<String, u32>,
     /// The platform confirmed at this time that the contract is held.
@@ -260,7 +260,7 @@
     pub fn new(
         config: PlacerConfig,
         dc: DcName,
-        tenure: Tenure,
+        tenure: Term,
         old: Option<&Config>,
         progress: Progress,
     ) -> Placer {
@@ -470,7 +470,7 @@
 
     /// A worker is gone for good, and its tasks with it.
     pub fn remove_worker(&mut self, id: &TargetId) {
-        self.tenure.seen(id);
+        self.tenure.epoch_accepted(id);
         self.end_all(id);
         self.workers.remove(id);
         self.stirred = true;
@@ -599,5 +599,5 @@
 /// A hash of what a running task depends on. A change of it restarts the
 /// task; a change of quota, order or number does not.
 pub fn spec_hash(job: &Job) -> u64 {
-    hash(&(job.need, job.run_ms, job.checkpoint, job.repeat))
+    stable_hash(&(job.need, job.run_ms, job.checkpoint, job.repeat))
 }
--- a/puffinknot-core/src/tasks/placer/schedule.rs
+++ b/puffinknot-core/src/tasks/placer/schedule.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::config::{Priority, Resources};
-use crate::contract::hash;
+use crate::contract::stable_hash;
 use crate::ids::{Millis, TargetId, TaskId};
 use crate::tasks::fit::{share, Candidate, Score};
 
@@ -96,7 +96,7 @@
         if job.never_repeat() && !self.tenure.confirmed {
             return None;
         }
-        if self.tenure.settled() {
+        if self.tenure.takeover_complete() {
             return job.waiting.first().copied();
         }
         // An earlier holder may have started every task that it knew of.
@@ -161,7 +161,7 @@
 
     fn lot(&self, id: &TaskId, worker: &TargetId) -> u64 {
         match self.config.fit {
-            super::Fit::Random => hash(&(id, worker)),
+            super::Fit::Random => stable_hash(&(id, worker)),
             _ => 0,
         }
     }
--- a/puffinknot-core/src/tenure.rs
+++ b/puffinknot-core/src/term.rs
@@ -19,45 +19,45 @@
 
 /// The progress of a holder's tenure.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Tenure {
+pub struct Term {
     /// The epoch that is presented.
     pub epoch: Epoch,
     /// The configuration revision at which the tenure began.
-    pub since: Revision,
+    pub config_revision: Revision,
     /// Whether the platform's service holds the epoch.
     pub confirmed: bool,
     unseen: BTreeSet<TargetId>,
 }
 
-impl Tenure {
+impl Term {
     /// A tenure that begins with all of `targets` still to be told.
     pub fn new(
         epoch: Epoch,
         since: Revision,
         confirmed: bool,
         targets: BTreeSet<TargetId>,
-    ) -> Tenure {
-        Tenure { epoch, since, confirmed, unseen: targets }
+    ) -> Term {
+        Term { epoch, config_revision: since, confirmed, unseen: targets }
     }
 
     /// Whether nothing can start under an earlier epoch any more.
-    pub fn settled(&self) -> bool {
+    pub fn takeover_complete(&self) -> bool {
         self.unseen.is_empty()
     }
 
     /// Whether work may be started at all.
     pub fn may_start(&self) -> bool {
-        self.confirmed || self.settled()
+        self.confirmed || self.takeover_complete()
     }
 
     /// The targets that have not seen the epoch yet.
-    pub fn unseen(&self) -> &BTreeSet<TargetId> {
+    pub fn pending_targets(&self) -> &BTreeSet<TargetId> {
         &self.unseen
     }
 
     /// A target has accepted the epoch, or is gone for good. Returns
     /// whether the tenure became settled by it.
-    pub fn seen(&mut self, target: &TargetId) -> bool {
-        self.unseen.remove(target) && self.settled()
+    pub fn epoch_accepted(&mut self, target: &TargetId) -> bool {
+        self.unseen.remove(target) && self.takeover_complete()
     }
 }
--- a/puffinknot-measure/src/packing.rs
+++ b/puffinknot-measure/src/packing.rs
@@ -14,7 +14,7 @@
 use puffinknot_core::tasks::{
     Fit, Placer, PlacerConfig, Progress, WorkerInfo,
 };
-use puffinknot_core::tenure::Tenure;
+use puffinknot_core::term::Term;
 use puffinknot_standin::worker::WorkerState;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -56,7 +56,7 @@
 impl Bench {
     fn new(size: Size, fit: Fit) -> Bench {
         let epoch = Epoch { number: 1, holder: "vm".into() };
-        let tenure = Tenure::new(epoch, 1, true, Default::default());
+        let tenure = Term::new(epoch, 1, true, Default::default());
         let config =
             PlacerConfig { fit, lease: 10_000, ..PlacerConfig::default() };
         let progress = Progress::default();
--- a/src/client/status.rs
+++ b/src/client/status.rs
@@ -5,7 +5,7 @@
 
 use awc::Client;
 use clap::Args;
-use puffinknot_core::node::{HomeView, NodeStatus};
+use puffinknot_core::node::{ContractStatus, NodeStatus};
 use serde::Serialize;
 
 use crate::error::{Error, ErrorKind, Result};
@@ -159,7 +159,7 @@
     }
 }
 
-fn home_lines(text: &mut String, home: &HomeView, full: bool) {
+fn home_lines(text: &mut String, home: &ContractStatus, full: bool) {
     let settled = if home.settled { "settled" } else { "settling" };
     let confirmed = if home.confirmed { "" } else { ", not confirmed" };
     let _ = writeln!(
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -16,7 +16,9 @@
 use log::{info, warn};
 use puffinknot_core::calls::CallId;
 use puffinknot_core::ids::{TargetId, VmId};
-use puffinknot_core::node::{Action, Event, Node, TargetError, Unread};
+use puffinknot_core::node::{
+    Action, Event, Node, TargetError, UnreadableEntries,
+};
 use puffinknot_core::store::Member;
 use rand::Rng;
 use tokio::sync::mpsc;
@@ -168,7 +170,7 @@
     steps: HashMap<CallId, mpsc::UnboundedSender<Step>>,
     targets: HashMap<TargetId, SocketAddr>,
     /// The entries of the VM list that could not be read last time.
-    unread: Unread,
+    unread: UnreadableEntries,
     /// Where links of entry VMs listen, to start from without the platform.
     entries: Vec<SocketAddr>,
     /// Tells the keeper of the lease to write this VM's entry anew.
@@ -218,7 +220,7 @@
             admin_addr: self.admin_addr,
             steps: HashMap::new(),
             targets: HashMap::new(),
-            unread: Unread::default(),
+            unread: UnreadableEntries::default(),
             entries: settings.peers.clone(),
             register,
             registrations: Some(registrations),
@@ -276,7 +278,7 @@
     /// Whether a planned stop has come to its end.
     fn stopped(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
-            && self.node.drained()
+            && self.node.is_drained()
             && self.control.in_progress() == 0
     }
 
@@ -349,7 +351,7 @@
                 let _ = reply.send(self.node.status(clock::now()));
             }
             Input::Summary(theirs, reply) => {
-                self.event(Event::Heard(theirs));
+                self.event(Event::SummaryReceived(theirs));
                 let _ = reply.send(self.node.summary(clock::now()));
             }
             Input::Export(reply) => {
@@ -364,17 +366,17 @@
     fn listed(&mut self, list: VmList) {
         let unread = list.unread;
         if unread != self.unread {
-            let (named, nameless) = (&unread.named, unread.nameless);
+            let (named, nameless) = (&unread.targets, unread.unidentified);
             warn!("list: can't be read: {named:?}, {nameless} without name.");
         }
         // A target whose entry can't be read stays where it was.
-        self.targets.retain(|target, _| unread.may_be(target));
+        self.targets.retain(|target, _| unread.may_include(target));
         self.targets.extend(list.addrs);
         let mut entries = self.settings.peers.clone();
         entries.extend(list.entries);
         self.entries = entries;
         self.unread = unread.clone();
-        self.event(Event::ListedInPart(list.targets, unread));
+        self.event(Event::ListedPartially(list.targets, unread));
     }
 
     fn drain(&mut self) {
@@ -420,7 +422,7 @@
             Action::Register { draining } => {
                 let _ = self.register.send(draining);
             }
-            Action::Ask { target, epoch } => self.ask(target, epoch),
+            Action::QueryExecutor { target, epoch } => self.ask(target, epoch),
             Action::Sync { target, request } => self.sync(target, request),
             Action::Dispatch { id, target, epoch } => {
                 let request = self.node.request_id(id);
@@ -446,10 +448,10 @@
                 self.steps.remove(&id);
             }
             Action::Fetch { vm } => self.fetch(&vm),
-            Action::Bequeath { vm, scope, epoch, memory } => {
+            Action::SendHandover { vm, scope, epoch, memory } => {
                 self.bequeath(&vm, Bequest { scope, epoch, memory });
             }
-            Action::InForce(revision) => {
+            Action::ConfigApplied(revision) => {
                 info!("config: revision {revision} is in force.");
                 let config = self.node.view().config().cloned();
                 let shared = Shared::new(revision, config.unwrap_or_default());
@@ -477,7 +479,7 @@
 
     fn not_dispatched(&self, id: CallId) {
         let attempt = puffinknot_core::node::Attempt::NotSent;
-        self.control.event(Event::Attempted(id, attempt));
+        self.control.event(Event::AttemptEnded(id, attempt));
     }
 
     fn link_of(&self, vm: &VmId) -> Option<SocketAddr> {
@@ -492,7 +494,7 @@
                 Some(addr) => target::ask(&client, addr, &epoch).await,
                 None => Err(TargetError::Unreachable),
             };
-            control.event(Event::Executor { target, epoch, result });
+            control.event(Event::ExecutorReplied { target, epoch, result });
         });
     }
 
@@ -509,7 +511,7 @@
                 None => Err(TargetError::Unreachable),
             };
             let (epoch, seq) = (request.epoch, request.seq);
-            control.event(Event::Synced { target, epoch, seq, result });
+            control.event(Event::SyncEnded { target, epoch, seq, result });
         });
     }
 
@@ -523,14 +525,14 @@
         let (links, control) = (self.links.clone(), self.control.clone());
         let Some(addr) = self.link_of(vm) else {
             let taken = false;
-            control.event(Event::BequestEnded { scope, taken });
+            control.event(Event::HandoverEnded { scope, acknowledged: taken });
             return;
         };
         actix_rt::spawn(async move {
             let request = Request::Bequest(bequest);
             let answer = links.ask(addr, &request, PEER_TIMEOUT).await;
             let taken = matches!(answer, Ok(Response::Noted));
-            control.event(Event::BequestEnded { scope, taken });
+            control.event(Event::HandoverEnded { scope, acknowledged: taken });
         });
     }
 
@@ -579,7 +581,7 @@
         actix_rt::spawn(async move {
             let answer = links.ask(peer, &request, PEER_TIMEOUT).await;
             if let Ok(Response::Summary(theirs)) = answer {
-                control.event(Event::Heard(theirs));
+                control.event(Event::SummaryReceived(theirs));
                 if fetch {
                     fetch_from(links, control, peer);
                 }
@@ -625,7 +627,7 @@
     actix_rt::spawn(async move {
         let answer = links.ask(peer, &Request::Fetch, PEER_TIMEOUT).await;
         if let Ok(Response::Stored(stored)) = answer {
-            control.event(Event::Learned(stored));
+            control.event(Event::ValuesReceived(stored));
         }
     });
 }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -19,8 +19,8 @@
 use actix_http::{HttpMessage, Method, Request, Response, StatusCode};
 use bytes::Bytes;
 use puffinknot_core::config::{Class, Repeat};
+use puffinknot_core::idempotency::IdempotencyKey;
 use puffinknot_core::ids::{CallerId, Millis};
-use puffinknot_core::keys::Key;
 use puffinknot_core::node::Call;
 use puffinknot_core::outcome::{Outcome, Reason};
 use sha2::{Digest, Sha256};
@@ -214,7 +214,7 @@
     class: &Class,
     caller: &CallerId,
     headers: &HeaderMap,
-) -> Result<Option<Key>, Invalid> {
+) -> Result<Option<IdempotencyKey>, Invalid> {
     if class.repeat == Repeat::Allowed {
         return Ok(None);
     }
@@ -225,7 +225,7 @@
         return Err(Invalid::BadKey);
     }
     let caller = caller.clone();
-    Ok(Some(Key { uuid: uuid.as_u128(), caller }))
+    Ok(Some(IdempotencyKey { uuid: uuid.as_u128(), caller }))
 }
 
 /// The response to a call.
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -184,7 +184,11 @@
                 Response::Ended(outcome, answer)
             }
             Request::Bequest(Bequest { scope, epoch, memory }) => {
-                control.event(Event::Bequest { scope, epoch, memory });
+                control.event(Event::HandoverReceived {
+                    scope,
+                    epoch,
+                    memory,
+                });
                 Response::Noted
             }
         }
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -15,7 +15,7 @@
 use awc::Client;
 use bytes::Bytes;
 use puffinknot_core::calls::CallId;
-use puffinknot_core::keys::Key;
+use puffinknot_core::idempotency::IdempotencyKey;
 use puffinknot_core::node::{Call, Event};
 use puffinknot_core::outcome::{Outcome, Reason};
 use uuid::Uuid;
@@ -105,7 +105,7 @@
         actix_rt::spawn(async move {
             let (attempt, answer) = target::call(&client, addr, out).await;
             *slot.borrow_mut() = answer;
-            control.event(Event::Attempted(id, attempt));
+            control.event(Event::AttemptEnded(id, attempt));
         });
     }
 
@@ -139,6 +139,6 @@
     }
 }
 
-fn key_text(key: &Key) -> String {
+fn key_text(key: &IdempotencyKey) -> String {
     Uuid::from_u128(key.uuid).to_string()
 }
--- a/src/vmlist.rs
+++ b/src/vmlist.rs
@@ -12,7 +12,7 @@
 
 use awc::Client;
 use puffinknot_core::ids::{DcName, TargetId};
-use puffinknot_core::node::{Listed, TargetKind, Unread};
+use puffinknot_core::node::{ListedTarget, TargetKind, UnreadableEntries};
 use serde::Deserialize;
 
 use crate::error::{Error, ErrorKind, Result};
@@ -24,13 +24,13 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VmList {
     /// The targets.
-    pub targets: Vec<Listed>,
+    pub targets: Vec<ListedTarget>,
     /// Where each target listens.
     pub addrs: HashMap<TargetId, SocketAddr>,
     /// Where the links of entry VMs listen.
     pub entries: Vec<SocketAddr>,
     /// The entries that could not be read.
-    pub unread: Unread,
+    pub unread: UnreadableEntries,
 }
 
 #[derive(Deserialize)]
@@ -74,9 +74,9 @@
         }
         match label("vm").filter(|vm| !vm.is_empty()) {
             Some(vm) => {
-                self.unread.named.insert(TargetId(vm.clone()));
+                self.unread.targets.insert(TargetId(vm.clone()));
             }
-            None => self.unread.nameless += 1,
+            None => self.unread.unidentified += 1,
         }
     }
 
@@ -92,7 +92,7 @@
         let dc = DcName(label("data_centre")?.clone());
         let leaving = label("state").is_some_and(|s| s == "leaving");
         self.addrs.insert(id.clone(), addr);
-        self.targets.push(Listed { id, kind, dc, leaving });
+        self.targets.push(ListedTarget { id, kind, dc, leaving });
         Some(())
     }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -9,8 +9,8 @@
 
 use bincode::config::{standard, Configuration, Limit, LittleEndian, Varint};
 use puffinknot_core::contract::Scope;
+use puffinknot_core::idempotency::KeySnapshot;
 use puffinknot_core::ids::{DcName, Epoch, VmId};
-use puffinknot_core::keys::KeyMemory;
 use puffinknot_core::node::{Call, Summary};
 use puffinknot_core::outcome::Outcome;
 use puffinknot_core::store::Stored;
@@ -76,7 +76,7 @@
     /// The holder's epoch.
     pub epoch: Epoch,
     /// The keys it remembers.
-    pub memory: KeyMemory,
+    pub memory: KeySnapshot,
 }
 
 /// The answer to a [`Request`] or a [`Hello`].
--- a/tests/cell/mod.rs
+++ b/tests/cell/mod.rs
@@ -9,14 +9,14 @@
 use puffinknot_core::calls::CallId;
 use puffinknot_core::config::{Config, Resources};
 use puffinknot_core::contract::Scope;
+use puffinknot_core::idempotency::IdempotencyKey as CallKey;
+use puffinknot_core::idempotency::KeySnapshot;
 use puffinknot_core::ids::{
     DcName, Epoch, Millis, Revision, TargetId, TaskId, VmId,
 };
-use puffinknot_core::keys::Key as CallKey;
-use puffinknot_core::keys::KeyMemory;
 use puffinknot_core::node::{
-    Action, Attempt, Call, Event, ExecutorInfo, Listed, Node, NodeConfig, Now,
-    Summary, TargetError, TargetKind,
+    Action, Attempt, Call, Event, ExecutorInfo, ListedTarget, Node,
+    NodeConfig, Now, Summary, TargetError, TargetKind,
 };
 use puffinknot_core::outcome::Outcome;
 use puffinknot_core::store::{Key, Member, Stored, Value, Write, WriteResult};
@@ -55,7 +55,7 @@
     /// From peer to peer: what is known of the platform's values.
     Learned(VmId, VmId, Vec<Stored>),
     /// From peer to peer.
-    Bequest(VmId, VmId, Scope, Epoch, KeyMemory),
+    Bequest(VmId, VmId, Scope, Epoch, KeySnapshot),
 }
 
 /// A node with its surroundings.
@@ -114,9 +114,9 @@
     pub platform: Platform,
     pub executors: BTreeMap<TargetId, Executor>,
     pub workers: BTreeMap<TargetId, WorkerState>,
-    pub listed: BTreeMap<TargetId, Listed>,
+    pub listed: BTreeMap<TargetId, ListedTarget>,
     /// The list as the nodes see it.
-    pub list_seen: BTreeMap<TargetId, Listed>,
+    pub list_seen: BTreeMap<TargetId, ListedTarget>,
     pub net: Vec<Message>,
     pub asked: BTreeMap<CallId, Asked>,
     /// Runs of calls with a key.
@@ -219,7 +219,7 @@
         let id = TargetId::from(id);
         let dc = DcName::from(dc);
         let leaving = false;
-        let listed = Listed { id: id.clone(), kind, dc, leaving };
+        let listed = ListedTarget { id: id.clone(), kind, dc, leaving };
         self.listed.insert(id, listed);
     }
 
@@ -282,7 +282,7 @@
             }
         }
         for (vm, id) in lost {
-            let event = Event::Attempted(id, Attempt::Lost);
+            let event = Event::AttemptEnded(id, Attempt::Lost);
             self.net.push(Message::Event(vm, event));
         }
     }
@@ -356,7 +356,7 @@
             }
             Action::Read => self.net.push(Message::Read(from)),
             Action::Register { draining } => self.register(vm, draining),
-            Action::Ask { target, epoch } => {
+            Action::QueryExecutor { target, epoch } => {
                 self.net.push(Message::Ask(from, target, epoch));
             }
             Action::Sync { target, request } => {
@@ -378,11 +378,11 @@
                     self.net.push(Message::Learned(vm, from, known));
                 }
             }
-            Action::Bequeath { vm, scope, epoch, memory } => {
+            Action::SendHandover { vm, scope, epoch, memory } => {
                 let message = Message::Bequest(from, vm, scope, epoch, memory);
                 self.net.push(message);
             }
-            Action::InForce(revision) => {
+            Action::ConfigApplied(revision) => {
                 let Some(state) = self.vms.get_mut(vm) else { return };
                 if revision <= state.in_force {
                     self.faults.push(format!("{vm} went back to {revision}"));
@@ -492,20 +492,24 @@
             }
             Message::Summary(from, to, summary) => {
                 if !self.is_cut(from.as_str(), to.as_str()) {
-                    self.tell(&to, Event::Heard(summary));
+                    self.tell(&to, Event::SummaryReceived(summary));
                 }
             }
             Message::Learned(from, to, stored) => {
                 if !self.is_cut(from.as_str(), to.as_str()) {
-                    self.tell(&to, Event::Learned(stored));
+                    self.tell(&to, Event::ValuesReceived(stored));
                 }
             }
             Message::Bequest(from, to, scope, epoch, memory) => {
                 let taken = self.linked(&from, &to);
                 if taken {
-                    self.tell(&to, Event::Bequest { scope, epoch, memory });
+                    self.tell(
+                        &to,
+                        Event::HandoverReceived { scope, epoch, memory },
+                    );
                 }
-                let event = Event::BequestEnded { scope, taken };
+                let event =
+                    Event::HandoverEnded { scope, acknowledged: taken };
                 self.net.push(Message::Event(from, event));
             }
         }
@@ -547,7 +551,7 @@
             None => Err(TargetError::Unreachable),
             Some(executor) => executor.ask(&epoch),
         };
-        let event = Event::Executor { target, epoch, result };
+        let event = Event::ExecutorReplied { target, epoch, result };
         self.net.push(Message::Event(vm, event));
     }
 
@@ -571,7 +575,7 @@
         };
         match (ended, key) {
             (Some(attempt), _) => {
-                let event = Event::Attempted(id, attempt);
+                let event = Event::AttemptEnded(id, attempt);
                 self.net.push(Message::Event(vm, event));
             }
             (None, Some(key)) => {
@@ -624,7 +628,7 @@
             },
         };
         let (epoch, seq) = (request.epoch, request.seq);
-        let event = Event::Synced { target, epoch, seq, result };
+        let event = Event::SyncEnded { target, epoch, seq, result };
         self.net.push(Message::Event(vm, event));
     }
 
@@ -676,7 +680,7 @@
         }
         for (target, run) in ended {
             if !self.is_cut(run.vm.as_str(), target.as_str()) {
-                let event = Event::Attempted(run.id, Attempt::Answered);
+                let event = Event::AttemptEnded(run.id, Attempt::Answered);
                 self.net.push(Message::Event(run.vm, event));
             }
         }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -6,7 +6,7 @@
 use puffinknot_core::calls::CallId;
 use puffinknot_core::contract::Scope;
 use puffinknot_core::ids::{TargetId, VmId};
-use puffinknot_core::node::{Event, Listed, Unread};
+use puffinknot_core::node::{Event, ListedTarget, UnreadableEntries};
 use puffinknot_core::outcome::{Outcome, Reason};
 use puffinknot_core::store::{Key, Stored, Value};
 
@@ -222,7 +222,7 @@
     cell.tell(&home, Event::Drain);
     cell.run_in_order(2_000);
     assert_eq!(cell.holder(DC, CALLS), Some(heir.clone()));
-    assert!(cell.vms[&home].node.drained());
+    assert!(cell.vms[&home].node.is_drained());
     let again = resend(&mut cell, &heir, id);
     // A call stamped long before the handover is served at once.
     let new = vent(&mut cell, &heir);
@@ -242,13 +242,13 @@
     let keyed = vent(&mut cell, &other(&vms, &home));
     cell.run_in_order(300);
     cell.tell(&home, Event::Drain);
-    assert!(!cell.vms[&home].node.drained());
+    assert!(!cell.vms[&home].node.is_drained());
     cell.run_in_order(12_000);
     for id in ids {
         assert_eq!(cell.answer_to(id), Some(&Outcome::Answered));
     }
     assert!(cell.answer_to(keyed).is_some());
-    assert!(cell.vms[&home].node.drained());
+    assert!(cell.vms[&home].node.is_drained());
     no_faults(&cell);
 }
 
@@ -357,7 +357,7 @@
     let (mut cell, vms) = cell(1, 0, 2);
     let worker = place(&cell, "api/0").expect("a place");
     let without = cell.listed.values().filter(|l| l.id != worker);
-    let without: Vec<Listed> = without.cloned().collect();
+    let without: Vec<ListedTarget> = without.cloned().collect();
     for span in [5_000, 1_000, 5_000, 2_000, 1_000] {
         let event = Event::Listed(without.clone());
         read_list(&mut cell, &vms[0], event, span);
@@ -375,23 +375,30 @@
     let (mut cell, vms) = cell(1, 0, 2);
     let worker = place(&cell, "api/0").expect("a place");
     let without = cell.listed.values().filter(|l| l.id != worker);
-    let without: Vec<Listed> = without.cloned().collect();
-    let read = |cell: &mut Cell, unread: &Unread| {
+    let without: Vec<ListedTarget> = without.cloned().collect();
+    let read = |cell: &mut Cell, unread: &UnreadableEntries| {
         for _ in 0..5 {
             let (listed, unread) = (without.clone(), unread.clone());
-            let event = Event::ListedInPart(listed, unread);
+            let event = Event::ListedPartially(listed, unread);
             read_list(cell, &vms[0], event, 1_000);
         }
         knows(cell, &vms[0], &worker)
     };
-    let nameless = Unread { nameless: 1, ..Unread::default() };
+    let nameless =
+        UnreadableEntries { unidentified: 1, ..UnreadableEntries::default() };
     assert!(read(&mut cell, &nameless));
     let named = [worker.clone()].into();
-    assert!(read(&mut cell, &Unread { named, nameless: 0 }));
+    assert!(read(
+        &mut cell,
+        &UnreadableEntries { targets: named, unidentified: 0 }
+    ));
     // A missing worker comes to its end though others can't be read.
     let named = [TargetId("other".into())].into();
     no_faults(&cell);
-    assert!(!read(&mut cell, &Unread { named, nameless: 0 }));
+    assert!(!read(
+        &mut cell,
+        &UnreadableEntries { targets: named, unidentified: 0 }
+    ));
 }
 
 #[test]
@@ -559,7 +566,7 @@
         value: Value::Config(FILE.to_string()),
         revision: before - 1,
     };
-    cell.tell(&vms[0], Event::Learned(vec![old.clone()]));
+    cell.tell(&vms[0], Event::ValuesReceived(vec![old.clone()]));
     let stored = vec![old];
     cell.tell(&vms[0], Event::Snapshot { revision: before, stored });
     let after = cell.vms[&vms[0]].node.view().config_revision();
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -10,8 +10,8 @@
 use proptest::test_runner::{Config as Runner, RngAlgorithm, TestRng};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 use puffinknot_core::contract::Scope;
+use puffinknot_core::idempotency::IdempotencyKey;
 use puffinknot_core::ids::{DcName, Millis, TargetId, VmId};
-use puffinknot_core::keys::Key;
 use puffinknot_core::node::Event;
 
 use crate::cell::Cell;
@@ -106,7 +106,7 @@
     cell: Cell,
     /// The running VM at each place, if there is one.
     places: Vec<Option<VmId>>,
-    keys: Vec<Key>,
+    keys: Vec<IdempotencyKey>,
     /// Chooses the order of messages; a fixed sequence.
     lot: u64,
 }
@@ -269,7 +269,7 @@
     fn gone(&mut self, n: usize) {
         let target = self.target(n);
         let listed = self.cell.listed[&target].clone();
-        let same = |l: &&puffinknot_core::node::Listed| {
+        let same = |l: &&puffinknot_core::node::ListedTarget| {
             l.kind == listed.kind && l.dc == listed.dc
         };
         if self.cell.listed.values().filter(same).count() < 2 {
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -4,11 +4,11 @@
 use puffinknot_core::config::{Config, Resources};
 use puffinknot_core::contract::Scope;
 use puffinknot_core::ids::{Epoch, TargetId, TaskId, VmId};
-use puffinknot_core::node::{Event, Listed};
+use puffinknot_core::node::{Event, ListedTarget};
 use puffinknot_core::tasks::{
     Placer, PlacerConfig, Progress, SyncReply, SyncRequest, WorkerInfo,
 };
-use puffinknot_core::tenure::Tenure;
+use puffinknot_core::term::Term;
 use puffinknot_standin::worker::WorkerState;
 
 use crate::cell::{Cell, Message};
@@ -29,7 +29,7 @@
 fn placer(number: u64, confirmed: bool, targets: &[TargetId]) -> Placer {
     let epoch = Epoch { number, holder: VmId(format!("vm{number}")) };
     let unseen = targets.iter().cloned().collect();
-    let tenure = Tenure::new(epoch, 1, confirmed, unseen);
+    let tenure = Term::new(epoch, 1, confirmed, unseen);
     let old = config();
     let mut placer = Placer::new(
         PlacerConfig::default(),
@@ -179,7 +179,7 @@
     let busy = cell.workers.iter().find(|(_, w)| w.running().count() > 0);
     let busy = busy.map(|(id, _)| id.clone()).expect("a worker at work");
     let without = cell.listed.values().filter(|listed| listed.id != busy);
-    let without: Vec<Listed> = without.cloned().collect();
+    let without: Vec<ListedTarget> = without.cloned().collect();
     cell.tell(&vm, Event::Listed(without));
     for _ in 0..50 {
         cell.pass(100);
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -148,11 +148,11 @@
         list.targets.iter().map(|listed| listed.id.as_str()).collect();
     assert_eq!(read, ["whole"]);
     let named: Vec<&str> =
-        list.unread.named.iter().map(|id| id.as_str()).collect();
+        list.unread.targets.iter().map(|id| id.as_str()).collect();
     let expected =
         ["no-address", "no-data-centre", "no-kind", "no-target", "other-kind"];
     assert_eq!(named, expected);
-    assert_eq!(list.unread.nameless, 3);
+    assert_eq!(list.unread.unidentified, 3);
     assert_eq!(list.entries.len(), 1);
 }
 
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -16,7 +16,7 @@
 use puffinknot_core::tasks::{
     Placer, PlacerConfig, Progress, SyncReply, SyncRequest, WorkerInfo,
 };
-use puffinknot_core::tenure::Tenure;
+use puffinknot_core::term::Term;
 use puffinknot_standin::worker::{Refusal, WorkerState};
 
 use crate::cell::{Cell as SmallCell, Message};
@@ -206,7 +206,7 @@
         let config = Config::parse(TASK_FILE).expect("a file in order");
         let epoch = Epoch { number, holder: VmId(format!("vm{number}")) };
         let targets = unseen.iter().cloned().collect();
-        let tenure = Tenure::new(epoch, 1, true, targets);
+        let tenure = Term::new(epoch, 1, true, targets);
         let mut placer = Placer::new(
             PlacerConfig::default(),
             "goya".into(),
@@ -371,7 +371,7 @@
 struct Calls {
     cell: SmallCell,
     vms: [VmId; 2],
-    key: Option<puffinknot_core::keys::Key>,
+    key: Option<puffinknot_core::idempotency::IdempotencyKey>,
     /// Through which VMs the call may still be sent.
     sends: [bool; 2],
     ticks: u32,
@@ -437,7 +437,7 @@
             }
             Message::Dispatch(..) => true,
             Message::Event(_, event) => {
-                matches!(event, Event::Call(..) | Event::Attempted(..))
+                matches!(event, Event::Call(..) | Event::AttemptEnded(..))
             }
             _ => false,
         };
