--- a/puffinknot-core/src/calls.rs
+++ b/puffinknot-core/src/calls.rs
@@ -72,9 +72,9 @@
 
 /// Whether an executor takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Condition {
+pub enum ExecutorState {
     /// It has not accepted the epoch yet, or is not answering.
-    Absent,
+    Unavailable,
     /// It takes work.
     Ready,
     /// It is leaving.
@@ -84,20 +84,20 @@
 /// What the holder knows of an executor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Executor {
-    condition: Condition,
+    state: ExecutorState,
     slots: u32,
     /// Slots used by calls of this tenure.
-    own: u32,
+    tracked: u32,
     /// Slots used by calls of earlier tenures, as the executor said, and by
     /// those whose connection was lost since.
-    older: u32,
+    untracked: u32,
 }
 
 impl Executor {
     fn free(&self) -> u32 {
-        match self.condition {
-            Condition::Ready => {
-                self.slots.saturating_sub(self.own + self.older)
+        match self.state {
+            ExecutorState::Ready => {
+                self.slots.saturating_sub(self.tracked + self.untracked)
             }
             _ => 0,
         }
@@ -106,7 +106,7 @@
 
 /// What becomes of a call that is offered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum Admission {
     /// It runs at this executor.
     Start(TargetId),
     /// It waits.
@@ -125,16 +125,16 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Running {
+struct RunningCall {
     executor: TargetId,
     caller: CallerId,
     kind: ClassKind,
-    since: Millis,
+    started_at: Millis,
 }
 
 /// How many calls of one caller run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Held {
+struct CallerUsage {
     immediate: u32,
     waiting: u32,
 }
@@ -170,27 +170,27 @@
 pub struct Pool {
     config: PoolConfig,
     executors: BTreeMap<TargetId, Executor>,
-    running: BTreeMap<CallId, Running>,
-    held: BTreeMap<CallerId, Held>,
-    waiting: BTreeMap<CallerId, BTreeSet<(Millis, CallId)>>,
+    running: BTreeMap<CallId, RunningCall>,
+    caller_usage: BTreeMap<CallerId, CallerUsage>,
+    queues: BTreeMap<CallerId, BTreeSet<(Millis, CallId)>>,
     /// Calls in `waiting`, by number.
     queued: BTreeMap<CallId, (CallerId, Millis)>,
     /// A running mean of how long calls take, in 1/16 milliseconds.
-    mean: u64,
+    scaled_mean: u64,
     /// Immediate calls that run, and the most that ran lately, which decays.
-    immediate: u32,
-    peak: u32,
-    decayed_at: Millis,
+    running_immediate: u32,
+    immediate_peak: u32,
+    peak_decayed_at: Millis,
 }
 
 /// The weight of the newest value in the running mean is one in this many.
-const MEAN_WEIGHT: u64 = 16;
+const MEAN_DIVISOR: u64 = 16;
 /// The memory of immediate calls loses one part in `DECAY_PART` in each
 /// span of this length, in milliseconds.
-const DECAY: Millis = 1_000;
-const DECAY_PART: u32 = 20;
+const PEAK_DECAY_INTERVAL: Millis = 1_000;
+const PEAK_DECAY_DIVISOR: u32 = 20;
 /// The shortest and longest advice on when to come back, in milliseconds.
-const RETRY_RANGE: (Millis, Millis) = (20, 60_000);
+const RETRY_AFTER_RANGE: (Millis, Millis) = (20, 60_000);
 
 impl Pool {
     /// A pool without executors.
@@ -199,13 +199,13 @@
             config,
             executors: BTreeMap::new(),
             running: BTreeMap::new(),
-            held: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            caller_usage: BTreeMap::new(),
+            queues: BTreeMap::new(),
             queued: BTreeMap::new(),
-            mean: 0,
-            immediate: 0,
-            peak: 0,
-            decayed_at: 0,
+            scaled_mean: 0,
+            running_immediate: 0,
+            immediate_peak: 0,
+            peak_decayed_at: 0,
         }
     }
 
@@ -220,31 +220,31 @@
     pub fn report(
         &mut self,
         id: &TargetId,
-        condition: Condition,
+        state: ExecutorState,
         slots: u32,
-        older: u32,
+        untracked: u32,
     ) {
-        let own = self.executors.get(id).map_or(0, |e| e.own);
-        let executor = Executor { condition, slots, own, older };
+        let tracked = self.executors.get(id).map_or(0, |e| e.tracked);
+        let executor = Executor { state, slots, tracked, untracked };
         self.executors.insert(id.clone(), executor);
     }
 
     /// Whether the executor takes work has changed.
-    pub fn set_condition(&mut self, id: &TargetId, condition: Condition) {
+    pub fn set_state(&mut self, id: &TargetId, state: ExecutorState) {
         if let Some(executor) = self.executors.get_mut(id) {
-            executor.condition = condition;
+            executor.state = state;
         }
     }
 
     /// Whether an executor takes work.
-    pub fn condition(&self, id: &TargetId) -> Condition {
-        self.executors.get(id).map_or(Condition::Absent, |e| e.condition)
+    pub fn state(&self, id: &TargetId) -> ExecutorState {
+        self.executors.get(id).map_or(ExecutorState::Unavailable, |e| e.state)
     }
 
     /// The slots that count as used by calls of earlier tenures, and by
     /// those whose connection was lost.
-    pub fn older(&self, id: &TargetId) -> u32 {
-        self.executors.get(id).map_or(0, |e| e.older)
+    pub fn untracked(&self, id: &TargetId) -> u32 {
+        self.executors.get(id).map_or(0, |e| e.untracked)
     }
 
     /// The executor is gone for good.
@@ -254,7 +254,7 @@
 
     /// The slots of all executors that take work.
     pub fn slots(&self) -> u32 {
-        let ready = |e: &&Executor| e.condition == Condition::Ready;
+        let ready = |e: &&Executor| e.state == ExecutorState::Ready;
         self.executors.values().filter(ready).map(|e| e.slots).sum()
     }
 
@@ -265,9 +265,9 @@
 
     /// How much room there is.
     pub fn load(&self) -> Load {
-        let room = self.room_for_waiting();
+        let room = self.free_for_waiting();
         let ahead = self.queued.len() as u64 + u64::from(room == 0);
-        let wait = ahead * self.mean_ms() / self.usable();
+        let wait = ahead * self.mean_ms() / self.slots_for_waiting();
         Load { free: self.free(), room, wait }
     }
 
@@ -283,55 +283,63 @@
 
     /// How long calls take on average, in milliseconds; zero if unknown.
     pub fn mean_ms(&self) -> Millis {
-        self.mean / MEAN_WEIGHT
+        self.scaled_mean / MEAN_DIVISOR
     }
 
     /// Each executor with its slots, its slots used, and whether it takes
     /// work.
     pub fn usage(
         &self,
-    ) -> impl Iterator<Item = (&TargetId, u32, u32, Condition)> {
+    ) -> impl Iterator<Item = (&TargetId, u32, u32, ExecutorState)> {
         self.executors
             .iter()
-            .map(|(id, e)| (id, e.slots, e.own + e.older, e.condition))
+            .map(|(id, e)| (id, e.slots, e.tracked + e.untracked, e.state))
     }
 
     /// Decides about a call.
-    pub fn offer(
+    pub fn admit(
         &mut self,
         now: Millis,
         id: CallId,
         spec: &CallSpec,
-    ) -> Offer {
+    ) -> Admission {
         if spec.deadline <= now {
             let retry = self.retry_after(0);
-            return Offer::Refused(Outcome::not_run(Reason::Expired, retry));
+            return Admission::Refused(Outcome::not_run(
+                Reason::Expired,
+                retry,
+            ));
         }
         match spec.kind {
-            ClassKind::Immediate => self.offer_immediate(now, id, spec),
-            ClassKind::Waiting => self.offer_waiting(now, id, spec),
+            ClassKind::Immediate => self.admit_immediate(now, id, spec),
+            ClassKind::Waiting => self.admit_waiting(now, id, spec),
         }
     }
 
-    fn offer_immediate(
+    fn admit_immediate(
         &mut self,
         now: Millis,
         id: CallId,
         spec: &CallSpec,
-    ) -> Offer {
+    ) -> Admission {
         let free = self.free();
         if free == 0 {
             let retry = self.retry_after(0);
-            return Offer::Refused(Outcome::not_run(Reason::NoSlot, retry));
+            return Admission::Refused(Outcome::not_run(
+                Reason::NoSlot,
+                retry,
+            ));
         }
-        if !self.within_share(free, spec) {
+        if !self.is_within_share(free, spec) {
             let retry = self.retry_after(0);
             let outcome = Outcome::not_run(Reason::CallerLimit, retry);
-            return Offer::Refused(outcome);
+            return Admission::Refused(outcome);
         }
         match self.start(now, id, &spec.caller, spec.kind) {
-            Some(executor) => Offer::Start(executor),
-            None => Offer::Refused(Outcome::not_run(Reason::NoSlot, 1_000)),
+            Some(executor) => Admission::Start(executor),
+            None => {
+                Admission::Refused(Outcome::not_run(Reason::NoSlot, 1_000))
+            }
         }
     }
 
@@ -341,46 +349,52 @@
     /// they may use, the last few slots are for callers that hold less than
     /// an even part of what immediate calls use and may still use, so that
     /// the flood of one leaves room for the others.
-    fn within_share(&self, free: u32, spec: &CallSpec) -> bool {
-        let held = self.held.get(&spec.caller).map_or(0, |h| h.immediate);
+    fn is_within_share(&self, free: u32, spec: &CallSpec) -> bool {
+        let running =
+            self.caller_usage.get(&spec.caller).map_or(0, |h| h.immediate);
         let share = percent(self.slots(), spec.share_percent).max(1);
-        if held >= share {
+        if running >= share {
             return false;
         }
-        if held == 0 || self.room_for_waiting() > 0 {
+        if running == 0 || self.free_for_waiting() > 0 {
             return true;
         }
-        let others = self.held.values().filter(|h| h.immediate > 0);
+        let others = self.caller_usage.values().filter(|h| h.immediate > 0);
         let callers = others.count() as u32;
-        let spare = 1 + self.peak.isqrt() / 2;
-        let fair = (self.immediate + free).div_ceil(callers.max(1));
-        free > spare || held < fair
+        let margin = 1 + self.immediate_peak.isqrt() / 2;
+        let even_share =
+            (self.running_immediate + free).div_ceil(callers.max(1));
+        free > margin || running < even_share
     }
 
-    fn offer_waiting(
+    fn admit_waiting(
         &mut self,
         now: Millis,
         id: CallId,
         spec: &CallSpec,
-    ) -> Offer {
-        if self.queued.is_empty() && self.room_for_waiting() > 0 {
+    ) -> Admission {
+        if self.queued.is_empty() && self.free_for_waiting() > 0 {
             if let Some(executor) =
                 self.start(now, id, &spec.caller, spec.kind)
             {
-                return Offer::Start(executor);
+                return Admission::Start(executor);
             }
         }
-        match self.refuse_at_door(now, spec) {
-            Some(outcome) => Offer::Refused(outcome),
+        match self.refuse_on_arrival(now, spec) {
+            Some(outcome) => Admission::Refused(outcome),
             None => {
                 self.enqueue(id, spec);
-                Offer::Queued
+                Admission::Queued
             }
         }
     }
 
-    fn refuse_at_door(&self, now: Millis, spec: &CallSpec) -> Option<Outcome> {
-        let ahead = self.waiting.get(&spec.caller).map_or(0, BTreeSet::len);
+    fn refuse_on_arrival(
+        &self,
+        now: Millis,
+        spec: &CallSpec,
+    ) -> Option<Outcome> {
+        let ahead = self.queues.get(&spec.caller).map_or(0, BTreeSet::len);
         let wait = self.predicted_wait(&spec.caller);
         if self.queued.len() >= self.config.queue || ahead >= spec.queue {
             let retry = self.retry_after(wait / 2);
@@ -397,16 +411,16 @@
     /// How long the caller's next call would wait: its turn comes after its
     /// own calls ahead of it, and every other caller goes once in between.
     pub fn predicted_wait(&self, caller: &CallerId) -> Millis {
-        let ahead = self.waiting.get(caller).map_or(0, BTreeSet::len) as u64;
-        let known = self.waiting.contains_key(caller);
-        let callers = self.waiting.len() as u64 + u64::from(!known);
+        let ahead = self.queues.get(caller).map_or(0, BTreeSet::len) as u64;
+        let known = self.queues.contains_key(caller);
+        let callers = self.queues.len() as u64 + u64::from(!known);
         let turns = (ahead + 1) * callers.max(1);
         let all = self.queued.len() as u64 + 1;
-        turns.min(all) * self.mean_ms() / self.usable()
+        turns.min(all) * self.mean_ms() / self.slots_for_waiting()
     }
 
     fn enqueue(&mut self, id: CallId, spec: &CallSpec) {
-        let queue = self.waiting.entry(spec.caller.clone()).or_default();
+        let queue = self.queues.entry(spec.caller.clone()).or_default();
         queue.insert((spec.deadline, id));
         self.queued.insert(id, (spec.caller.clone(), spec.deadline));
     }
@@ -416,10 +430,10 @@
         let Some((caller, deadline)) = self.queued.remove(&id) else {
             return false;
         };
-        if let Some(queue) = self.waiting.get_mut(&caller) {
+        if let Some(queue) = self.queues.get_mut(&caller) {
             queue.remove(&(deadline, id));
             if queue.is_empty() {
-                self.waiting.remove(&caller);
+                self.queues.remove(&caller);
             }
         }
         true
@@ -429,29 +443,29 @@
     pub fn withdraw_all(&mut self) -> Vec<CallId> {
         let ids: Vec<CallId> = self.queued.keys().copied().collect();
         self.queued.clear();
-        self.waiting.clear();
+        self.queues.clear();
         ids
     }
 
     /// A call has ended at its executor, or its connection is closed.
     pub fn finish(&mut self, now: Millis, id: CallId) {
         if let Some(running) = self.release(id) {
-            self.learn(now.saturating_sub(running.since));
+            self.record_duration(now.saturating_sub(running.started_at));
         }
     }
 
     /// A call did not reach its executor after all.
-    pub fn undo(&mut self, id: CallId) {
+    pub fn start_failed(&mut self, id: CallId) {
         self.release(id);
     }
 
     /// The connection to a call's executor was lost. The executor may go on
     /// with the call, so the slot counts as used until the executor says
     /// what it runs.
-    pub fn lose(&mut self, id: CallId) {
+    pub fn connection_lost(&mut self, id: CallId) {
         let Some(running) = self.release(id) else { return };
         if let Some(executor) = self.executors.get_mut(&running.executor) {
-            executor.older += 1;
+            executor.untracked += 1;
         }
     }
 
@@ -460,44 +474,45 @@
         &'a self,
         id: &'a TargetId,
     ) -> impl Iterator<Item = CallId> + 'a {
-        let here = move |(_, r): &(&CallId, &Running)| r.executor == *id;
+        let here = move |(_, r): &(&CallId, &RunningCall)| r.executor == *id;
         self.running.iter().filter(here).map(|(id, _)| *id)
     }
 
-    fn release(&mut self, id: CallId) -> Option<Running> {
+    fn release(&mut self, id: CallId) -> Option<RunningCall> {
         let running = self.running.remove(&id)?;
         if let Some(executor) = self.executors.get_mut(&running.executor) {
-            executor.own = executor.own.saturating_sub(1);
+            executor.tracked = executor.tracked.saturating_sub(1);
         }
-        if let Some(held) = self.held.get_mut(&running.caller) {
+        if let Some(usage) = self.caller_usage.get_mut(&running.caller) {
             match running.kind {
                 ClassKind::Immediate => {
-                    held.immediate -= 1;
-                    self.immediate -= 1;
+                    usage.immediate -= 1;
+                    self.running_immediate -= 1;
                 }
-                ClassKind::Waiting => held.waiting -= 1,
+                ClassKind::Waiting => usage.waiting -= 1,
             }
-            if held.immediate + held.waiting == 0 {
-                self.held.remove(&running.caller);
+            if usage.immediate + usage.waiting == 0 {
+                self.caller_usage.remove(&running.caller);
             }
         }
         Some(running)
     }
 
-    fn learn(&mut self, took: Millis) {
-        if self.mean == 0 {
-            self.mean = took * MEAN_WEIGHT;
+    fn record_duration(&mut self, duration: Millis) {
+        if self.scaled_mean == 0 {
+            self.scaled_mean = duration * MEAN_DIVISOR;
         } else {
-            self.mean = self.mean - self.mean / MEAN_WEIGHT + took;
+            self.scaled_mean =
+                self.scaled_mean - self.scaled_mean / MEAN_DIVISOR + duration;
         }
     }
 
     /// Starts waiting calls while there is room, and takes those out whose
     /// deadline can't be met any more.
-    pub fn pump(&mut self, now: Millis) -> Vec<Dequeued> {
-        self.decay(now);
-        let mut out = self.expire(now);
-        while self.room_for_waiting() > 0 {
+    pub fn start_waiting(&mut self, now: Millis) -> Vec<Dequeued> {
+        self.decay_peak(now);
+        let mut out = self.remove_expired(now);
+        while self.free_for_waiting() > 0 {
             let Some((caller, id)) = self.next_waiting() else { break };
             self.withdraw(id);
             let kind = ClassKind::Waiting;
@@ -509,10 +524,10 @@
         out
     }
 
-    fn expire(&mut self, now: Millis) -> Vec<Dequeued> {
+    fn remove_expired(&mut self, now: Millis) -> Vec<Dequeued> {
         let horizon = now + self.mean_ms();
         let mut late = Vec::new();
-        for queue in self.waiting.values() {
+        for queue in self.queues.values() {
             let due = queue.iter().take_while(|(d, _)| *d <= horizon);
             late.extend(due.map(|(_, id)| *id));
         }
@@ -525,42 +540,44 @@
     fn next_waiting(&self) -> Option<(CallerId, CallId)> {
         let next = |(caller, queue): (&CallerId, &BTreeSet<_>)| {
             let (deadline, id) = *queue.first()?;
-            let held = self.held.get(caller).map_or(0, |h| h.waiting);
-            Some((held, deadline, id, caller.clone()))
+            let running =
+                self.caller_usage.get(caller).map_or(0, |h| h.waiting);
+            Some((running, deadline, id, caller.clone()))
         };
-        let (_, _, id, caller) = self.waiting.iter().filter_map(next).min()?;
+        let (_, _, id, caller) = self.queues.iter().filter_map(next).min()?;
         Some((caller, id))
     }
 
     /// The slots that waiting calls leave to immediate ones.
-    fn kept(&self, slots: u32) -> u32 {
+    fn reserved_slots(&self, slots: u32) -> u32 {
         let most = percent(slots, self.config.reserve_percent);
-        let growth = self.config.reserve_least + self.peak.isqrt();
-        most.min(self.peak + growth)
+        let growth = self.config.reserve_least + self.immediate_peak.isqrt();
+        most.min(self.immediate_peak + growth)
     }
 
     /// The slots that waiting calls may use, at least one.
-    fn usable(&self) -> u64 {
+    fn slots_for_waiting(&self) -> u64 {
         let slots = self.slots();
-        u64::from(slots.saturating_sub(self.kept(slots))).max(1)
+        u64::from(slots.saturating_sub(self.reserved_slots(slots))).max(1)
     }
 
     /// Free slots that waiting calls may use.
-    fn room_for_waiting(&self) -> u32 {
+    fn free_for_waiting(&self) -> u32 {
         let (slots, free) = (self.slots(), self.free());
-        let used = slots.saturating_sub(free + self.immediate);
-        let limit = slots.saturating_sub(self.kept(slots));
+        let used = slots.saturating_sub(free + self.running_immediate);
+        let limit = slots.saturating_sub(self.reserved_slots(slots));
         free.min(limit.saturating_sub(used))
     }
 
     /// Lets the memory of immediate calls fade.
-    fn decay(&mut self, now: Millis) {
-        while self.decayed_at + DECAY <= now {
-            self.decayed_at += DECAY;
-            let faded = self.peak - self.peak.div_ceil(DECAY_PART);
-            self.peak = faded.max(self.immediate);
-            if self.peak == self.immediate {
-                self.decayed_at = now;
+    fn decay_peak(&mut self, now: Millis) {
+        while self.peak_decayed_at + PEAK_DECAY_INTERVAL <= now {
+            self.peak_decayed_at += PEAK_DECAY_INTERVAL;
+            let decayed = self.immediate_peak
+                - self.immediate_peak.div_ceil(PEAK_DECAY_DIVISOR);
+            self.immediate_peak = decayed.max(self.running_immediate);
+            if self.immediate_peak == self.running_immediate {
+                self.peak_decayed_at = now;
             }
         }
     }
@@ -578,20 +595,25 @@
             .iter_mut()
             .filter(|(_, e)| e.free() > 0)
             .max_by_key(|(_, e)| e.free())?;
-        state.own += 1;
+        state.tracked += 1;
         let executor = executor.clone();
-        let held = self.held.entry(caller.clone()).or_default();
+        let usage = self.caller_usage.entry(caller.clone()).or_default();
         match kind {
             ClassKind::Immediate => {
-                held.immediate += 1;
-                self.immediate += 1;
-                self.peak = self.peak.max(self.immediate);
+                usage.immediate += 1;
+                self.running_immediate += 1;
+                self.immediate_peak =
+                    self.immediate_peak.max(self.running_immediate);
             }
-            ClassKind::Waiting => held.waiting += 1,
+            ClassKind::Waiting => usage.waiting += 1,
         }
         let caller = caller.clone();
-        let running =
-            Running { executor: executor.clone(), caller, kind, since: now };
+        let running = RunningCall {
+            executor: executor.clone(),
+            caller,
+            kind,
+            started_at: now,
+        };
         self.running.insert(id, running);
         Some(executor)
     }
@@ -599,7 +621,7 @@
     fn retry_after(&self, wait: Millis) -> Millis {
         let slots = u64::from(self.slots().max(1));
         let next_free = self.mean_ms() / slots;
-        wait.max(next_free).clamp(RETRY_RANGE.0, RETRY_RANGE.1)
+        wait.max(next_free).clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1)
     }
 }
 
--- a/puffinknot-core/src/idempotency.rs
+++ b/puffinknot-core/src/idempotency.rs
@@ -1,7 +1,7 @@
 /*!
 The memory for calls that must not be repeated.
 
-A call that must not be repeated carries a key with a time stamp (a UUID of
+A call that must not be repeated carries a key with a time timestamp (a UUID of
 version 7, RFC 9562). Every key has one home, a contract scope in the
 caller's home data centre. The home remembers for a bounded time which keys
 it has started. A home that took over can't know older keys, so it answers
@@ -30,14 +30,14 @@
 
 impl IdempotencyKey {
     /// The time in the key, in milliseconds since 1970.
-    pub fn stamp(&self) -> Millis {
+    pub fn timestamp(&self) -> Millis {
         (self.uuid >> 80) as Millis
     }
 
     /// The smallest UUID that is stamped with this time.
-    fn first_at(stamp: Millis) -> IdempotencyKey {
+    fn lowest_at(timestamp: Millis) -> IdempotencyKey {
         IdempotencyKey {
-            uuid: u128::from(stamp) << 80,
+            uuid: u128::from(timestamp) << 80,
             caller: CallerId::default(),
         }
     }
@@ -56,16 +56,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeyTableConfig {
     /// How long a key is remembered, in milliseconds.
-    pub window: Millis,
+    pub retention: Millis,
     /// How far clocks of callers and VMs may differ, in milliseconds.
-    pub skew: Millis,
+    pub max_skew: Millis,
     /// The number of keys remembered at the most.
     pub capacity: usize,
 }
 
 impl Default for KeyTableConfig {
     fn default() -> KeyTableConfig {
-        KeyTableConfig { window: 120_000, skew: 500, capacity: 200_000 }
+        KeyTableConfig { retention: 120_000, max_skew: 500, capacity: 200_000 }
     }
 }
 
@@ -93,18 +93,18 @@
     /// and that clock may be one `skew` ahead of this VM's.
     pub fn complete_takeover(&mut self, wall: Millis) {
         if self.serves_from.is_none() {
-            self.serves_from = Some(wall + 2 * self.config.skew);
+            self.serves_from = Some(wall + 2 * self.config.max_skew);
         }
     }
 
     /// What an earlier home passed on can't be trusted: another VM may have
     /// started calls in between.
-    pub fn distrust(&mut self) {
+    pub fn invalidate(&mut self) {
         self.serves_from = None;
     }
 
     /// Takes over what an earlier home knew when it stopped.
-    pub fn adopt(&mut self, memory: KeySnapshot) {
+    pub fn import(&mut self, memory: KeySnapshot) {
         self.keys.extend(memory.keys);
         self.serves_from = memory.serves_from;
         self.floor = self.floor.max(memory.floor);
@@ -139,15 +139,17 @@
             }
             None => {}
         }
-        if key.stamp() > wall + config.skew {
-            let wait = key.stamp() - wall - config.skew;
+        if key.timestamp() > wall + config.max_skew {
+            let wait = key.timestamp() - wall - config.max_skew;
             return Err(Outcome::not_run(Reason::KeyTooNew, wait));
         }
-        if key.stamp() < self.floor || key.stamp() + config.window <= wall {
+        if key.timestamp() < self.floor
+            || key.timestamp() + config.retention <= wall
+        {
             return Err(Outcome::unknown(Reason::KeyTooOld, Outcome::NEVER));
         }
         match self.serves_from {
-            Some(from) if key.stamp() >= from => {}
+            Some(from) if key.timestamp() >= from => {}
             Some(_) => {
                 let never = Outcome::NEVER;
                 return Err(Outcome::unknown(Reason::BeforeTenure, never));
@@ -163,12 +165,12 @@
     }
 
     /// Records that a call is about to be sent to a target.
-    pub fn start(&mut self, key: &IdempotencyKey) {
+    pub fn mark_started(&mut self, key: &IdempotencyKey) {
         self.keys.insert(key.clone(), KeyState::Started);
     }
 
     /// Records that a call was answered.
-    pub fn answered(&mut self, key: &IdempotencyKey) {
+    pub fn mark_answered(&mut self, key: &IdempotencyKey) {
         self.keys.insert(key.clone(), KeyState::Answered);
     }
 
@@ -179,9 +181,10 @@
 
     /// Drops keys that are too old to be admitted anyway.
     pub fn expire(&mut self, wall: Millis) {
-        let oldest = wall.saturating_sub(self.config.window);
+        let oldest = wall.saturating_sub(self.config.retention);
         self.floor = self.floor.max(oldest);
-        self.keys = self.keys.split_off(&IdempotencyKey::first_at(self.floor));
+        self.keys =
+            self.keys.split_off(&IdempotencyKey::lowest_at(self.floor));
     }
 
     /// The number of keys remembered.
--- a/puffinknot-core/src/node/claims.rs
+++ b/puffinknot-core/src/node/claims.rs
@@ -19,89 +19,89 @@
 use crate::tasks::{Placer, PlacerConfig};
 use crate::term::Term;
 
-use super::held_calls::Home;
+use super::held_calls::HeldContract;
 use super::view::Versioned;
 use super::{Action, Node, Now, TargetKind};
 
 /// After its first read a VM waits this long for others of its data centre
 /// before it claims anything.
-const GATHERING: Millis = 1_000;
+const FIRST_CLAIM_DELAY: Millis = 1_000;
 /// Another VM than the one that should may take a contract over after this.
-const SECOND_CHANCE: Millis = 2_000;
+const FALLBACK_CLAIM_DELAY: Millis = 2_000;
 /// A successor must take note of a bequest within this time.
-const BEQUEST_TIMEOUT: Millis = 1_000;
+const HANDOVER_TIMEOUT: Millis = 1_000;
 /// After a write that could not be made, the next one waits this long.
-const REST: Millis = 500;
+const WRITE_BACKOFF: Millis = 500;
 /// A write whose end is not known after this time is looked up.
 const WRITE_TIMEOUT: Millis = 5_000;
 
 /// A contract that is being passed on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Bequest {
+struct Handover {
     to: VmId,
     sent_at: Millis,
     /// Whether the successor has taken note; `None` is not known yet.
-    taken: Option<bool>,
+    acknowledged: Option<bool>,
 }
 
 /// A write of the contracts that the view doesn't show yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Writing {
-    since: Millis,
+struct PendingWrite {
+    sent_at: Millis,
     /// The revision at which it was made, if that is known.
-    won: Option<Revision>,
+    won_revision: Option<Revision>,
 }
 
 /// What a node remembers about contracts, besides the view.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Claims {
-    first_read: Option<Millis>,
+    first_read_at: Option<Millis>,
     /// When the node was started, or last woke from a pause.
     awake_since: Millis,
-    last_event: Option<Millis>,
-    renewed_at: Option<Millis>,
+    last_event_at: Option<Millis>,
+    lease_renewed_at: Option<Millis>,
     /// The lease has lapsed since the contracts were claimed.
-    broken: bool,
+    lease_lost: bool,
     /// The contracts in the last write were claimed anew.
-    mending: bool,
-    writing: Option<Writing>,
+    reclaiming: bool,
+    pending_write: Option<PendingWrite>,
     /// No write is tried before this time.
-    rest_until: Millis,
+    write_backoff_until: Millis,
     reading: bool,
     assigned: BTreeMap<Scope, VmId>,
     assigned_at: Millis,
-    orphans: BTreeMap<Scope, Millis>,
-    inherited: BTreeMap<Scope, (Epoch, KeySnapshot)>,
-    bequests: BTreeMap<Scope, Bequest>,
+    orphaned_since: BTreeMap<Scope, Millis>,
+    received_handovers: BTreeMap<Scope, (Epoch, KeySnapshot)>,
+    handovers: BTreeMap<Scope, Handover>,
 }
 
 impl Claims {
     /// Takes note of the time, and tells whether the node was paused. One
     /// that was must not take its peers for dead.
-    pub(super) fn woke(&mut self, now: Now, pause: Millis) -> bool {
-        let last = self.last_event.replace(now.mono);
-        let woke = last.is_none_or(|last| last + pause <= now.mono);
-        if woke {
+    pub(super) fn detect_pause(&mut self, now: Now, pause: Millis) -> bool {
+        let last = self.last_event_at.replace(now.mono);
+        let paused = last.is_none_or(|last| last + pause <= now.mono);
+        if paused {
             self.awake_since = now.mono;
         }
-        woke
+        paused
     }
 
     /// Whether the platform is left alone for a moment.
-    pub(super) fn resting(&self, now: Now) -> bool {
-        now.mono < self.rest_until || self.reading
+    pub(super) fn is_backing_off(&self, now: Now) -> bool {
+        now.mono < self.write_backoff_until || self.reading
     }
 
-    pub(super) fn renewed_within(&self, now: Now, span: Millis) -> bool {
-        self.renewed_at.is_some_and(|at| at + span > now.mono)
+    pub(super) fn lease_renewed_within(&self, now: Now, span: Millis) -> bool {
+        self.lease_renewed_at.is_some_and(|at| at + span > now.mono)
     }
 
     /// When the platform last confirmed that every contract is still held.
     pub(super) fn confirmed_at(&self) -> Option<Millis> {
-        self.renewed_at.filter(|_| !self.broken)
+        self.lease_renewed_at.filter(|_| !self.lease_lost)
     }
 
-    pub(super) fn read_done(&mut self) {
+    pub(super) fn read_finished(&mut self) {
         self.reading = false;
     }
 
@@ -111,26 +111,26 @@
         epoch: Epoch,
         memory: KeySnapshot,
     ) {
-        self.inherited.insert(scope, (epoch, memory));
+        self.received_handovers.insert(scope, (epoch, memory));
     }
 
     /// Whether the contract is being passed on, so that nothing may be
     /// started under it.
-    pub(super) fn frozen(&self, scope: Scope) -> bool {
-        self.bequests.contains_key(&scope)
+    pub(super) fn is_handing_over(&self, scope: Scope) -> bool {
+        self.handovers.contains_key(&scope)
     }
 }
 
 impl Node {
     pub(super) fn on_renewed(&mut self, now: Now, sent_at: Millis) {
         let claims = &mut self.claims;
-        claims.renewed_at = claims.renewed_at.max(Some(sent_at));
-        self.tend_claims(now);
+        claims.lease_renewed_at = claims.lease_renewed_at.max(Some(sent_at));
+        self.update_claims(now);
     }
 
     pub(super) fn on_lease_lost(&mut self) {
-        self.claims.broken = true;
-        self.out.push(Action::Register { draining: self.draining });
+        self.claims.lease_lost = true;
+        self.actions.push(Action::Register { draining: self.draining });
     }
 
     pub(super) fn on_written(
@@ -155,70 +155,75 @@
             self.read_again();
         }
         if result == WriteResult::NotMade {
-            self.claims.rest_until = now.mono + REST;
+            self.claims.write_backoff_until = now.mono + WRITE_BACKOFF;
         }
         self.after_change(now);
     }
 
     fn contracts_written(&mut self, result: WriteResult) {
         let claims = &mut self.claims;
-        match (result, &mut claims.writing) {
-            (WriteResult::Won(revision), Some(writing)) => {
-                writing.won = Some(revision);
-                claims.broken &= !claims.mending;
+        match (result, &mut claims.pending_write) {
+            (WriteResult::Won(revision), Some(pending_write)) => {
+                pending_write.won_revision = Some(revision);
+                claims.lease_lost &= !claims.reclaiming;
             }
-            _ => claims.writing = None,
+            _ => claims.pending_write = None,
         }
-        claims.mending = false;
+        claims.reclaiming = false;
     }
 
     pub(super) fn read_again(&mut self) {
         if !self.claims.reading {
             self.claims.reading = true;
-            self.out.push(Action::Read);
+            self.actions.push(Action::Read);
         }
     }
 
-    pub(super) fn on_bequest_ended(
+    pub(super) fn on_handover_ended(
         &mut self,
         now: Now,
         scope: Scope,
-        taken: bool,
+        acknowledged: bool,
     ) {
-        if let Some(bequest) = self.claims.bequests.get_mut(&scope) {
-            bequest.taken = Some(taken);
+        if let Some(handover) = self.claims.handovers.get_mut(&scope) {
+            handover.acknowledged = Some(acknowledged);
         }
-        self.tend_claims(now);
+        self.update_claims(now);
     }
 
     /// Brings tenures in line with the view, and the platform's contracts
     /// in line with what this VM should hold.
-    pub(super) fn tend_claims(&mut self, now: Now) {
-        self.tend_tenures(now);
-        if self.still_writing(now) || now.mono < self.claims.rest_until {
+    pub(super) fn update_claims(&mut self, now: Now) {
+        self.update_terms(now);
+        if self.write_is_pending(now)
+            || now.mono < self.claims.write_backoff_until
+        {
             return;
         }
         if self.platform_is_reachable(now) {
             if self.view.revision > 0 && !self.claims.reading {
-                self.propose(now);
+                self.propose_contracts(now);
             }
         } else {
-            self.claim_alone(now);
+            self.claim_without_platform(now);
         }
-        self.tend_tenures(now);
+        self.update_terms(now);
     }
 
     /// Whether the last write is not yet seen in the view.
-    fn still_writing(&mut self, now: Now) -> bool {
-        let Some(writing) = &self.claims.writing else { return false };
+    fn write_is_pending(&mut self, now: Now) -> bool {
+        let Some(pending_write) = &self.claims.pending_write else {
+            return false;
+        };
         let map = self.view.maps.get(&self.config.dc);
         let shown = map.map_or(0, |map| map.revision);
-        if writing.won.is_some_and(|won| won <= shown) {
-            self.claims.writing = None;
+        if pending_write.won_revision.is_some_and(|revision| revision <= shown)
+        {
+            self.claims.pending_write = None;
             return false;
         }
-        if writing.since + WRITE_TIMEOUT <= now.mono {
-            self.claims.writing = None;
+        if pending_write.sent_at + WRITE_TIMEOUT <= now.mono {
+            self.claims.pending_write = None;
             self.read_again();
         }
         true
@@ -226,14 +231,14 @@
 
     /// Whether no other VM can have taken this VM's contracts over yet: its
     /// lease can't have lapsed.
-    pub(super) fn surely_holds(&self, now: Now) -> bool {
+    pub(super) fn lease_is_certainly_valid(&self, now: Now) -> bool {
         let span = self.config.member_ttl - self.config.member_ttl / 10;
         let confirmed = self.claims.confirmed_at();
         confirmed.is_some_and(|at| at + span > now.mono)
     }
 
     /// The members of this data centre that don't stop.
-    fn staying(&self) -> BTreeSet<VmId> {
+    fn remaining_members(&self) -> BTreeSet<VmId> {
         let mine = |(_, m): &(&VmId, &crate::store::Member)| {
             m.dc == self.config.dc && !m.draining
         };
@@ -246,13 +251,13 @@
         vms
     }
 
-    fn propose(&mut self, now: Now) {
+    fn propose_contracts(&mut self, now: Now) {
         let me = self.config.vm.clone();
         if !self.view.members.contains_key(&me) {
             return;
         }
-        let first = *self.claims.first_read.get_or_insert(now.mono);
-        if now.mono < first + GATHERING {
+        let first = *self.claims.first_read_at.get_or_insert(now.mono);
+        if now.mono < first + FIRST_CLAIM_DELAY {
             return;
         }
         let dc = self.config.dc.clone();
@@ -265,7 +270,7 @@
         let mine = |scope| self.view.holder(&dc, scope) == Some(&me);
         if !map.contracts.keys().any(|scope| mine(*scope)) {
             // Nothing was held that somebody could have taken over.
-            self.claims.broken = false;
+            self.claims.lease_lost = false;
         }
         let mut claimed = false;
         for (scope, contract) in &mut map.contracts {
@@ -275,10 +280,11 @@
         if map == known.value {
             return;
         }
-        self.claims.writing = Some(Writing { since: now.mono, won: None });
-        self.claims.mending = self.claims.broken;
+        self.claims.pending_write =
+            Some(PendingWrite { sent_at: now.mono, won_revision: None });
+        self.claims.reclaiming = self.claims.lease_lost;
         let since = self.view.config.revision;
-        self.out.push(Action::Write(Write {
+        self.actions.push(Action::Write(Write {
             key: Key::Contracts(dc),
             value: Value::Contracts(map),
             expect: known.revision,
@@ -287,7 +293,7 @@
     }
 
     fn assign_scopes(&mut self, now: Now, map: &ContractMap) {
-        let assigned = assign(map.contracts.keys(), &self.staying());
+        let assigned = assign(map.contracts.keys(), &self.remaining_members());
         if assigned != self.claims.assigned {
             self.claims.assigned = assigned;
             self.claims.assigned_at = now.mono;
@@ -307,7 +313,7 @@
         let known = self.view.epoch(dc, scope).cloned().unwrap_or_default();
         let since = self.view.config.revision;
         if known.holder == me {
-            if self.claims.broken {
+            if self.claims.lease_lost {
                 contract.claim(&me, &known, since);
                 return true;
             }
@@ -323,7 +329,7 @@
             return false;
         }
         let orphaned = !self.view.members.contains_key(&known.holder);
-        if !orphaned || !self.my_turn(now, scope) {
+        if !orphaned || !self.should_claim(now, scope) {
             return false;
         }
         contract.claim(&me, &known, since);
@@ -332,13 +338,14 @@
     }
 
     /// Whether this VM should take an orphaned contract over now.
-    fn my_turn(&mut self, now: Now, scope: Scope) -> bool {
+    fn should_claim(&mut self, now: Now, scope: Scope) -> bool {
         if self.draining {
             return false;
         }
-        let since = *self.claims.orphans.entry(scope).or_insert(now.mono);
+        let since =
+            *self.claims.orphaned_since.entry(scope).or_insert(now.mono);
         let mine = self.claims.assigned.get(&scope) == Some(&self.config.vm);
-        mine || since + SECOND_CHANCE <= now.mono
+        mine || since + FALLBACK_CLAIM_DELAY <= now.mono
     }
 
     /// Passes a contract on to the VM that should hold it.
@@ -351,30 +358,31 @@
         let me = &self.config.vm;
         let should = self.claims.assigned.get(&scope).filter(|vm| *vm != me);
         let Some(to) = should.cloned() else {
-            self.claims.bequests.remove(&scope);
+            self.claims.handovers.remove(&scope);
             return;
         };
-        let Some(bequest) = self.claims.bequests.get(&scope).cloned() else {
-            self.begin_bequest(now, scope, to);
+        let Some(handover) = self.claims.handovers.get(&scope).cloned() else {
+            self.begin_handover(now, scope, to);
             return;
         };
-        let late = bequest.sent_at + BEQUEST_TIMEOUT <= now.mono;
-        let taken = bequest.taken.or(late.then_some(false));
-        if bequest.to != to || (taken == Some(false) && !self.draining) {
-            self.claims.bequests.remove(&scope);
+        let late = handover.sent_at + HANDOVER_TIMEOUT <= now.mono;
+        let acknowledged = handover.acknowledged.or(late.then_some(false));
+        if handover.to != to || (acknowledged == Some(false) && !self.draining)
+        {
+            self.claims.handovers.remove(&scope);
             self.claims.assigned_at = now.mono;
             return;
         }
-        if let Some(taken) = taken {
+        if let Some(acknowledged) = acknowledged {
             contract.hand_over(&to, self.view.config.revision);
-            contract.handed_over = taken;
+            contract.handed_over = acknowledged;
             self.counters.handovers += 1;
         }
     }
 
-    fn begin_bequest(&mut self, now: Now, scope: Scope, to: VmId) {
+    fn begin_handover(&mut self, now: Now, scope: Scope, to: VmId) {
         let settled = self.claims.assigned_at + self.config.rebalance_after;
-        let one_at_a_time = self.claims.bequests.is_empty();
+        let one_at_a_time = self.claims.handovers.is_empty();
         let due = settled <= now.mono && one_at_a_time;
         if !due && !self.draining {
             return;
@@ -383,21 +391,22 @@
         else {
             return;
         };
-        let home = self.homes.get(&scope);
-        let memory = home.map(|home| home.keys.export());
+        let held = self.held_contracts.get(&scope);
+        let memory = held.map(|held| held.keys.export());
         // Tasks need no bequest: the workers' own lists are the truth.
-        let taken = (scope == Scope::Tasks).then_some(true);
-        let bequest = Bequest { to: to.clone(), sent_at: now.mono, taken };
-        self.claims.bequests.insert(scope, bequest);
+        let acknowledged = (scope == Scope::Tasks).then_some(true);
+        let handover =
+            Handover { to: to.clone(), sent_at: now.mono, acknowledged };
+        self.claims.handovers.insert(scope, handover);
         if let Some(memory) = memory {
-            self.out.push(Action::SendHandover {
+            self.actions.push(Action::SendHandover {
                 vm: to,
                 scope,
                 epoch,
                 memory,
             });
         }
-        self.requeue_waiting(now, scope, Reason::Draining);
+        self.reroute_waiting(now, scope, Reason::Draining);
     }
 
     /// Enrols new targets in this VM's contracts and drops those that are
@@ -453,10 +462,10 @@
 
     /// Takes over contracts of VMs that are not heard, while the platform
     /// is down for everybody.
-    fn claim_alone(&mut self, now: Now) {
+    fn claim_without_platform(&mut self, now: Now) {
         let ttl = self.config.member_ttl;
-        let Some(renewed) = self.claims.renewed_at else { return };
-        let since = renewed.max(self.claims.awake_since);
+        let Some(renewed_at) = self.claims.lease_renewed_at else { return };
+        let since = renewed_at.max(self.claims.awake_since);
         if self.draining || since + 2 * ttl > now.mono {
             return;
         }
@@ -481,14 +490,14 @@
         };
         let assigned = assign(map.contracts.keys(), &able);
         for (scope, vm) in assigned {
-            if vm == self.config.vm && self.silent_holder(now, scope) {
-                self.claim_one_alone(scope);
+            if vm == self.config.vm && self.holder_is_silent(now, scope) {
+                self.claim_scope_without_platform(scope);
             }
         }
     }
 
     /// Whether the holder has not been heard for long.
-    fn silent_holder(&self, now: Now, scope: Scope) -> bool {
+    fn holder_is_silent(&self, now: Now, scope: Scope) -> bool {
         let span = 2 * self.config.member_ttl;
         let Some(holder) = self.view.holder(&self.config.dc, scope) else {
             return false;
@@ -498,52 +507,52 @@
         *holder != self.config.vm && last + span <= now.mono
     }
 
-    fn claim_one_alone(&mut self, scope: Scope) {
+    fn claim_scope_without_platform(&mut self, scope: Scope) {
         let dc = self.config.dc.clone();
         let known = self.view.epoch(&dc, scope).cloned().unwrap_or_default();
         let epoch = known.next(&self.config.vm);
-        self.view.note_epoch(&dc, scope, &epoch);
+        self.view.record_epoch(&dc, scope, &epoch);
         self.counters.claims += 1;
     }
 
     /// Begins and ends tenures as the highest known epochs say.
-    pub(super) fn tend_tenures(&mut self, now: Now) {
+    pub(super) fn update_terms(&mut self, now: Now) {
         let dc = self.config.dc.clone();
         let Some(map) = self.view.maps.get(&dc) else { return };
         let scopes: Vec<Scope> = map.value.contracts.keys().copied().collect();
         for scope in scopes {
-            self.tend_tenure(now, &dc, scope);
+            self.update_term(now, &dc, scope);
         }
     }
 
-    fn tend_tenure(&mut self, now: Now, dc: &DcName, scope: Scope) {
+    fn update_term(&mut self, now: Now, dc: &DcName, scope: Scope) {
         let Some(contract) = self.view.contract(dc, scope).cloned() else {
             return;
         };
         let Some(epoch) = self.view.epoch(dc, scope).cloned() else { return };
         if !self.view.members.contains_key(&epoch.holder) {
-            self.claims.orphans.entry(scope).or_insert(now.mono);
+            self.claims.orphaned_since.entry(scope).or_insert(now.mono);
         } else {
-            self.claims.orphans.remove(&scope);
+            self.claims.orphaned_since.remove(&scope);
         }
         if epoch.holder != self.config.vm {
-            self.claims.bequests.remove(&scope);
-            self.end_tenure(now, scope);
+            self.claims.handovers.remove(&scope);
+            self.end_term(now, scope);
             return;
         }
         let confirmed = contract.epoch == epoch;
         let held = match scope {
-            Scope::Tasks => self.work.as_ref().map(|w| &w.tenure.epoch),
-            _ => self.homes.get(&scope).map(|h| &h.tenure.epoch),
+            Scope::Tasks => self.placer.as_ref().map(|w| &w.tenure.epoch),
+            _ => self.held_contracts.get(&scope).map(|h| &h.term.epoch),
         };
         if held != Some(&epoch) {
-            self.end_tenure(now, scope);
-            self.begin_tenure(now, scope, &contract, epoch);
+            self.end_term(now, scope);
+            self.begin_term(now, scope, &contract, epoch);
         }
-        self.update_tenure(now, scope, &contract, confirmed);
+        self.refresh_term(now, scope, &contract, confirmed);
     }
 
-    fn begin_tenure(
+    fn begin_term(
         &mut self,
         now: Now,
         scope: Scope,
@@ -552,33 +561,33 @@
     ) {
         let confirmed = contract.epoch == epoch;
         let targets = contract.targets.clone();
-        let tenure = Term::new(epoch, contract.since, confirmed, targets);
+        let term = Term::new(epoch, contract.since, confirmed, targets);
         if scope == Scope::Tasks {
             let config = PlacerConfig::default();
             let dc = self.config.dc.clone();
             let old = self.view.config();
             let progress = self.view.progress.value.clone();
-            let mut placer = Placer::new(config, dc, tenure, old, progress);
+            let mut placer = Placer::new(config, dc, term, old, progress);
             if let Some(config) = self.view.config() {
                 placer.configure(config);
             }
-            self.work = Some(Box::new(placer));
+            self.placer = Some(Box::new(placer));
             return;
         }
-        let mut home = Home::new(tenure, &self.config.keys);
+        let mut held = HeldContract::new(term, &self.config.keys);
         if contract.handed_over {
-            let inherited = self.claims.inherited.remove(&scope);
+            let inherited = self.claims.received_handovers.remove(&scope);
             let valid = inherited.filter(|(e, _)| *e == contract.previous);
             if let Some((epoch, memory)) = valid {
-                home.inherit(epoch, memory);
+                held.inherit(epoch, memory);
             }
         }
-        home.configure(&self.view.config.value.policy);
-        home.settle_if_done(now);
-        self.homes.insert(scope, home);
+        held.configure(&self.view.config.value.policy);
+        held.check_takeover(now);
+        self.held_contracts.insert(scope, held);
     }
 
-    fn update_tenure(
+    fn refresh_term(
         &mut self,
         now: Now,
         scope: Scope,
@@ -586,24 +595,24 @@
         confirmed: bool,
     ) {
         if scope == Scope::Tasks {
-            if let Some(work) = &mut self.work {
-                work.tenure.confirmed = confirmed;
+            if let Some(placer) = &mut self.placer {
+                placer.tenure.confirmed = confirmed;
             }
             self.update_workers(now, &contract.targets);
-        } else if let Some(home) = self.homes.get_mut(&scope) {
-            home.tenure.confirmed = confirmed;
-            home.set_targets(now, &contract.targets);
+        } else if let Some(held) = self.held_contracts.get_mut(&scope) {
+            held.term.confirmed = confirmed;
+            held.set_targets(now, &contract.targets);
         }
     }
 
-    fn end_tenure(&mut self, now: Now, scope: Scope) {
+    fn end_term(&mut self, now: Now, scope: Scope) {
         if scope == Scope::Tasks {
-            self.work = None;
+            self.placer = None;
             return;
         }
-        if self.homes.contains_key(&scope) {
-            self.requeue_waiting(now, scope, Reason::NotHolder);
-            self.homes.remove(&scope);
+        if self.held_contracts.contains_key(&scope) {
+            self.reroute_waiting(now, scope, Reason::NotHolder);
+            self.held_contracts.remove(&scope);
         }
     }
 }
--- a/puffinknot-core/src/node/held_tasks.rs
+++ b/puffinknot-core/src/node/held_tasks.rs
@@ -17,36 +17,36 @@
 }
 
 impl Node {
-    pub(super) fn tend_work(&mut self, now: Now) {
-        if self.claims.frozen(Scope::Tasks) {
+    pub(super) fn update_placer(&mut self, now: Now) {
+        if self.claims.is_handing_over(Scope::Tasks) {
             return;
         }
         let confirmed = self.claims.confirmed_at();
-        let Some(work) = &mut self.work else { return };
-        if let Some(at) = confirmed.filter(|_| work.tenure.confirmed) {
-            work.confirm(at);
+        let Some(placer) = &mut self.placer else { return };
+        if let Some(at) = confirmed.filter(|_| placer.tenure.confirmed) {
+            placer.confirm(at);
         }
-        for (target, request) in work.step(now.mono) {
-            self.out.push(Action::Sync { target, request });
+        for (target, request) in placer.step(now.mono) {
+            self.actions.push(Action::Sync { target, request });
         }
         self.write_progress(now);
     }
 
     fn write_progress(&mut self, now: Now) {
-        let answers =
-            self.platform_is_reachable(now) && !self.claims.resting(now);
-        let Some(work) = &self.work else { return };
+        let answers = self.platform_is_reachable(now)
+            && !self.claims.is_backing_off(now);
+        let Some(placer) = &self.placer else { return };
         if self.progress_write.is_some() || !answers {
             return;
         }
-        if !work.tenure.confirmed {
+        if !placer.tenure.confirmed {
             return;
         }
-        let Some((number, progress)) = work.progress() else { return };
+        let Some((number, progress)) = placer.progress() else { return };
         let value = progress.clone();
         let write = ProgressWrite { number, value: value.clone() };
         self.progress_write = Some(write);
-        self.out.push(Action::Write(Write {
+        self.actions.push(Action::Write(Write {
             key: Key::Progress(self.config.dc.clone()),
             value: Value::Progress(value),
             expect: self.view.progress.revision,
@@ -61,22 +61,22 @@
             self.view.progress.revision = revision;
             self.view.progress.value = write.value;
         }
-        if let Some(work) = &mut self.work {
-            work.progress_kept(write.number);
+        if let Some(placer) = &mut self.placer {
+            placer.progress_kept(write.number);
         }
     }
 
     /// The platform holds a newer progress than was known.
     pub(super) fn progress_changed(&mut self, now: Now) {
-        let Some(work) = &mut self.work else { return };
+        let Some(placer) = &mut self.placer else { return };
         let value = &self.view.progress.value;
         match &self.progress_write {
             Some(write) if write.value == *value => {
-                work.progress_kept(write.number);
+                placer.progress_kept(write.number);
             }
-            _ => work.merge_progress(value),
+            _ => placer.merge_progress(value),
         }
-        self.tend_work(now);
+        self.update_placer(now);
     }
 
     /// The contract names these workers now.
@@ -85,21 +85,21 @@
         now: Now,
         targets: &BTreeSet<TargetId>,
     ) {
-        let Some(work) = &mut self.work else { return };
-        let known: BTreeSet<TargetId> = work.worker_ids().cloned().collect();
+        let Some(placer) = &mut self.placer else { return };
+        let known: BTreeSet<TargetId> = placer.worker_ids().cloned().collect();
         for target in targets.difference(&known) {
-            work.add_worker(now.mono, target);
+            placer.add_worker(now.mono, target);
         }
         for target in known.difference(targets) {
-            work.remove_worker(target);
+            placer.remove_worker(target);
         }
         for target in targets {
             let leaving = self.view.is_leaving(target);
-            work.set_leaving(target, leaving);
+            placer.set_leaving(target, leaving);
         }
     }
 
-    pub(super) fn on_synced(
+    pub(super) fn on_sync_ended(
         &mut self,
         now: Now,
         target: TargetId,
@@ -107,8 +107,8 @@
         seq: u64,
         result: Result<SyncReply, TargetError>,
     ) {
-        let Some(work) = &mut self.work else { return };
-        if *work.epoch() != epoch {
+        let Some(placer) = &mut self.placer else { return };
+        if *placer.epoch() != epoch {
             return;
         }
         match result {
@@ -116,14 +116,14 @@
                 if reply.info.leaving {
                     self.view.leaving.insert(target.clone());
                 }
-                work.reply(now.mono, &target, reply);
+                placer.reply(now.mono, &target, reply);
             }
-            Err(TargetError::Unreachable) => work.failed(&target, seq),
+            Err(TargetError::Unreachable) => placer.failed(&target, seq),
             Err(TargetError::Stale(highest)) => {
-                work.failed(&target, seq);
+                placer.failed(&target, seq);
                 self.superseded(now, Scope::Tasks, &highest);
             }
         }
-        self.tend_work(now);
+        self.update_placer(now);
     }
 }
--- a/puffinknot-core/src/node/mod.rs
+++ b/puffinknot-core/src/node/mod.rs
@@ -26,18 +26,16 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::calls::{CallId, Condition, Load};
+use crate::calls::{CallId, ExecutorState, Load};
 use crate::contract::Scope;
-use crate::idempotency::{
-    IdempotencyKey as CallKey, KeySnapshot, KeyTableConfig,
-};
+use crate::idempotency::{IdempotencyKey, KeySnapshot, KeyTableConfig};
 use crate::ids::{CallerId, DcName, Epoch, Millis, Revision, TargetId, VmId};
 use crate::outcome::{Outcome, Reason};
 use crate::store::{Key, Stored, Write, WriteResult};
 use crate::tasks::{Placer, SyncReply, SyncRequest};
 
 use self::claims::Claims;
-use self::held_calls::Home;
+use self::held_calls::HeldContract;
 use self::held_tasks::ProgressWrite;
 use self::routing::CallState;
 pub use self::status::{ContractStatus, JobStatus, NodeStatus, TargetStatus};
@@ -173,7 +171,7 @@
     /// How long its answer is worth waiting for, in milliseconds.
     pub remaining: Millis,
     /// Its key, if it must not be repeated.
-    pub key: Option<CallKey>,
+    pub key: Option<IdempotencyKey>,
 }
 
 /// What a VM tells its peers of itself, every second.
@@ -410,17 +408,17 @@
     config: NodeConfig,
     view: View,
     claims: Claims,
-    homes: BTreeMap<Scope, Home>,
-    work: Option<Box<Placer>>,
+    held_contracts: BTreeMap<Scope, HeldContract>,
+    placer: Option<Box<Placer>>,
     progress_write: Option<ProgressWrite>,
     calls: BTreeMap<CallId, CallState>,
     /// Calls by the time at which something has to be done about them.
-    alarms: BTreeSet<(Millis, CallId)>,
+    timers: BTreeSet<(Millis, CallId)>,
     /// How many retries may still be made, in hundredths.
     retry_credit: u64,
     counters: Counters,
     draining: bool,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 impl Node {
@@ -430,15 +428,15 @@
             config,
             view: View::default(),
             claims: Claims::default(),
-            homes: BTreeMap::new(),
-            work: None,
+            held_contracts: BTreeMap::new(),
+            placer: None,
             progress_write: None,
             calls: BTreeMap::new(),
-            alarms: BTreeSet::new(),
-            retry_credit: routing::FIRST_CREDIT,
+            timers: BTreeSet::new(),
+            retry_credit: routing::INITIAL_RETRY_CREDIT,
             counters: Counters::default(),
             draining: false,
-            out: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
@@ -464,12 +462,12 @@
 
     /// The tasks of the data centre, if this VM places them.
     pub fn placer(&self) -> Option<&Placer> {
-        self.work.as_deref()
+        self.placer.as_deref()
     }
 
     /// Takes note of an event and says what is to be done.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         match event {
             Event::Tick => self.tick(now),
             Event::Snapshot { revision, stored } => {
@@ -489,8 +487,8 @@
             Event::ListedPartially(listed, unread) => {
                 self.on_listed(now, listed, &unread);
             }
-            Event::SummaryReceived(summary) => self.on_heard(now, summary),
-            Event::ValuesReceived(stored) => self.on_learned(now, stored),
+            Event::SummaryReceived(summary) => self.on_summary(now, summary),
+            Event::ValuesReceived(stored) => self.on_values(now, stored),
             Event::Call(id, call) => self.on_call(now, id, call),
             Event::Hop(id, scope, call) => self.on_hop(now, id, scope, call),
             Event::Abandoned(id) => self.on_abandoned(now, id),
@@ -499,68 +497,70 @@
             }
             Event::HopFailed { id, sent } => self.on_hop_failed(now, id, sent),
             Event::AttemptEnded(id, attempt) => {
-                self.on_attempted(now, id, attempt);
+                self.on_attempt_ended(now, id, attempt);
             }
             Event::ExecutorReplied { target, epoch, result } => {
-                self.on_executor(now, target, epoch, result);
+                self.on_executor_replied(now, target, epoch, result);
             }
             Event::SyncEnded { target, epoch, seq, result } => {
-                self.on_synced(now, target, epoch, seq, result);
+                self.on_sync_ended(now, target, epoch, seq, result);
             }
             Event::HandoverReceived { scope, epoch, memory } => {
                 self.claims.inherit(scope, epoch, memory);
             }
             Event::HandoverEnded { scope, acknowledged } => {
-                self.on_bequest_ended(now, scope, acknowledged);
+                self.on_handover_ended(now, scope, acknowledged);
             }
             Event::Drain => self.on_drain(now),
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// A VM that was paused has missed what others said in the meantime.
-    fn notice_pause(&mut self, now: Now) {
-        if self.claims.woke(now, self.config.member_ttl) {
-            for home in self.homes.values_mut() {
-                home.forget_executors();
+    fn detect_pause(&mut self, now: Now) {
+        if self.claims.detect_pause(now, self.config.member_ttl) {
+            for held in self.held_contracts.values_mut() {
+                held.mark_executors_unavailable();
             }
         }
     }
 
     fn tick(&mut self, now: Now) {
-        self.view.mark_quiet(now, self.config.member_ttl);
-        self.ring_alarms(now);
-        self.tend_homes(now);
-        self.tend_work(now);
-        self.tend_claims(now);
+        self.view.update_silent_peers(now, self.config.member_ttl);
+        self.fire_timers(now);
+        self.update_held_calls(now);
+        self.update_placer(now);
+        self.update_claims(now);
     }
 
     fn on_drain(&mut self, now: Now) {
         if !self.draining {
             self.draining = true;
-            self.out.push(Action::Register { draining: true });
+            self.actions.push(Action::Register { draining: true });
         }
-        self.tend_claims(now);
+        self.update_claims(now);
     }
 
     /// Whether nothing depends on this VM any more, so that it may stop.
     pub fn is_drained(&self) -> bool {
         self.draining
             && self.calls.is_empty()
-            && self.homes.is_empty()
-            && self.work.is_none()
+            && self.held_contracts.is_empty()
+            && self.placer.is_none()
     }
 
     /// Whether the platform has answered within the time that a member
     /// counts as alive.
     pub fn platform_is_reachable(&self, now: Now) -> bool {
-        self.claims.renewed_within(now, self.config.member_ttl)
+        self.claims.lease_renewed_within(now, self.config.member_ttl)
     }
 
     /// What this VM tells its peers.
     pub fn summary(&self, now: Now) -> Summary {
-        let loads =
-            self.homes.iter().map(|(scope, home)| (*scope, home.load()));
+        let loads = self
+            .held_contracts
+            .iter()
+            .map(|(scope, held)| (*scope, held.load()));
         Summary {
             vm: self.config.vm.clone(),
             dc: self.config.dc.clone(),
@@ -592,15 +592,15 @@
         }
     }
 
-    fn condition_of(
+    fn executor_state(
         &self,
         target: &TargetId,
         info_leaving: bool,
-    ) -> Condition {
+    ) -> ExecutorState {
         if info_leaving || self.view.is_leaving(target) {
-            Condition::Leaving
+            ExecutorState::Leaving
         } else {
-            Condition::Ready
+            ExecutorState::Ready
         }
     }
 }
--- a/puffinknot-core/src/node/routing.rs
+++ b/puffinknot-core/src/node/routing.rs
@@ -15,7 +15,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-use crate::calls::{CallId, CallSpec, Load, Offer};
+use crate::calls::{Admission, CallId, CallSpec, Load};
 use crate::config::{Class, ClassKind, Repeat};
 use crate::contract::Scope;
 use crate::ids::{DcName, Epoch, Millis, TargetId, VmId};
@@ -24,17 +24,17 @@
 use super::{Action, Attempt, Call, Node, Now};
 
 /// A waiting call without a holder is tried again after this time.
-const PARK: Millis = 100;
+const HOLDER_RETRY_DELAY: Millis = 100;
 /// One call is tried at this many places at the most.
-const MAX_TRIES: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 /// A retry costs this much credit; each call earns the policy's percentage.
 const RETRY_COST: u64 = 100;
 /// The credit at the start.
-pub(super) const FIRST_CREDIT: u64 = 10 * RETRY_COST;
+pub(super) const INITIAL_RETRY_CREDIT: u64 = 10 * RETRY_COST;
 /// Credit is saved up to this many retries.
-const MAX_CREDIT: u64 = 100 * RETRY_COST;
+const MAX_RETRY_CREDIT: u64 = 100 * RETRY_COST;
 /// The advice on when to come back where nothing better is known.
-const COME_BACK: Millis = 1_000;
+const RETRY_AFTER: Millis = 1_000;
 
 /// Where a call came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -47,9 +47,9 @@
 
 /// Where a call is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Place {
+pub(super) enum Location {
     /// On its way to somewhere else.
-    Nowhere,
+    Unassigned,
     /// In the queue of a contract.
     Queued(Scope),
     /// At an executor, under an epoch.
@@ -63,10 +63,10 @@
 pub(super) struct CallState {
     pub(super) call: Call,
     pub(super) origin: Origin,
-    pub(super) place: Place,
+    pub(super) location: Location,
     kind: ClassKind,
     may_repeat: bool,
-    elsewhere: bool,
+    other_data_centres_allowed: bool,
     deadline: Millis,
     tried: BTreeSet<(DcName, Scope)>,
     tries: u32,
@@ -76,8 +76,8 @@
 }
 
 /// A place to try.
-enum Next {
-    Here(Scope),
+enum Candidate {
+    Local(Scope),
     Peer(VmId, DcName, Scope),
 }
 
@@ -101,21 +101,22 @@
     fn admit(&mut self, now: Now, id: CallId, origin: Origin, call: Call) {
         let config = &self.view.config.value;
         let Some(class) = config.class(&call.class).cloned() else {
-            let outcome = Outcome::not_run(Reason::NoConfig, COME_BACK);
-            self.out.push(Action::Answer { id, outcome });
+            let outcome = Outcome::not_run(Reason::NoConfig, RETRY_AFTER);
+            self.actions.push(Action::Answer { id, outcome });
             return;
         };
         let percent = u64::from(config.policy.retry_percent);
-        self.retry_credit = (self.retry_credit + percent).min(MAX_CREDIT);
+        self.retry_credit =
+            (self.retry_credit + percent).min(MAX_RETRY_CREDIT);
         let Class { kind, repeat, deadline_ms, .. } = class;
         let deadline = now.mono + call.remaining.min(deadline_ms);
         let state = CallState {
             call,
             origin,
-            place: Place::Nowhere,
+            location: Location::Unassigned,
             kind,
             may_repeat: repeat == Repeat::Allowed,
-            elsewhere: class.other_data_centres,
+            other_data_centres_allowed: class.other_data_centres,
             deadline,
             tried: BTreeSet::new(),
             tries: 0,
@@ -123,42 +124,44 @@
             from_peer: false,
         };
         self.calls.insert(id, state);
-        self.alarms.insert((deadline, id));
+        self.timers.insert((deadline, id));
         self.route(now, id);
     }
 
     /// Finds a place for a call, trying the places on this VM at once.
     fn route(&mut self, now: Now, id: CallId) {
-        let mut refusal = Outcome::not_run(Reason::NoHolder, COME_BACK);
-        while let Some(next) = self.next_place(id) {
+        let mut refusal = Outcome::not_run(Reason::NoHolder, RETRY_AFTER);
+        while let Some(next) = self.next_candidate(id) {
             match next {
-                Next::Here(scope) => match self.offer(now, id, scope) {
-                    Ok(()) => return,
-                    Err(outcome) => refusal = outcome,
-                },
-                Next::Peer(vm, dc, scope) => {
+                Candidate::Local(scope) => {
+                    match self.admit_locally(now, id, scope) {
+                        Ok(()) => return,
+                        Err(outcome) => refusal = outcome,
+                    }
+                }
+                Candidate::Peer(vm, dc, scope) => {
                     self.forward(now, id, vm, dc, scope);
                     return;
                 }
             }
         }
-        self.give_up(now, id, refusal);
+        self.wait_or_finish(now, id, refusal);
     }
 
-    fn next_place(&self, id: CallId) -> Option<Next> {
+    fn next_candidate(&self, id: CallId) -> Option<Candidate> {
         let state = self.calls.get(&id)?;
         let here = &self.config.dc;
         if let Origin::Hop(scope) = state.origin {
             let new = !state.tried.contains(&(here.clone(), scope));
-            let held = self.homes.contains_key(&scope);
-            return (new && held).then_some(Next::Here(scope));
+            let held = self.held_contracts.contains_key(&scope);
+            return (new && held).then_some(Candidate::Local(scope));
         }
         if state.call.key.is_some() {
-            return self.home_of_key(state);
+            return self.candidate_for_key(state);
         }
-        let mut best: Option<(PlaceRank, Next)> = None;
+        let mut best: Option<(CandidateRank, Candidate)> = None;
         for (dc, map) in &self.view.maps {
-            if dc != here && !state.elsewhere {
+            if dc != here && !state.other_data_centres_allowed {
                 continue;
             }
             for scope in map.value.contracts.keys() {
@@ -174,7 +177,7 @@
     }
 
     /// The one place for a call with a key.
-    fn home_of_key(&self, state: &CallState) -> Option<Next> {
+    fn candidate_for_key(&self, state: &CallState) -> Option<Candidate> {
         let key = state.call.key.as_ref()?;
         let caller = self.view.config.value.caller(&state.call.caller)?;
         let dc = &caller.data_centre;
@@ -184,9 +187,9 @@
         }
         let holder = self.view.holder(dc, scope)?;
         if *holder == self.config.vm {
-            return Some(Next::Here(scope));
+            return Some(Candidate::Local(scope));
         }
-        Some(Next::Peer(holder.clone(), dc.clone(), scope))
+        Some(Candidate::Peer(holder.clone(), dc.clone(), scope))
     }
 
     /// How good a place is for a call; the lowest is best.
@@ -195,69 +198,75 @@
         state: &CallState,
         dc: &DcName,
         scope: Scope,
-    ) -> Option<(PlaceRank, Next)> {
+    ) -> Option<(CandidateRank, Candidate)> {
         if !matches!(scope, Scope::Calls(_)) {
             return None;
         }
         if state.tried.contains(&(dc.clone(), scope)) {
             return None;
         }
-        let away = *dc != self.config.dc;
-        let home = self.homes.get(&scope).filter(|_| !away);
-        if let Some(home) = home {
-            let load = home.load();
-            let rank = PlaceRank::new(state.kind, load, away, false);
-            return Some((rank, Next::Here(scope)));
+        let remote_dc = *dc != self.config.dc;
+        let held = self.held_contracts.get(&scope).filter(|_| !remote_dc);
+        if let Some(held) = held {
+            let load = held.load();
+            let rank = CandidateRank::new(state.kind, load, remote_dc, false);
+            return Some((rank, Candidate::Local(scope)));
         }
         let holder = self.view.holder(dc, scope)?;
         if *holder == self.config.vm {
             return None;
         }
         let load = self.view.loads.get(&(dc.clone(), scope)).copied();
-        let load = load.filter(|_| !self.view.is_quiet(holder));
+        let load = load.filter(|_| !self.view.is_silent(holder));
         let load = load.unwrap_or_default();
-        let rank = PlaceRank::new(state.kind, load, away, true);
-        Some((rank, Next::Peer(holder.clone(), dc.clone(), scope)))
+        let rank = CandidateRank::new(state.kind, load, remote_dc, true);
+        Some((rank, Candidate::Peer(holder.clone(), dc.clone(), scope)))
     }
 
     /// Offers a call to a contract of this VM.
-    fn offer(
+    fn admit_locally(
         &mut self,
         now: Now,
         id: CallId,
         scope: Scope,
     ) -> Result<(), Outcome> {
         let dc = self.config.dc.clone();
-        let spec = self.spec(id);
-        let frozen = self.claims.frozen(scope);
+        let spec = self.call_spec(id);
+        let handing_over = self.claims.is_handing_over(scope);
         let Some(state) = self.calls.get_mut(&id) else { return Ok(()) };
         state.tried.insert((dc, scope));
-        let lost = Outcome::not_run(Reason::NotHolder, PARK);
-        let Some(home) = self.homes.get_mut(&scope) else { return Err(lost) };
+        let not_holder =
+            Outcome::not_run(Reason::NotHolder, HOLDER_RETRY_DELAY);
+        let Some(held) = self.held_contracts.get_mut(&scope) else {
+            return Err(not_holder);
+        };
         if let Some(key) = &state.call.key {
-            home.keys.check(key, now.wall)?;
+            held.keys.check(key, now.wall)?;
         }
-        if frozen {
-            return Err(Outcome::not_run(Reason::Draining, PARK));
+        if handing_over {
+            return Err(Outcome::not_run(
+                Reason::Draining,
+                HOLDER_RETRY_DELAY,
+            ));
         }
-        if !home.tenure.may_start() {
-            return Err(Outcome::not_run(Reason::BeforeTenure, COME_BACK));
+        if !held.term.may_start() {
+            return Err(Outcome::not_run(Reason::BeforeTenure, RETRY_AFTER));
         }
-        let offer = home.pool.offer(now.mono, id, &spec);
-        if let Offer::Refused(outcome) = offer {
+        let admission = held.pool.admit(now.mono, id, &spec);
+        if let Admission::Refused(outcome) = admission {
             return Err(outcome);
         }
         if let Some(key) = &state.call.key {
-            home.keys.start(key);
+            held.keys.mark_started(key);
         }
-        match offer {
-            Offer::Start(target) => self.dispatch(id, scope, target),
-            _ => state.place = Place::Queued(scope),
+        match admission {
+            Admission::Start(target) => self.dispatch(id, scope, target),
+            _ => state.location = Location::Queued(scope),
         }
         Ok(())
     }
 
-    fn spec(&self, id: CallId) -> CallSpec {
+    fn call_spec(&self, id: CallId) -> CallSpec {
         let state = &self.calls[&id];
         let config = &self.view.config.value;
         let caller = config.caller(&state.call.caller);
@@ -276,12 +285,13 @@
         scope: Scope,
         target: TargetId,
     ) {
-        let Some(home) = self.homes.get(&scope) else { return };
-        let epoch = home.tenure.epoch.clone();
+        let Some(held) = self.held_contracts.get(&scope) else { return };
+        let epoch = held.term.epoch.clone();
         if let Some(state) = self.calls.get_mut(&id) {
-            state.place = Place::Running(scope, target.clone(), epoch.clone());
+            state.location =
+                Location::Running(scope, target.clone(), epoch.clone());
         }
-        self.out.push(Action::Dispatch { id, target, epoch });
+        self.actions.push(Action::Dispatch { id, target, epoch });
     }
 
     fn forward(
@@ -295,10 +305,10 @@
         let Some(state) = self.calls.get_mut(&id) else { return };
         state.tried.insert((dc.clone(), scope));
         state.from_peer = false;
-        state.place = Place::Forwarded(dc, scope);
+        state.location = Location::Forwarded(dc, scope);
         let mut call = state.call.clone();
         call.remaining = state.deadline.saturating_sub(now.mono);
-        self.out.push(Action::Forward { id, vm, scope, call });
+        self.actions.push(Action::Forward { id, vm, scope, call });
     }
 
     pub(super) fn on_hop_ended(
@@ -308,8 +318,10 @@
         outcome: Outcome,
     ) {
         let Some(state) = self.calls.get_mut(&id) else { return };
-        let Place::Forwarded(dc, scope) = state.place.clone() else { return };
-        state.place = Place::Nowhere;
+        let Location::Forwarded(dc, scope) = state.location.clone() else {
+            return;
+        };
+        state.location = Location::Unassigned;
         state.from_peer = true;
         if let Outcome::NotRun { reason: Reason::NoSlot, .. } = outcome {
             self.view.loads.insert((dc, scope), Load::default());
@@ -319,13 +331,15 @@
 
     pub(super) fn on_hop_failed(&mut self, now: Now, id: CallId, sent: bool) {
         let Some(state) = self.calls.get_mut(&id) else { return };
-        let Place::Forwarded(dc, scope) = state.place.clone() else { return };
-        state.place = Place::Nowhere;
+        let Location::Forwarded(dc, scope) = state.location.clone() else {
+            return;
+        };
+        state.location = Location::Unassigned;
         self.view.loads.insert((dc, scope), Load::default());
         let outcome = if sent {
-            Outcome::unknown(Reason::PeerLost, COME_BACK)
+            Outcome::unknown(Reason::PeerLost, RETRY_AFTER)
         } else {
-            Outcome::not_run(Reason::PeerUnreachable, COME_BACK)
+            Outcome::not_run(Reason::PeerUnreachable, RETRY_AFTER)
         };
         self.attempt_ended(now, id, outcome);
     }
@@ -333,8 +347,8 @@
     /// An attempt has ended away from this VM or at an executor.
     fn attempt_ended(&mut self, now: Now, id: CallId, outcome: Outcome) {
         match outcome {
-            Outcome::Answered => self.end(now, id, outcome),
-            Outcome::NotRun { .. } => self.refused(now, id, outcome),
+            Outcome::Answered => self.finish_call(now, id, outcome),
+            Outcome::NotRun { .. } => self.handle_refusal(now, id, outcome),
             Outcome::Unknown { reason, .. } => {
                 let lost = matches!(
                     reason,
@@ -342,9 +356,9 @@
                 );
                 let state = self.calls.get(&id);
                 if lost && state.is_some_and(|state| state.may_repeat) {
-                    self.refused(now, id, outcome);
+                    self.handle_refusal(now, id, outcome);
                 } else {
-                    self.end(now, id, outcome);
+                    self.finish_call(now, id, outcome);
                 }
             }
         }
@@ -352,7 +366,12 @@
 
     /// A call was turned away somewhere. It is tried elsewhere if there is
     /// another place, time and credit.
-    pub(super) fn refused(&mut self, now: Now, id: CallId, outcome: Outcome) {
+    pub(super) fn handle_refusal(
+        &mut self,
+        now: Now,
+        id: CallId,
+        outcome: Outcome,
+    ) {
         let Some(state) = self.calls.get_mut(&id) else { return };
         if state.answered {
             self.calls.remove(&id);
@@ -360,14 +379,14 @@
         }
         state.tries += 1;
         let tries = state.tries;
-        if tries >= MAX_TRIES || self.next_place(id).is_none() {
-            self.give_up(now, id, outcome);
+        if tries >= MAX_ATTEMPTS || self.next_candidate(id).is_none() {
+            self.wait_or_finish(now, id, outcome);
             return;
         }
         if self.retry_credit < RETRY_COST {
-            let credit = Outcome::not_run(Reason::RetryBudget, COME_BACK);
-            self.count_end(&credit);
-            self.end(now, id, outcome);
+            let no_credit = Outcome::not_run(Reason::RetryBudget, RETRY_AFTER);
+            self.count_end(&no_credit);
+            self.finish_call(now, id, outcome);
             return;
         }
         self.retry_credit -= RETRY_COST;
@@ -379,9 +398,9 @@
 
     /// No place is left. A waiting call whose holder is only changing is
     /// tried again a little later; any other is answered at once.
-    fn give_up(&mut self, now: Now, id: CallId, outcome: Outcome) {
+    fn wait_or_finish(&mut self, now: Now, id: CallId, outcome: Outcome) {
         let Some(state) = self.calls.get_mut(&id) else { return };
-        let passing = matches!(
+        let transient = matches!(
             outcome.reason(),
             Some(
                 Reason::NoHolder
@@ -394,45 +413,46 @@
         let waits = state.kind == ClassKind::Waiting
             && state.origin == Origin::Caller
             && matches!(outcome, Outcome::NotRun { .. });
-        let again = now.mono + PARK;
-        if passing && waits && again < state.deadline {
+        let again = now.mono + HOLDER_RETRY_DELAY;
+        if transient && waits && again < state.deadline {
             state.tried.clear();
-            state.place = Place::Nowhere;
-            self.alarms.insert((again, id));
+            state.location = Location::Unassigned;
+            self.timers.insert((again, id));
             return;
         }
-        self.end(now, id, outcome);
+        self.finish_call(now, id, outcome);
     }
 
-    pub(super) fn on_attempted(
+    pub(super) fn on_attempt_ended(
         &mut self,
         now: Now,
         id: CallId,
         attempt: Attempt,
     ) {
         let Some(state) = self.calls.get_mut(&id) else { return };
-        let Place::Running(scope, target, epoch) = state.place.clone() else {
+        let Location::Running(scope, target, epoch) = state.location.clone()
+        else {
             return;
         };
-        state.place = Place::Nowhere;
+        state.location = Location::Unassigned;
         // Another executor of the same contract may do better.
         let here = self.config.dc.clone();
         state.tried.remove(&(here, scope));
         let key = state.call.key.clone();
-        let home = self.homes.get_mut(&scope);
-        if let Some(home) = home.filter(|h| h.tenure.epoch == epoch) {
+        let held = self.held_contracts.get_mut(&scope);
+        if let Some(held) = held.filter(|h| h.term.epoch == epoch) {
             match attempt {
-                Attempt::Answered => home.pool.finish(now.mono, id),
-                Attempt::Lost => home.lose(&target, id),
-                _ => home.pool.undo(id),
+                Attempt::Answered => held.pool.finish(now.mono, id),
+                Attempt::Lost => held.connection_lost(&target, id),
+                _ => held.pool.start_failed(id),
             }
             match (&key, &attempt) {
-                (Some(key), Attempt::Answered) => home.keys.answered(key),
+                (Some(key), Attempt::Answered) => held.keys.mark_answered(key),
                 (None, _) | (_, Attempt::Lost) => {}
-                (Some(key), _) => home.keys.forget(key),
+                (Some(key), _) => held.keys.forget(key),
             }
             if matches!(attempt, Attempt::NotSent | Attempt::Refused) {
-                home.executor_failed(&target);
+                held.executor_failed(&target);
             }
         }
         if let Attempt::Stale(highest) = &attempt {
@@ -441,31 +461,44 @@
         let outcome = match attempt {
             Attempt::Answered => Outcome::Answered,
             Attempt::NotSent => {
-                Outcome::not_run(Reason::Unreachable, COME_BACK)
+                Outcome::not_run(Reason::Unreachable, RETRY_AFTER)
+            }
+            Attempt::Stale(_) => {
+                Outcome::not_run(Reason::StaleEpoch, HOLDER_RETRY_DELAY)
+            }
+            Attempt::Refused => {
+                Outcome::not_run(Reason::TargetRefused, HOLDER_RETRY_DELAY)
             }
-            Attempt::Stale(_) => Outcome::not_run(Reason::StaleEpoch, PARK),
-            Attempt::Refused => Outcome::not_run(Reason::TargetRefused, PARK),
             Attempt::Lost => {
-                Outcome::unknown(Reason::ConnectionLost, COME_BACK)
+                Outcome::unknown(Reason::ConnectionLost, RETRY_AFTER)
             }
         };
         self.attempt_ended(now, id, outcome);
-        self.pump(now, scope);
+        self.start_waiting(now, scope);
     }
 
     /// Ends a call: its caller is told, unless that has been done.
-    pub(super) fn end(&mut self, now: Now, id: CallId, outcome: Outcome) {
-        let current = self.surely_holds(now);
+    pub(super) fn finish_call(
+        &mut self,
+        now: Now,
+        id: CallId,
+        outcome: Outcome,
+    ) {
+        let current = self.lease_is_certainly_valid(now);
         let Some(state) = self.calls.get_mut(&id) else { return };
         let keyed = state.call.key.is_some();
-        let vouched = state.from_peer || current;
-        let outcome = if keyed { sound(outcome, vouched) } else { outcome };
+        let authoritative = state.from_peer || current;
+        let outcome = if keyed {
+            restrict_refusal(outcome, authoritative)
+        } else {
+            outcome
+        };
         let origin = state.origin;
         let first = !state.answered;
         state.answered = true;
-        let running = matches!(state.place, Place::Running(..));
+        let running = matches!(state.location, Location::Running(..));
         if !running {
-            self.alarms.remove(&(state.deadline, id));
+            self.timers.remove(&(state.deadline, id));
             self.calls.remove(&id);
         }
         if !first {
@@ -474,7 +507,7 @@
         if origin == Origin::Caller {
             self.count_end(&outcome);
         }
-        self.out.push(Action::Answer { id, outcome });
+        self.actions.push(Action::Answer { id, outcome });
     }
 
     /// The caller has gone away. What runs goes on; its answer goes to
@@ -483,64 +516,73 @@
         self.withdraw(id);
         let Some(state) = self.calls.get_mut(&id) else { return };
         state.answered = true;
-        self.end(now, id, Outcome::unknown(Reason::CallerGone, 0));
+        self.finish_call(now, id, Outcome::unknown(Reason::CallerGone, 0));
     }
 
     /// Takes a call out of the queue it stands in. Returns whether it was
     /// in one.
     fn withdraw(&mut self, id: CallId) -> bool {
         let Some(state) = self.calls.get_mut(&id) else { return false };
-        let Place::Queued(scope) = state.place else { return false };
-        state.place = Place::Nowhere;
+        let Location::Queued(scope) = state.location else { return false };
+        state.location = Location::Unassigned;
         self.forget_key(scope, id);
-        let home = self.homes.get_mut(&scope);
-        home.is_some_and(|home| home.pool.withdraw(id))
+        let held = self.held_contracts.get_mut(&scope);
+        held.is_some_and(|held| held.pool.withdraw(id))
     }
 
-    pub(super) fn ring_alarms(&mut self, now: Now) {
-        while let Some((at, id)) = self.alarms.first().copied() {
+    pub(super) fn fire_timers(&mut self, now: Now) {
+        while let Some((at, id)) = self.timers.first().copied() {
             if at > now.mono {
                 break;
             }
-            self.alarms.pop_first();
-            self.ring(now, id);
+            self.timers.pop_first();
+            self.fire_timer(now, id);
         }
     }
 
-    fn ring(&mut self, now: Now, id: CallId) {
+    fn fire_timer(&mut self, now: Now, id: CallId) {
         let Some(state) = self.calls.get(&id) else { return };
         if state.deadline > now.mono {
-            if state.place == Place::Nowhere {
+            if state.location == Location::Unassigned {
                 self.route(now, id);
             }
             return;
         }
-        let outcome = match state.place {
-            Place::Running(..) | Place::Forwarded(..) => {
-                Outcome::unknown(Reason::LateAnswer, COME_BACK)
+        let outcome = match state.location {
+            Location::Running(..) | Location::Forwarded(..) => {
+                Outcome::unknown(Reason::LateAnswer, RETRY_AFTER)
+            }
+            Location::Queued(_) => {
+                Outcome::not_run(Reason::Expired, RETRY_AFTER)
+            }
+            Location::Unassigned => {
+                Outcome::not_run(Reason::NoHolder, RETRY_AFTER)
             }
-            Place::Queued(_) => Outcome::not_run(Reason::Expired, COME_BACK),
-            Place::Nowhere => Outcome::not_run(Reason::NoHolder, COME_BACK),
         };
         self.withdraw(id);
-        self.end(now, id, outcome);
+        self.finish_call(now, id, outcome);
     }
 }
 
 /// The order in which places are tried; fields are compared in turn.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct PlaceRank {
+struct CandidateRank {
     full: bool,
-    away: bool,
+    remote_dc: bool,
     wait: Millis,
     hop: bool,
     room: Reverse<u32>,
 }
 
-impl PlaceRank {
-    fn new(kind: ClassKind, load: Load, away: bool, hop: bool) -> PlaceRank {
+impl CandidateRank {
+    fn new(
+        kind: ClassKind,
+        load: Load,
+        remote_dc: bool,
+        hop: bool,
+    ) -> CandidateRank {
         let (full, wait, room) = load.cost(kind);
-        PlaceRank { full, away, wait, hop, room }
+        CandidateRank { full, remote_dc, wait, hop, room }
     }
 }
 
@@ -548,7 +590,7 @@
 /// the home of the key says nothing about earlier attempts, and neither does
 /// that of a home which may have been superseded: only one whose word is
 /// `vouched` for may say that the call was not run.
-fn sound(outcome: Outcome, vouched: bool) -> Outcome {
+fn restrict_refusal(outcome: Outcome, authoritative: bool) -> Outcome {
     let Outcome::NotRun { reason, retry_after } = outcome else {
         return outcome;
     };
@@ -565,7 +607,7 @@
             | Reason::TargetRefused
             | Reason::Draining
     );
-    if from_home && vouched {
+    if from_home && authoritative {
         Outcome::NotRun { reason, retry_after }
     } else {
         Outcome::Unknown { reason, retry_after }
--- a/puffinknot-core/src/node/status.rs
+++ b/puffinknot-core/src/node/status.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::calls::Condition;
+use crate::calls::ExecutorState;
 use crate::contract::Scope;
 use crate::ids::{DcName, Millis, Revision, TargetId, VmId};
 
@@ -123,51 +123,53 @@
     }
 
     fn call_homes(&self) -> Vec<ContractStatus> {
-        let view = |(scope, home): (&Scope, &super::Home)| ContractStatus {
-            scope: *scope,
-            epoch: home.tenure.epoch.to_string(),
-            settled: home.tenure.takeover_complete(),
-            confirmed: home.tenure.confirmed,
-            running: home.pool.running(),
-            waiting: home.pool.queue_len(),
-            mean_ms: home.pool.mean_ms(),
-            targets: home
-                .pool
-                .usage()
-                .map(|(id, slots, used, condition)| TargetStatus {
-                    id: id.clone(),
-                    ready: condition == Condition::Ready,
-                    slots,
-                    used,
-                })
-                .collect(),
-        };
-        self.homes.iter().map(view).collect()
+        let view =
+            |(scope, held): (&Scope, &super::HeldContract)| ContractStatus {
+                scope: *scope,
+                epoch: held.term.epoch.to_string(),
+                settled: held.term.takeover_complete(),
+                confirmed: held.term.confirmed,
+                running: held.pool.running(),
+                waiting: held.pool.queue_len(),
+                mean_ms: held.pool.mean_ms(),
+                targets: held
+                    .pool
+                    .usage()
+                    .map(|(id, slots, used, state)| TargetStatus {
+                        id: id.clone(),
+                        ready: state == ExecutorState::Ready,
+                        slots,
+                        used,
+                    })
+                    .collect(),
+            };
+        self.held_contracts.iter().map(view).collect()
     }
 
     fn task_home(&self) -> Option<ContractStatus> {
-        let work = self.work.as_ref()?;
-        let targets = work.workers().into_iter().map(|worker| TargetStatus {
-            id: worker.id,
-            ready: worker.ready,
-            slots: worker.tasks.len() as u32,
-            used: worker.tasks.len() as u32,
-        });
+        let placer = self.placer.as_ref()?;
+        let targets =
+            placer.workers().into_iter().map(|worker| TargetStatus {
+                id: worker.id,
+                ready: worker.ready,
+                slots: worker.tasks.len() as u32,
+                used: worker.tasks.len() as u32,
+            });
         Some(ContractStatus {
             scope: Scope::Tasks,
-            epoch: work.tenure.epoch.to_string(),
-            settled: work.tenure.takeover_complete(),
-            confirmed: work.tenure.confirmed,
-            running: work.placed(),
-            waiting: work.waiting(),
+            epoch: placer.tenure.epoch.to_string(),
+            settled: placer.tenure.takeover_complete(),
+            confirmed: placer.tenure.confirmed,
+            running: placer.placed(),
+            waiting: placer.waiting(),
             mean_ms: 0,
             targets: targets.collect(),
         })
     }
 
     fn job_status(&self) -> Vec<JobStatus> {
-        let Some(work) = &self.work else { return Vec::new() };
-        let jobs = work.jobs().into_iter().map(|job| JobStatus {
+        let Some(placer) = &self.placer else { return Vec::new() };
+        let jobs = placer.jobs().into_iter().map(|job| JobStatus {
             name: job.name,
             team: job.team,
             tasks: job.tasks,
--- a/puffinknot-core/src/node/view.rs
+++ b/puffinknot-core/src/node/view.rs
@@ -17,7 +17,7 @@
 
 /// A peer is forgotten after this many times the span in which it should
 /// have been heard.
-const FORGET_PEERS: Millis = 100;
+const PEER_RETENTION_TTLS: Millis = 100;
 
 /// A value with its revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -50,7 +50,7 @@
     pub(super) epochs: BTreeMap<(DcName, Scope), Epoch>,
     pub(super) peers: BTreeMap<VmId, Peer>,
     /// Peers that have not been heard lately.
-    pub(super) quiet: BTreeSet<VmId>,
+    pub(super) silent_peers: BTreeSet<VmId>,
     /// The room under each contract, as its holder said last.
     pub(super) loads: BTreeMap<(DcName, Scope), Load>,
     pub(super) listed: BTreeMap<TargetId, ListedTarget>,
@@ -58,7 +58,7 @@
     pub(super) listed_at: Option<Millis>,
     /// Targets of a contract that no reading of the VM list has named since
     /// the one at this time.
-    pub(super) missing: BTreeMap<TargetId, Millis>,
+    pub(super) missing_since: BTreeMap<TargetId, Millis>,
     /// Targets that a peer or the target itself called leaving.
     pub(super) leaving: BTreeSet<TargetId>,
 }
@@ -123,23 +123,24 @@
         let recent = |at: &Millis| at + span > now.mono;
         let Some(last) = self.listed_at.filter(recent) else { return vec![] };
         let gone = |since: Millis| since + span <= last;
-        let missing = self.missing.iter().filter(|(_, since)| gone(**since));
+        let missing =
+            self.missing_since.iter().filter(|(_, since)| gone(**since));
         missing.map(|(target, _)| target.clone()).collect()
     }
 
     /// Whether a peer that was heard before has missed its last summaries.
-    pub(super) fn is_quiet(&self, vm: &VmId) -> bool {
-        self.quiet.contains(vm)
+    pub(super) fn is_silent(&self, vm: &VmId) -> bool {
+        self.silent_peers.contains(vm)
     }
 
     /// Finds out anew which peers have not been heard for `span`.
-    pub(super) fn mark_quiet(&mut self, now: Now, span: Millis) {
+    pub(super) fn update_silent_peers(&mut self, now: Now, span: Millis) {
         let late = |(_, p): &(&VmId, &Peer)| p.heard + span <= now.mono;
-        let quiet = self.peers.iter().filter(late);
-        self.quiet = quiet.map(|(vm, _)| vm.clone()).collect();
+        let silent = self.peers.iter().filter(late);
+        self.silent_peers = silent.map(|(vm, _)| vm.clone()).collect();
         // A peer that was silent for this long does not come back under
         // the same name.
-        let forget = span * FORGET_PEERS;
+        let forget = span * PEER_RETENTION_TTLS;
         self.peers.retain(|_, p| p.heard + forget > now.mono);
     }
 
@@ -163,7 +164,7 @@
     }
 
     /// Takes note of an epoch. Returns whether it is the highest so far.
-    pub(super) fn note_epoch(
+    pub(super) fn record_epoch(
         &mut self,
         dc: &DcName,
         scope: Scope,
@@ -214,8 +215,8 @@
         }
         self.view.revision = revision;
         self.view.members.clear();
-        self.adopt(now, stored);
-        self.claims.read_done();
+        self.apply(now, stored);
+        self.claims.read_finished();
         self.after_change(now);
     }
 
@@ -235,32 +236,32 @@
                 self.view.members.remove(&vm);
             }
         }
-        self.adopt(now, stored);
+        self.apply(now, stored);
         self.after_change(now);
     }
 
     /// A peer's knowledge. Members are only taken while the platform has
     /// never been read, since a peer can't tell who has left.
-    pub(super) fn on_learned(&mut self, now: Now, stored: Vec<Stored>) {
+    pub(super) fn on_values(&mut self, now: Now, stored: Vec<Stored>) {
         let fresh = self.view.revision == 0;
         let usable = |s: &Stored| fresh || !matches!(s.key, Key::Member(..));
         let stored = stored.into_iter().filter(usable).collect();
-        self.adopt(now, stored);
+        self.apply(now, stored);
         self.after_change(now);
     }
 
-    fn adopt(&mut self, now: Now, stored: Vec<Stored>) {
+    fn apply(&mut self, now: Now, stored: Vec<Stored>) {
         for Stored { key, value, revision } in stored {
             match (key, value) {
                 (Key::Config, Value::Config(text)) => {
-                    self.adopt_config(revision, text);
+                    self.apply_config(revision, text);
                 }
                 (Key::Contracts(dc), Value::Contracts(map)) => {
-                    self.adopt_map(dc, revision, map);
+                    self.apply_contract_map(dc, revision, map);
                 }
                 (Key::Progress(dc), Value::Progress(progress)) => {
                     if dc == self.config.dc {
-                        self.adopt_progress(now, revision, progress);
+                        self.apply_progress(now, revision, progress);
                     }
                 }
                 (Key::Member(_, vm), Value::Member(member)) => {
@@ -271,7 +272,7 @@
         }
     }
 
-    fn adopt_config(&mut self, revision: Revision, text: String) {
+    fn apply_config(&mut self, revision: Revision, text: String) {
         if revision <= self.view.config.revision {
             return;
         }
@@ -279,21 +280,26 @@
             Ok(value) => {
                 self.view.config = Versioned { revision, value };
                 self.view.config_text = text;
-                self.out.push(Action::ConfigApplied(revision));
+                self.actions.push(Action::ConfigApplied(revision));
                 self.configure();
             }
             Err(_) => self.counters.bad_values += 1,
         }
     }
 
-    fn adopt_map(&mut self, dc: DcName, revision: Revision, map: ContractMap) {
+    fn apply_contract_map(
+        &mut self,
+        dc: DcName,
+        revision: Revision,
+        map: ContractMap,
+    ) {
         let known = self.view.maps.entry(dc).or_default();
         if revision > known.revision {
             *known = Versioned { revision, value: map };
         }
     }
 
-    fn adopt_progress(
+    fn apply_progress(
         &mut self,
         now: Now,
         revision: Revision,
@@ -308,22 +314,22 @@
     /// A new revision of the operators' file is in force.
     fn configure(&mut self) {
         let config = &self.view.config.value;
-        for home in self.homes.values_mut() {
-            home.configure(&config.policy);
+        for held in self.held_contracts.values_mut() {
+            held.configure(&config.policy);
         }
-        if let Some(work) = &mut self.work {
-            work.configure(config);
+        if let Some(placer) = &mut self.placer {
+            placer.configure(config);
         }
     }
 
     /// Does what a change of the view asks for.
     pub(super) fn after_change(&mut self, now: Now) {
-        self.tend_claims(now);
-        self.tend_homes(now);
-        self.tend_work(now);
+        self.update_claims(now);
+        self.update_held_calls(now);
+        self.update_placer(now);
     }
 
-    pub(super) fn on_heard(&mut self, now: Now, summary: Summary) {
+    pub(super) fn on_summary(&mut self, now: Now, summary: Summary) {
         let dc = summary.dc.clone();
         let peer = Peer {
             dc: dc.clone(),
@@ -332,7 +338,7 @@
             draining: summary.draining,
             config: summary.config,
         };
-        self.view.quiet.remove(&summary.vm);
+        self.view.silent_peers.remove(&summary.vm);
         self.view.peers.insert(summary.vm.clone(), peer);
         for (scope, load) in summary.loads {
             self.view.loads.insert((dc.clone(), scope), load);
@@ -341,19 +347,19 @@
             let known = self.view.maps.get(dc).map_or(0, |m| m.revision);
             *revision > known
         };
-        let older = summary.maps.iter().any(behind)
+        let outdated = summary.maps.iter().any(behind)
             || summary.config > self.view.config.revision;
-        if older {
-            self.out.push(Action::Fetch { vm: summary.vm });
+        if outdated {
+            self.actions.push(Action::Fetch { vm: summary.vm });
         }
-        let mut news = false;
+        let mut changed = false;
         for (scope, epoch) in &summary.epochs {
-            news |= self.view.note_epoch(&dc, *scope, epoch);
+            changed |= self.view.record_epoch(&dc, *scope, epoch);
         }
         for target in summary.leaving {
-            news |= self.view.leaving.insert(target);
+            changed |= self.view.leaving.insert(target);
         }
-        if news {
+        if changed {
             self.after_change(now);
         }
     }
@@ -379,9 +385,9 @@
             |id: &TargetId| listed.contains_key(id) || unread.may_include(id);
         self.view.leaving.retain(may_be);
         if unread.unidentified == 0 {
-            self.note_missing(now, unread);
+            self.record_missing(now, unread);
         } else {
-            self.view.missing.retain(|id, _| {
+            self.view.missing_since.retain(|id, _| {
                 !listed.contains_key(id) && !unread.targets.contains(id)
             });
         }
@@ -389,7 +395,7 @@
     }
 
     /// Takes note of the targets that a reading of the VM list lacks.
-    fn note_missing(&mut self, now: Now, unread: &UnreadableEntries) {
+    fn record_missing(&mut self, now: Now, unread: &UnreadableEntries) {
         let enrolled = self.view.contract_map(&self.config.dc).map(|map| {
             let contracts = map.contracts.values();
             contracts.flat_map(|c| c.targets.iter().cloned()).collect()
@@ -400,16 +406,16 @@
         let span = self.config.gone_after;
         let last = self.view.listed_at.replace(now.mono);
         if last.is_none_or(|at| at + span <= now.mono) {
-            self.view.missing.clear();
+            self.view.missing_since.clear();
         }
         let mut missing = BTreeMap::new();
         for target in enrolled {
             let listed = self.view.listed.contains_key(&target);
             if !listed && !unread.targets.contains(&target) {
-                let since = self.view.missing.get(&target).copied();
+                let since = self.view.missing_since.get(&target).copied();
                 missing.insert(target, since.unwrap_or(now.mono));
             }
         }
-        self.view.missing = missing;
+        self.view.missing_since = missing;
     }
 }
--- a/puffinknot-measure/src/packing.rs
+++ b/puffinknot-measure/src/packing.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use puffinknot_core::calls::{
-    CallId, CallSpec, Condition, Offer, Pool, PoolConfig,
+    Admission, CallId, CallSpec, ExecutorState, Pool, PoolConfig,
 };
 use puffinknot_core::config::{
     ClassKind, Config, Job, Policy, Repeat, Resources, Team,
@@ -417,7 +417,7 @@
     let mut pool = Pool::new(config);
     for n in 0..executors {
         let id = TargetId(format!("executor-{n}"));
-        pool.report(&id, Condition::Ready, 8, 0);
+        pool.report(&id, ExecutorState::Ready, 8, 0);
     }
     let spec = CallSpec {
         caller: "caller".into(),
@@ -432,11 +432,11 @@
     let start = Instant::now();
     for id in 0..rounds {
         let one = Instant::now();
-        let offer = pool.offer(id, CallId(id), &spec);
-        assert!(matches!(offer, Offer::Start(_)));
+        let offer = pool.admit(id, CallId(id), &spec);
+        assert!(matches!(offer, Admission::Start(_)));
         if id >= busy {
             pool.finish(id, CallId(id - busy));
-            let _ = pool.pump(id);
+            let _ = pool.start_waiting(id);
         }
         let _ = times.record(one.elapsed().as_nanos() as u64);
     }
--- a/puffinknot-measure/src/sim.rs
+++ b/puffinknot-measure/src/sim.rs
@@ -8,7 +8,7 @@
 
 use hdrhistogram::Histogram;
 use puffinknot_core::calls::{
-    CallId, CallSpec, Condition, Dequeued, Offer, Pool, PoolConfig,
+    Admission, CallId, CallSpec, Dequeued, ExecutorState, Pool, PoolConfig,
 };
 use puffinknot_core::config::ClassKind;
 use puffinknot_core::ids::{CallerId, Millis, TargetId};
@@ -288,15 +288,15 @@
             Decider::Pools(pools) => pools,
         };
         let pool = pick(pools, self.plan.policy, &spec, &mut self.rng);
-        match pools[pool].offer(now, CallId(id), &spec) {
-            Offer::Start(_) => {
+        match pools[pool].admit(now, CallId(id), &spec) {
+            Admission::Start(_) => {
                 self.at.insert(id, pool);
                 self.started(now, id);
             }
-            Offer::Queued => {
+            Admission::Queued => {
                 self.at.insert(id, pool);
             }
-            Offer::Refused(outcome) => self.refused(now, id, &outcome),
+            Admission::Refused(outcome) => self.refused(now, id, &outcome),
         }
     }
 
@@ -370,7 +370,7 @@
             }
             Decider::Pools(pools) => {
                 for pool in pools {
-                    for dequeued in pool.pump(now) {
+                    for dequeued in pool.start_waiting(now) {
                         match dequeued {
                             Dequeued::Start(id, _) => started.push(id.0),
                             Dequeued::Expired(id) => expired.push(id.0),
@@ -397,7 +397,7 @@
             Decider::Pools(pools) => {
                 for n in 0..executors / 5 {
                     for pool in pools.iter_mut() {
-                        pool.set_condition(&target(n), Condition::Absent);
+                        pool.set_state(&target(n), ExecutorState::Unavailable);
                     }
                 }
             }
@@ -417,7 +417,7 @@
     let mut all = vec![Pool::new(config); pools];
     for n in 0..executors {
         let pool = &mut all[n as usize % pools];
-        pool.report(&target(n), Condition::Ready, SLOTS, 0);
+        pool.report(&target(n), ExecutorState::Ready, SLOTS, 0);
     }
     all
 }
@@ -432,7 +432,7 @@
             let pool = &mut all[vm];
             let had = pool.usage().find(|(id, ..)| **id == target(n));
             let slots = had.map_or(0, |(_, slots, ..)| slots);
-            pool.report(&target(n), Condition::Ready, slots + 1, 0);
+            pool.report(&target(n), ExecutorState::Ready, slots + 1, 0);
         }
     }
     all
