--- a/puffinknot-core/src/contract.rs
+++ b/puffinknot-core/src/contract.rs
@@ -1,14 +1,14 @@
 /*!
-Contracts: which VM alone may fill which targets.
+Contracts: the exclusive rights of VMs to use targets.
 
 A contract is an exclusive right over the targets of a scope. The contracts
 of one data centre are one value in the platform's key-value service, which
 is changed by compare-and-swap. While the platform answers, it decides who
-holds a contract. Safety does not rest on it: a target refuses every epoch
-lower than the highest it has seen, so a former holder that pauses and wakes
-is refused where it would do harm. This also lets a live VM claim a contract
-while the platform is down; the claim wins by its epoch at the targets, and
-is written to the platform when that returns.
+holds a contract. Safety doesn't depend on it: a target refuses every epoch
+lower than the highest it has seen, so a former holder that resumes after a
+pause is refused at the target. A live VM can therefore also claim a contract
+while the platform is down: the targets accept the claim because its epoch is
+higher, and the claim is written to the platform once that answers again.
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,7 +20,7 @@
 
 use crate::ids::{Epoch, Revision, TargetId, VmId};
 
-/// What a contract is about.
+/// The set of targets that a contract covers.
 #[derive(
     Clone,
     Copy,
@@ -35,7 +35,7 @@
 )]
 #[serde(into = "String", try_from = "String")]
 pub enum Scope {
-    /// A part of the executors of the data centre.
+    /// One part of the executors of the data centre.
     Calls(u16),
     /// All workers of the data centre.
     Tasks,
@@ -79,16 +79,17 @@
 pub struct Contract {
     /// The epoch, which also names the holder.
     pub epoch: Epoch,
-    /// The epoch before this one.
+    /// The epoch of the previous holder.
     pub previous: Epoch,
-    /// The earlier holder gave the contract up by itself, after it had
-    /// stopped and passed on what it knew.
+    /// Whether the previous holder gave the contract up voluntarily, after
+    /// it had stopped starting work and passed on its state.
     pub handed_over: bool,
-    /// The revision of the configuration at the change of holder. Work that
-    /// is newer is unknown to every earlier holder.
+    /// The configuration revision at the change of holder. No earlier holder
+    /// knows work that was configured later.
     pub since: Revision,
-    /// The targets that the holder may use. A target is used only once it
-    /// stands here, so that a successor knows every target in question.
+    /// The targets that the holder may use. A target is used only once it is
+    /// listed here, so that a successor knows every target that may run work
+    /// of an earlier holder.
     pub targets: BTreeSet<TargetId>,
 }
 
@@ -102,7 +103,7 @@
 }
 
 impl ContractMap {
-    /// A map in which nobody holds anything yet.
+    /// Creates a map in which no contract has a holder.
     pub fn new(call_scopes: u16) -> ContractMap {
         let mut contracts = BTreeMap::new();
         for part in 0..call_scopes {
@@ -118,7 +119,7 @@
         self.contracts.keys().filter(calls).count() as u16
     }
 
-    /// The epoch of a scope, if anybody holds it.
+    /// The epoch of a scope, or `None` if no VM has held it yet.
     pub fn epoch(&self, scope: Scope) -> Option<&Epoch> {
         self.contracts
             .get(&scope)
@@ -126,8 +127,8 @@
             .filter(|epoch| epoch.number > 0)
     }
 
-    /// The scope that a new executor is enrolled in: the one with the
-    /// fewest, since a hash of a few names leaves some scopes empty.
+    /// The scope in which a new executor is enrolled: the one with the
+    /// fewest targets. Hashing a few names would leave some scopes empty.
     pub fn scope_for_executor(&self) -> Scope {
         let calls = self
             .contracts
@@ -137,7 +138,7 @@
         least.map_or(Scope::Calls(0), |(scope, _)| *scope)
     }
 
-    /// The scope that is home to a key.
+    /// The scope whose holder keeps the record of an idempotency key.
     pub fn scope_for_key(&self, key: u128) -> Scope {
         let parts = u64::from(self.call_scopes().max(1));
         Scope::Calls((stable_hash(&key) % parts) as u16)
@@ -145,8 +146,9 @@
 }
 
 impl Contract {
-    /// Takes the contract over for `vm`. The epoch becomes higher than
-    /// `known`, the highest that any target is known to have seen.
+    /// Takes the contract over for `vm`. The new epoch is higher than both
+    /// the current one and `known`, the highest epoch that any target is
+    /// known to have seen.
     pub fn claim(&mut self, vm: &VmId, known: &Epoch, since: Revision) {
         self.previous = self.epoch.clone();
         let highest = known.max(&self.epoch);
@@ -155,8 +157,8 @@
         self.since = since;
     }
 
-    /// Passes the contract on to `vm`. The present holder calls this after
-    /// it has stopped starting work.
+    /// Passes the contract on to `vm`. The holder calls this after it has
+    /// stopped starting work.
     pub fn hand_over(&mut self, vm: &VmId, since: Revision) {
         self.previous = self.epoch.clone();
         self.epoch = self.epoch.next(vm);
@@ -165,9 +167,9 @@
     }
 }
 
-/// The VM that should hold a scope, by rendezvous hashing: each VM has a
-/// weight of its own for each scope and the heaviest wins, so that a VM that
-/// comes or goes moves only its own scopes.
+/// The VM that should hold a scope, by rendezvous hashing: the VM with the
+/// highest hash for the scope. A VM that joins or leaves moves only its own
+/// scopes.
 pub fn rendezvous<'a>(
     scope: Scope,
     vms: impl Iterator<Item = &'a VmId>,
@@ -175,8 +177,8 @@
     vms.max_by_key(|vm| (stable_hash(&(scope, *vm)), *vm))
 }
 
-/// Spreads scopes evenly: each scope in turn goes to the VM that it weighs
-/// heaviest among those with the fewest scopes so far.
+/// Distributes scopes evenly: each scope goes to the VM that rendezvous hashing
+/// prefers among those with the fewest scopes so far.
 pub fn assign<'a>(
     scopes: impl Iterator<Item = &'a Scope>,
     vms: &BTreeSet<VmId>,
--- a/puffinknot-core/src/idempotency.rs
+++ b/puffinknot-core/src/idempotency.rs
@@ -1,13 +1,14 @@
 /*!
-The memory for calls that must not be repeated.
-
-A call that must not be repeated carries a key with a time timestamp (a UUID of
-version 7, RFC 9562). Every key has one home, a contract scope in the
-caller's home data centre. The home remembers for a bounded time which keys
-it has started. A home that took over can't know older keys, so it answers
-*unknown* to keys stamped before its tenure was settled, and serves newer
-ones at once. Nothing is stored for a call, and a duplicate is impossible;
-the price is a short time in which calls are turned away.
+Idempotency keys: calls that must not run twice.
+
+A call that must not run twice carries a key with a time stamp (a UUID of
+version 7, RFC 9562). Each key belongs to one contract scope in the caller's
+home data centre, the *home* of the key. The holder of that contract
+remembers for a limited time which keys it has started. A holder that took
+the contract over can't know older keys, so it answers *unknown* to keys with
+a time stamp before its takeover was complete, and serves newer ones at once.
+Nothing is stored durably for a call, and yet a call never runs twice; the
+price is a short time after a takeover in which some calls are refused.
 */
 
 use std::collections::BTreeMap;
@@ -17,24 +18,24 @@
 use crate::ids::{CallerId, Millis};
 use crate::outcome::{Outcome, Reason};
 
-/// A key, which belongs to the caller that made it.
+/// An idempotency key, unique per caller.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct IdempotencyKey {
-    /// The UUID, whose upper 48 bits are a time in milliseconds.
+    /// The UUID, whose upper 48 bits are a time in milliseconds since 1970.
     pub uuid: u128,
-    /// The caller.
+    /// The caller that made the key.
     pub caller: CallerId,
 }
 
 impl IdempotencyKey {
-    /// The time in the key, in milliseconds since 1970.
+    /// The time stamp in the key, in milliseconds since 1970.
     pub fn timestamp(&self) -> Millis {
         (self.uuid >> 80) as Millis
     }
 
-    /// The smallest UUID that is stamped with this time.
+    /// The smallest key with this time stamp.
     fn lowest_at(timestamp: Millis) -> IdempotencyKey {
         IdempotencyKey {
             uuid: u128::from(timestamp) << 80,
@@ -43,23 +44,24 @@
     }
 }
 
-/// What is known of a key.
+/// The state of the call with a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum KeyState {
-    /// The call was sent to a target, or is about to be.
+    /// The call was sent to a target, or is about to be sent.
     Started,
     /// The call was answered.
     Answered,
 }
 
-/// Limits of the memory for keys.
+/// The limits of a [`KeyTable`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeyTableConfig {
-    /// How long a key is remembered, in milliseconds.
+    /// How long a key is retained, in milliseconds.
     pub retention: Millis,
-    /// How far clocks of callers and VMs may differ, in milliseconds.
+    /// The largest difference between the clocks of callers and VMs, in
+    /// milliseconds.
     pub max_skew: Millis,
-    /// The number of keys remembered at the most.
+    /// The maximum number of keys.
     pub capacity: usize,
 }
 
@@ -69,58 +71,62 @@
     }
 }
 
-/// The keys of one home.
+/// The idempotency keys of one contract.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct KeyTable {
     config: KeyTableConfig,
-    /// Keys stamped before this time may be known to an earlier home only.
+    /// Keys with an earlier time stamp may be known only to an earlier
+    /// holder. `None` until the takeover is complete.
     serves_from: Option<Millis>,
-    /// Keys stamped before this time have been dropped. It never falls, so
-    /// that a wall clock that is set back can't revive a dropped key.
+    /// Keys with an earlier time stamp have been dropped. The floor never
+    /// falls, so that a wall clock that is set back can't make a dropped key
+    /// usable again.
     floor: Millis,
     keys: BTreeMap<IdempotencyKey, KeyState>,
 }
 
 impl KeyTable {
-    /// An empty memory that can't admit anything before it is settled.
+    /// Creates an empty table that admits no key before the takeover is
+    /// complete.
     pub fn new(config: KeyTableConfig) -> KeyTable {
         KeyTable { config, ..KeyTable::default() }
     }
 
-    /// The tenure was settled at `wall`. Keys stamped later are new.
+    /// Records that the takeover was complete at the wall time `wall`: no
+    /// earlier holder has seen a key that is stamped later.
     ///
-    /// An earlier home admits a key up to one `skew` ahead of its clock,
-    /// and that clock may be one `skew` ahead of this VM's.
+    /// An earlier holder admits a key up to one `max_skew` ahead of its
+    /// clock, and that clock may be one `max_skew` ahead of this VM's.
     pub fn complete_takeover(&mut self, wall: Millis) {
         if self.serves_from.is_none() {
             self.serves_from = Some(wall + 2 * self.config.max_skew);
         }
     }
 
-    /// What an earlier home passed on can't be trusted: another VM may have
-    /// started calls in between.
+    /// Discards the assurance that came with the imported keys, because
+    /// another VM may have started calls since they were exported.
     pub fn invalidate(&mut self) {
         self.serves_from = None;
     }
 
-    /// Takes over what an earlier home knew when it stopped.
+    /// Imports the keys that the previous holder exported when it stopped.
     pub fn import(&mut self, memory: KeySnapshot) {
         self.keys.extend(memory.keys);
         self.serves_from = memory.serves_from;
         self.floor = self.floor.max(memory.floor);
     }
 
-    /// Everything this home knows, for a successor.
+    /// Exports all keys for the successor.
     pub fn export(&self) -> KeySnapshot {
         let keys = self.keys.iter().map(|(k, s)| (k.clone(), *s)).collect();
         KeySnapshot { serves_from: self.serves_from, floor: self.floor, keys }
     }
 
-    /// Whether the call with this key may be started, at wall time `wall`.
+    /// Checks whether the call with this key may start at wall time `wall`.
     ///
     /// # Errors
     ///
-    /// The outcome to answer with if it may not.
+    /// Returns the outcome to answer with if the call may not start.
     pub fn check(
         &self,
         key: &IdempotencyKey,
@@ -164,22 +170,23 @@
         Ok(())
     }
 
-    /// Records that a call is about to be sent to a target.
+    /// Records that the call is about to be sent to a target.
     pub fn mark_started(&mut self, key: &IdempotencyKey) {
         self.keys.insert(key.clone(), KeyState::Started);
     }
 
-    /// Records that a call was answered.
+    /// Records that the call was answered.
     pub fn mark_answered(&mut self, key: &IdempotencyKey) {
         self.keys.insert(key.clone(), KeyState::Answered);
     }
 
-    /// The call certainly did not run, so that the key may be used again.
+    /// Removes the key of a call that certainly did not run, so that the key
+    /// may be used again.
     pub fn forget(&mut self, key: &IdempotencyKey) {
         self.keys.remove(key);
     }
 
-    /// Drops keys that are too old to be admitted anyway.
+    /// Drops keys that are too old to be admitted.
     pub fn expire(&mut self, wall: Millis) {
         let oldest = wall.saturating_sub(self.config.retention);
         self.floor = self.floor.max(oldest);
@@ -187,26 +194,26 @@
             self.keys.split_off(&IdempotencyKey::lowest_at(self.floor));
     }
 
-    /// The number of keys remembered.
+    /// The number of retained keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is retained.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 }
 
-/// What one home passes on to the next at a planned stop.
+/// The keys that one holder passes to the next in a planned handover.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize,
 )]
 pub struct KeySnapshot {
-    /// Keys stamped before this time are not known here.
+    /// Keys with an earlier time stamp may be missing here.
     pub serves_from: Option<Millis>,
-    /// Keys stamped before this time have been dropped.
+    /// Keys with an earlier time stamp have been dropped.
     pub floor: Millis,
-    /// The keys and what is known of each.
+    /// The keys with the state of their calls.
     pub keys: Vec<(IdempotencyKey, KeyState)>,
 }
--- a/puffinknot-core/src/outcome.rs
+++ b/puffinknot-core/src/outcome.rs
@@ -1,9 +1,9 @@
 /*!
 How a call can end.
 
-The type is closed: a call was answered, or it certainly did not run, or it
-may have run. Only code that knows that no byte of the request reached a
-target may say [`Outcome::NotRun`].
+A call was answered, or it certainly did not run, or it may have run; there
+is no other outcome. Only code that knows that no byte of the request reached
+a target, or that the target refused it, may report [`Outcome::NotRun`].
 */
 
 use std::fmt;
@@ -14,8 +14,8 @@
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident => $text:literal,)*) => {
-        /// Why a call was refused, retried or left unknown. Each has a
-        /// counter of its own.
+        /// Why a call was refused, retried or left unknown. Each reason has
+        /// its own counter.
         #[derive(
             Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash,
             Serialize, Deserialize,
@@ -26,7 +26,7 @@
         }
 
         impl Reason {
-            /// Every reason, for listings.
+            /// Every reason, in order of declaration.
             pub const ALL: &'static [Reason] = &[$(Reason::$name,)*];
 
             /// The name used in headers, counters and logs.
@@ -42,13 +42,13 @@
 reasons! {
     /// The VM has no configuration yet.
     NoConfig => "no-config",
-    /// No VM that can be reached holds the contract.
+    /// No reachable VM holds the contract.
     NoHolder => "no-holder",
-    /// The VM that was asked does not hold the contract (any more).
+    /// The VM that was asked does not hold the contract, or no longer does.
     NotHolder => "not-holder",
     /// Every slot that the call may use is taken.
     NoSlot => "no-slot",
-    /// The caller uses its whole share.
+    /// The caller already uses its whole share of the slots.
     CallerLimit => "caller-limit",
     /// The queue is full.
     QueueFull => "queue-full",
@@ -58,35 +58,37 @@
     Expired => "expired",
     /// The deadline passed after the call was started.
     LateAnswer => "late-answer",
-    /// The target could not be connected to.
+    /// The connection to the target could not be established.
     Unreachable => "unreachable",
     /// The target refused the epoch.
     StaleEpoch => "stale-epoch",
-    /// The target is leaving or has no room.
+    /// The target is leaving or has no free slot.
     TargetRefused => "target-refused",
     /// The connection was lost after the request may have been sent.
     ConnectionLost => "connection-lost",
-    /// The VM asked for the hop could not be connected to.
+    /// The connection to the VM chosen for the hop could not be
+    /// established.
     PeerUnreachable => "peer-unreachable",
-    /// The link was lost after the request may have been sent.
+    /// The link to the peer was lost after the request may have been sent.
     PeerLost => "peer-lost",
-    /// The contract's new holder can't know whether the call ran before.
+    /// The contract's new holder can't know whether the call ran before its
+    /// term.
     BeforeTenure => "before-tenure",
-    /// The key is older than keys are remembered.
+    /// The key is older than the time for which keys are retained.
     KeyTooOld => "key-too-old",
-    /// The key is stamped in the future.
+    /// The time stamp of the key lies in the future.
     KeyTooNew => "key-too-new",
-    /// The memory for keys is full.
+    /// The key table is full.
     KeysFull => "keys-full",
-    /// The same call is running now.
+    /// A call with the same key is running.
     StillRunning => "still-running",
-    /// The same call has already run.
+    /// A call with the same key has already run.
     AlreadyRan => "already-ran",
     /// The VM is stopping.
     Draining => "draining",
-    /// The caller has gone away.
+    /// The caller has disconnected.
     CallerGone => "caller-gone",
-    /// Retries would exceed their budget.
+    /// The retry would exceed the retry budget.
     RetryBudget => "retry-budget",
 }
 
@@ -96,37 +98,38 @@
     }
 }
 
-/// The end of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The target answered, and the answer is whole.
+    /// The target answered, and the answer is complete.
     Answered,
     /// The call certainly did not run.
     NotRun {
-        /// Why.
+        /// The reason.
         reason: Reason,
-        /// When to come back.
+        /// The time after which to retry, in milliseconds.
         retry_after: Millis,
     },
     /// The call may have run.
     Unknown {
-        /// Why.
+        /// The reason.
         reason: Reason,
-        /// When to ask again, with the same key.
+        /// The time after which to ask again with the same key, in
+        /// milliseconds.
         retry_after: Millis,
     },
 }
 
 impl Outcome {
-    /// In place of a time to come back: nothing more will ever be known.
+    /// The `retry_after` of an outcome that asking again never changes.
     pub const NEVER: Millis = 0;
 
-    /// A refusal.
+    /// The outcome of a call that certainly did not run.
     pub fn not_run(reason: Reason, retry_after: Millis) -> Outcome {
         Outcome::NotRun { reason, retry_after }
     }
 
-    /// An end without knowledge of whether the call ran.
+    /// The outcome of a call that may have run.
     pub fn unknown(reason: Reason, retry_after: Millis) -> Outcome {
         Outcome::Unknown { reason, retry_after }
     }
