--- a/puffinknot-core/src/calls.rs
+++ b/puffinknot-core/src/calls.rs
@@ -1,18 +1,19 @@
 /*!
-Slots for calls: one holder's executors and the calls that want them.
+Executor slots: admission, queueing and placement of calls.
 
 An *immediate* call takes a free slot now or is refused at once. A *waiting*
-call may stand in a bounded queue, from which the caller with the fewest
-running calls goes next, and of its calls the one with the earliest deadline.
-Waiting calls leave some slots alone, so that immediate calls find room
-behind a full overnight load. How many follows from the most immediate calls
-that ran at once lately, and what that number may grow by; it is at most what
-the policy says. A call whose predicted wait exceeds its deadline is refused
-at the door.
-
-A slot is counted as used from the decision until the executor's answer
-arrives or the connection is known to be closed, also when the caller has
-been told long ago that its deadline passed.
+call may wait in a bounded queue. Among the callers, the one with the fewest
+running calls of this kind goes next, and among its calls the one with the
+earliest deadline.
+Waiting calls leave a reserve of slots, so that immediate calls find free
+slots even under a full overnight load. The reserve follows from the recent
+peak of concurrent immediate calls and the growth to expect from it; the
+policy limits it. A call whose predicted wait exceeds its deadline is refused
+on arrival.
+
+A slot counts as used from the decision to start a call until the executor's
+answer arrives or the connection is known to be closed, even if the caller
+has long been told that its deadline passed.
 */
 
 use std::cmp::Reverse;
@@ -24,33 +25,34 @@
 use crate::ids::{CallerId, Millis, TargetId};
 use crate::outcome::{Outcome, Reason};
 
-/// A call's number on this VM.
+/// The number of a call, unique on this VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What the decision needs to know of a call.
+/// The properties of a call that decide its admission.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CallSpec {
-    /// Whose it is.
+    /// The caller.
     pub caller: CallerId,
-    /// How it waits.
+    /// Whether the call may wait for a slot.
     pub kind: ClassKind,
-    /// When its answer is worthless.
+    /// The time after which the answer is useless, on the monotonic clock.
     pub deadline: Millis,
     /// The caller's share of the slots, in percent.
     pub share_percent: u32,
-    /// The number of the caller's calls that may wait.
+    /// The maximum number of the caller's calls that wait.
     pub queue: usize,
 }
 
-/// The limits of one holder's slots.
+/// The limits of a [`Pool`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PoolConfig {
-    /// The most slots kept free of waiting calls, in percent.
+    /// The largest reserve for immediate calls, in percent of the slots.
     pub reserve_percent: u32,
-    /// The slots kept free even if no immediate call has come lately.
+    /// The number of slots reserved even if no immediate call has run
+    /// recently.
     pub reserve_least: u32,
-    /// The number of calls that may wait.
+    /// The maximum number of calls that wait.
     pub queue: usize,
 }
 
@@ -70,26 +72,26 @@
     }
 }
 
-/// Whether an executor takes work.
+/// Whether an executor accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ExecutorState {
-    /// It has not accepted the epoch yet, or is not answering.
+    /// It has not accepted the epoch yet, or doesn't answer.
     Unavailable,
-    /// It takes work.
+    /// It accepts work.
     Ready,
-    /// It is leaving.
+    /// It is leaving and accepts no new work.
     Leaving,
 }
 
-/// What the holder knows of an executor.
+/// The holder's state of an executor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Executor {
     state: ExecutorState,
     slots: u32,
-    /// Slots used by calls of this tenure.
+    /// Slots used by calls of this term.
     tracked: u32,
-    /// Slots used by calls of earlier tenures, as the executor said, and by
-    /// those whose connection was lost since.
+    /// Slots used by calls of earlier terms, as the executor reported, and by
+    /// calls whose connection was lost since.
     untracked: u32,
 }
 
@@ -104,23 +106,23 @@
     }
 }
 
-/// What becomes of a call that is offered.
+/// The decision about a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs at this executor.
+    /// The call starts at this executor.
     Start(TargetId),
-    /// It waits.
+    /// The call waits in the queue.
     Queued,
-    /// It is turned away.
+    /// The call is refused.
     Refused(Outcome),
 }
 
 /// A call that left the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Dequeued {
-    /// It runs at this executor.
+    /// The call starts at this executor.
     Start(CallId, TargetId),
-    /// Its deadline can't be met any more.
+    /// The deadline of the call can't be met any more.
     Expired(CallId),
 }
 
@@ -132,29 +134,29 @@
     started_at: Millis,
 }
 
-/// How many calls of one caller run.
+/// The number of running calls of one caller, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct CallerUsage {
     immediate: u32,
     waiting: u32,
 }
 
-/// How much room there is under a contract.
+/// The free capacity under a contract.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize,
 )]
 pub struct Load {
-    /// Free slots, which immediate calls may use.
+    /// Free slots, all of which immediate calls may use.
     pub free: u32,
     /// Free slots that waiting calls may use.
     pub room: u32,
-    /// How long a waiting call would wait, in milliseconds.
+    /// The predicted wait of a new waiting call, in milliseconds.
     pub wait: Millis,
 }
 
 impl Load {
-    /// What speaks against sending a call of this kind here; the lowest is
-    /// best.
+    /// The cost of sending a call of this kind here. The contract with the
+    /// lowest cost is best.
     pub fn cost(&self, kind: ClassKind) -> (bool, Millis, Reverse<u32>) {
         match kind {
             ClassKind::Immediate => (self.free == 0, 0, Reverse(self.free)),
@@ -165,7 +167,7 @@
     }
 }
 
-/// The executors of one contract and their calls.
+/// The executors of one contract and the calls that run or wait there.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Pool {
     config: PoolConfig,
@@ -173,27 +175,27 @@
     running: BTreeMap<CallId, RunningCall>,
     caller_usage: BTreeMap<CallerId, CallerUsage>,
     queues: BTreeMap<CallerId, BTreeSet<(Millis, CallId)>>,
-    /// Calls in `waiting`, by number.
+    /// The caller and the deadline of each call in `queues`.
     queued: BTreeMap<CallId, (CallerId, Millis)>,
-    /// A running mean of how long calls take, in 1/16 milliseconds.
+    /// The running mean of call durations, in 1/16 milliseconds.
     scaled_mean: u64,
-    /// Immediate calls that run, and the most that ran lately, which decays.
+    /// Running immediate calls, and their recent peak, which decays.
     running_immediate: u32,
     immediate_peak: u32,
     peak_decayed_at: Millis,
 }
 
-/// The weight of the newest value in the running mean is one in this many.
+/// The newest duration contributes one part in this many to the running mean.
 const MEAN_DIVISOR: u64 = 16;
-/// The memory of immediate calls loses one part in `DECAY_PART` in each
-/// span of this length, in milliseconds.
+/// In each interval, the peak of immediate calls loses one part in
+/// `PEAK_DECAY_DIVISOR`.
 const PEAK_DECAY_INTERVAL: Millis = 1_000;
 const PEAK_DECAY_DIVISOR: u32 = 20;
-/// The shortest and longest advice on when to come back, in milliseconds.
+/// The smallest and the largest `retry_after` of a refusal.
 const RETRY_AFTER_RANGE: (Millis, Millis) = (20, 60_000);
 
 impl Pool {
-    /// A pool without executors.
+    /// Creates a pool without executors.
     pub fn new(config: PoolConfig) -> Pool {
         Pool {
             config,
@@ -209,14 +211,14 @@
         }
     }
 
-    /// A new configuration is in force.
+    /// Applies a new configuration.
     pub fn configure(&mut self, config: PoolConfig) {
         self.config = config;
     }
 
-    /// The executor accepted the epoch or answered a status request.
-    /// `older` of its slots are used by calls of earlier tenures, or by
-    /// those whose connection was lost.
+    /// Records that the executor accepted the epoch or answered a status
+    /// request. `untracked` of its slots are used by calls of earlier terms,
+    /// or by calls whose connection was lost.
     pub fn report(
         &mut self,
         id: &TargetId,
@@ -229,65 +231,65 @@
         self.executors.insert(id.clone(), executor);
     }
 
-    /// Whether the executor takes work has changed.
+    /// Records whether the executor accepts work.
     pub fn set_state(&mut self, id: &TargetId, state: ExecutorState) {
         if let Some(executor) = self.executors.get_mut(id) {
             executor.state = state;
         }
     }
 
-    /// Whether an executor takes work.
+    /// Whether an executor accepts work.
     pub fn state(&self, id: &TargetId) -> ExecutorState {
         self.executors.get(id).map_or(ExecutorState::Unavailable, |e| e.state)
     }
 
-    /// The slots that count as used by calls of earlier tenures, and by
-    /// those whose connection was lost.
+    /// The slots that count as used by calls of earlier terms, and by calls
+    /// whose connection was lost.
     pub fn untracked(&self, id: &TargetId) -> u32 {
         self.executors.get(id).map_or(0, |e| e.untracked)
     }
 
-    /// The executor is gone for good.
+    /// Removes an executor that is permanently gone.
     pub fn remove(&mut self, id: &TargetId) {
         self.executors.remove(id);
     }
 
-    /// The slots of all executors that take work.
+    /// The number of slots of all executors that accept work.
     pub fn slots(&self) -> u32 {
         let ready = |e: &&Executor| e.state == ExecutorState::Ready;
         self.executors.values().filter(ready).map(|e| e.slots).sum()
     }
 
-    /// The free slots of all executors that take work.
+    /// The number of free slots of all executors that accept work.
     pub fn free(&self) -> u32 {
         self.executors.values().map(Executor::free).sum()
     }
 
-    /// How much room there is.
+    /// The free capacity of the pool.
     pub fn load(&self) -> Load {
-        let room = self.free_for_waiting();
-        let ahead = self.queued.len() as u64 + u64::from(room == 0);
+        let free_for_waiting = self.free_for_waiting();
+        let ahead =
+            self.queued.len() as u64 + u64::from(free_for_waiting == 0);
         let wait = ahead * self.mean_ms() / self.slots_for_waiting();
-        Load { free: self.free(), room, wait }
+        Load { free: self.free(), room: free_for_waiting, wait }
     }
 
-    /// The number of calls that run, late ones included.
+    /// The number of running calls, including those past their deadline.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// The number of calls that wait.
+    /// The number of waiting calls.
     pub fn queue_len(&self) -> usize {
         self.queued.len()
     }
 
-    /// How long calls take on average, in milliseconds; zero if unknown.
+    /// The mean duration of calls, in milliseconds; zero if unknown.
     pub fn mean_ms(&self) -> Millis {
         self.scaled_mean / MEAN_DIVISOR
     }
 
-    /// Each executor with its slots, its slots used, and whether it takes
-    /// work.
+    /// Each executor with its slots, its used slots and its state.
     pub fn usage(
         &self,
     ) -> impl Iterator<Item = (&TargetId, u32, u32, ExecutorState)> {
@@ -296,7 +298,7 @@
             .map(|(id, e)| (id, e.slots, e.tracked + e.untracked, e.state))
     }
 
-    /// Decides about a call.
+    /// Decides whether a call starts, waits or is refused.
     pub fn admit(
         &mut self,
         now: Millis,
@@ -345,13 +347,16 @@
 
     /// Whether a caller may take one more slot for an immediate call.
     ///
-    /// Its share of all slots is the limit. Where waiting calls have all
-    /// they may use, the last few slots are for callers that hold less than
-    /// an even part of what immediate calls use and may still use, so that
-    /// the flood of one leaves room for the others.
+    /// The limit is the caller's share of all slots. While waiting calls use
+    /// all the slots they may, the last few free slots are reserved for
+    /// callers with less than an even share of the slots that immediate
+    /// calls use or could use, so that a flood of calls from one caller
+    /// leaves capacity for the others.
     fn is_within_share(&self, free: u32, spec: &CallSpec) -> bool {
-        let running =
-            self.caller_usage.get(&spec.caller).map_or(0, |h| h.immediate);
+        let running = self
+            .caller_usage
+            .get(&spec.caller)
+            .map_or(0, |usage| usage.immediate);
         let share = percent(self.slots(), spec.share_percent).max(1);
         if running >= share {
             return false;
@@ -359,7 +364,8 @@
         if running == 0 || self.free_for_waiting() > 0 {
             return true;
         }
-        let others = self.caller_usage.values().filter(|h| h.immediate > 0);
+        let others =
+            self.caller_usage.values().filter(|usage| usage.immediate > 0);
         let callers = others.count() as u32;
         let margin = 1 + self.immediate_peak.isqrt() / 2;
         let even_share =
@@ -408,15 +414,16 @@
         None
     }
 
-    /// How long the caller's next call would wait: its turn comes after its
-    /// own calls ahead of it, and every other caller goes once in between.
+    /// The predicted wait of the caller's next call, in milliseconds: its
+    /// own calls ahead of it go first, and every other caller starts one
+    /// call in between.
     pub fn predicted_wait(&self, caller: &CallerId) -> Millis {
         let ahead = self.queues.get(caller).map_or(0, BTreeSet::len) as u64;
         let known = self.queues.contains_key(caller);
         let callers = self.queues.len() as u64 + u64::from(!known);
-        let turns = (ahead + 1) * callers.max(1);
+        let starts = (ahead + 1) * callers.max(1);
         let all = self.queued.len() as u64 + 1;
-        turns.min(all) * self.mean_ms() / self.slots_for_waiting()
+        starts.min(all) * self.mean_ms() / self.slots_for_waiting()
     }
 
     fn enqueue(&mut self, id: CallId, spec: &CallSpec) {
@@ -425,7 +432,7 @@
         self.queued.insert(id, (spec.caller.clone(), spec.deadline));
     }
 
-    /// Takes a call out of the queue. Returns whether it was there.
+    /// Removes a call from the queue. Returns whether it was queued.
     pub fn withdraw(&mut self, id: CallId) -> bool {
         let Some((caller, deadline)) = self.queued.remove(&id) else {
             return false;
@@ -439,7 +446,7 @@
         true
     }
 
-    /// Every call in the queue, which is then empty.
+    /// Empties the queue and returns its calls.
     pub fn withdraw_all(&mut self) -> Vec<CallId> {
         let ids: Vec<CallId> = self.queued.keys().copied().collect();
         self.queued.clear();
@@ -447,21 +454,22 @@
         ids
     }
 
-    /// A call has ended at its executor, or its connection is closed.
+    /// Records that a call ended at its executor or that its connection was
+    /// closed.
     pub fn finish(&mut self, now: Millis, id: CallId) {
         if let Some(running) = self.release(id) {
             self.record_duration(now.saturating_sub(running.started_at));
         }
     }
 
-    /// A call did not reach its executor after all.
+    /// Frees the slot of a call that did not start at its executor.
     pub fn start_failed(&mut self, id: CallId) {
         self.release(id);
     }
 
-    /// The connection to a call's executor was lost. The executor may go on
-    /// with the call, so the slot counts as used until the executor says
-    /// what it runs.
+    /// Records that the connection to a call's executor was lost. The
+    /// executor may still run the call, so the slot counts as used until the
+    /// executor reports what it runs.
     pub fn connection_lost(&mut self, id: CallId) {
         let Some(running) = self.release(id) else { return };
         if let Some(executor) = self.executors.get_mut(&running.executor) {
@@ -507,8 +515,8 @@
         }
     }
 
-    /// Starts waiting calls while there is room, and takes those out whose
-    /// deadline can't be met any more.
+    /// Starts waiting calls while they may use free slots, and removes those
+    /// whose deadline can't be met any more.
     pub fn start_waiting(&mut self, now: Millis) -> Vec<Dequeued> {
         self.decay_peak(now);
         let mut out = self.remove_expired(now);
@@ -541,27 +549,27 @@
         let next = |(caller, queue): (&CallerId, &BTreeSet<_>)| {
             let (deadline, id) = *queue.first()?;
             let running =
-                self.caller_usage.get(caller).map_or(0, |h| h.waiting);
+                self.caller_usage.get(caller).map_or(0, |usage| usage.waiting);
             Some((running, deadline, id, caller.clone()))
         };
         let (_, _, id, caller) = self.queues.iter().filter_map(next).min()?;
         Some((caller, id))
     }
 
-    /// The slots that waiting calls leave to immediate ones.
+    /// The number of slots that waiting calls leave to immediate ones.
     fn reserved_slots(&self, slots: u32) -> u32 {
-        let most = percent(slots, self.config.reserve_percent);
+        let max_reserve = percent(slots, self.config.reserve_percent);
         let growth = self.config.reserve_least + self.immediate_peak.isqrt();
-        most.min(self.immediate_peak + growth)
+        max_reserve.min(self.immediate_peak + growth)
     }
 
-    /// The slots that waiting calls may use, at least one.
+    /// The number of slots that waiting calls may use, at least one.
     fn slots_for_waiting(&self) -> u64 {
         let slots = self.slots();
         u64::from(slots.saturating_sub(self.reserved_slots(slots))).max(1)
     }
 
-    /// Free slots that waiting calls may use.
+    /// The number of free slots that waiting calls may use.
     fn free_for_waiting(&self) -> u32 {
         let (slots, free) = (self.slots(), self.free());
         let used = slots.saturating_sub(free + self.running_immediate);
@@ -569,7 +577,7 @@
         free.min(limit.saturating_sub(used))
     }
 
-    /// Lets the memory of immediate calls fade.
+    /// Decays the peak of immediate calls.
     fn decay_peak(&mut self, now: Millis) {
         while self.peak_decayed_at + PEAK_DECAY_INTERVAL <= now {
             self.peak_decayed_at += PEAK_DECAY_INTERVAL;
@@ -582,7 +590,7 @@
         }
     }
 
-    /// Takes a slot at the executor with the most free ones.
+    /// Starts a call at the executor with the most free slots.
     fn start(
         &mut self,
         now: Millis,
@@ -625,7 +633,7 @@
     }
 }
 
-/// A part of a number of slots, rounded up.
+/// A percentage of a number of slots, rounded up.
 fn percent(slots: u32, percent: u32) -> u32 {
     (slots * percent).div_ceil(100)
 }
--- a/puffinknot-core/src/contract.rs
+++ b/puffinknot-core/src/contract.rs
@@ -177,8 +177,8 @@
     vms.max_by_key(|vm| (stable_hash(&(scope, *vm)), *vm))
 }
 
-/// Distributes scopes evenly: each scope goes to the VM that rendezvous hashing
-/// prefers among those with the fewest scopes so far.
+/// Distributes scopes evenly: rendezvous hashing chooses the VM of each scope
+/// among the VMs with the fewest scopes so far.
 pub fn assign<'a>(
     scopes: impl Iterator<Item = &'a Scope>,
     vms: &BTreeSet<VmId>,
--- a/puffinknot-core/src/node/claims.rs
+++ b/puffinknot-core/src/node/claims.rs
@@ -1,13 +1,13 @@
-//! Who holds which contract: claims, handovers and the targets of each.
+//! Contract ownership: claims, handovers and the targets of each contract.
 //!
 //! A VM changes the contracts of its data centre by one compare-and-swap at
-//! a time. It takes over what a member left behind whose lease has lapsed,
-//! passes on what another member should hold, and enrols the targets of its
-//! own contracts.
+//! a time. It takes over the contracts of members whose lease has expired,
+//! hands over contracts that another member should hold, and enrols targets
+//! in its own contracts.
 //!
-//! While the platform does not answer, a VM may claim a contract whose
-//! holder it hasn't heard for a while *alone*. Such a claim is not
-//! confirmed: it does nothing before every target has accepted it.
+//! While the platform does not answer, a VM may claim a contract without it
+//! if the holder hasn't been heard for some time. Such a claim is not
+//! confirmed: nothing starts under it before every target has accepted it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,24 +23,24 @@
 use super::view::Versioned;
 use super::{Action, Node, Now, TargetKind};
 
-/// After its first read a VM waits this long for others of its data centre
-/// before it claims anything.
+/// How long a VM waits after its first read before it claims anything, so that
+/// other members of its data centre can join.
 const FIRST_CLAIM_DELAY: Millis = 1_000;
-/// Another VM than the one that should may take a contract over after this.
+/// A VM other than the assigned one may take a contract over after this time.
 const FALLBACK_CLAIM_DELAY: Millis = 2_000;
-/// A successor must take note of a bequest within this time.
+/// The time within which a successor must acknowledge a handover.
 const HANDOVER_TIMEOUT: Millis = 1_000;
-/// After a write that could not be made, the next one waits this long.
+/// The delay of the next write after one that could not be made.
 const WRITE_BACKOFF: Millis = 500;
-/// A write whose end is not known after this time is looked up.
+/// A write that is not visible after this time is looked up by a read.
 const WRITE_TIMEOUT: Millis = 5_000;
 
-/// A contract that is being passed on.
+/// A contract that is being handed over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Handover {
     to: VmId,
     sent_at: Millis,
-    /// Whether the successor has taken note; `None` is not known yet.
+    /// Whether the successor received the state; `None` if not yet known.
     acknowledged: Option<bool>,
 }
 
@@ -48,26 +48,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingWrite {
     sent_at: Millis,
-    /// The revision at which it was made, if that is known.
+    /// The revision of the write, once it is known.
     won_revision: Option<Revision>,
 }
 
-/// What a node remembers about contracts, besides the view.
+/// The state of claims and handovers, in addition to the view.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Claims {
     first_read_at: Option<Millis>,
-    /// When the node was started, or last woke from a pause.
+    /// When the node started, or last resumed after a pause.
     awake_since: Millis,
     last_event_at: Option<Millis>,
     lease_renewed_at: Option<Millis>,
-    /// The lease has lapsed since the contracts were claimed.
+    /// Whether the lease expired after the contracts were claimed.
     lease_lost: bool,
-    /// The contracts in the last write were claimed anew.
+    /// Whether the pending write claims the contracts again after that.
     reclaiming: bool,
     pending_write: Option<PendingWrite>,
-    /// No write is tried before this time.
+    /// The earliest time of the next write.
     write_backoff_until: Millis,
-    reading: bool,
+    read_pending: bool,
     assigned: BTreeMap<Scope, VmId>,
     assigned_at: Millis,
     orphaned_since: BTreeMap<Scope, Millis>,
@@ -76,8 +76,8 @@
 }
 
 impl Claims {
-    /// Takes note of the time, and tells whether the node was paused. One
-    /// that was must not take its peers for dead.
+    /// Records the time of an event, and returns whether the node was paused
+    /// before it. After a pause, the node must not treat its peers as dead.
     pub(super) fn detect_pause(&mut self, now: Now, pause: Millis) -> bool {
         let last = self.last_event_at.replace(now.mono);
         let paused = last.is_none_or(|last| last + pause <= now.mono);
@@ -87,25 +87,26 @@
         paused
     }
 
-    /// Whether the platform is left alone for a moment.
+    /// Whether writes are held back after a failed write or during a read.
     pub(super) fn is_backing_off(&self, now: Now) -> bool {
-        now.mono < self.write_backoff_until || self.reading
+        now.mono < self.write_backoff_until || self.read_pending
     }
 
     pub(super) fn lease_renewed_within(&self, now: Now, span: Millis) -> bool {
         self.lease_renewed_at.is_some_and(|at| at + span > now.mono)
     }
 
-    /// When the platform last confirmed that every contract is still held.
+    /// The time of the last lease renewal, if it confirms that this VM still
+    /// holds its contracts.
     pub(super) fn confirmed_at(&self) -> Option<Millis> {
         self.lease_renewed_at.filter(|_| !self.lease_lost)
     }
 
     pub(super) fn read_finished(&mut self) {
-        self.reading = false;
+        self.read_pending = false;
     }
 
-    pub(super) fn inherit(
+    pub(super) fn receive_handover(
         &mut self,
         scope: Scope,
         epoch: Epoch,
@@ -114,8 +115,8 @@
         self.received_handovers.insert(scope, (epoch, memory));
     }
 
-    /// Whether the contract is being passed on, so that nothing may be
-    /// started under it.
+    /// Whether the contract is being handed over, so that nothing may start
+    /// under it.
     pub(super) fn is_handing_over(&self, scope: Scope) -> bool {
         self.handovers.contains_key(&scope)
     }
@@ -151,13 +152,13 @@
             self.contracts_written(result);
         }
         if matches!(result, WriteResult::Lost | WriteResult::Unknown) {
-            // Only a read can tell what the value is now.
+            // Only a read shows the current value.
             self.read_again();
         }
         if result == WriteResult::NotMade {
             self.claims.write_backoff_until = now.mono + WRITE_BACKOFF;
         }
-        self.after_change(now);
+        self.on_view_changed(now);
     }
 
     fn contracts_written(&mut self, result: WriteResult) {
@@ -173,8 +174,8 @@
     }
 
     pub(super) fn read_again(&mut self) {
-        if !self.claims.reading {
-            self.claims.reading = true;
+        if !self.claims.read_pending {
+            self.claims.read_pending = true;
             self.actions.push(Action::Read);
         }
     }
@@ -191,8 +192,8 @@
         self.update_claims(now);
     }
 
-    /// Brings tenures in line with the view, and the platform's contracts
-    /// in line with what this VM should hold.
+    /// Updates the terms to match the view, and the platform's contracts to
+    /// match what this VM should hold.
     pub(super) fn update_claims(&mut self, now: Now) {
         self.update_terms(now);
         if self.write_is_pending(now)
@@ -201,7 +202,7 @@
             return;
         }
         if self.platform_is_reachable(now) {
-            if self.view.revision > 0 && !self.claims.reading {
+            if self.view.revision > 0 && !self.claims.read_pending {
                 self.propose_contracts(now);
             }
         } else {
@@ -210,14 +211,16 @@
         self.update_terms(now);
     }
 
-    /// Whether the last write is not yet seen in the view.
+    /// Whether the view doesn't show the last write yet.
     fn write_is_pending(&mut self, now: Now) -> bool {
         let Some(pending_write) = &self.claims.pending_write else {
             return false;
         };
         let map = self.view.maps.get(&self.config.dc);
-        let shown = map.map_or(0, |map| map.revision);
-        if pending_write.won_revision.is_some_and(|revision| revision <= shown)
+        let visible = map.map_or(0, |map| map.revision);
+        if pending_write
+            .won_revision
+            .is_some_and(|revision| revision <= visible)
         {
             self.claims.pending_write = None;
             return false;
@@ -229,20 +232,20 @@
         true
     }
 
-    /// Whether no other VM can have taken this VM's contracts over yet: its
-    /// lease can't have lapsed.
+    /// Whether no other VM can have taken over this VM's contracts yet,
+    /// because its lease can't have expired.
     pub(super) fn lease_is_certainly_valid(&self, now: Now) -> bool {
         let span = self.config.member_ttl - self.config.member_ttl / 10;
         let confirmed = self.claims.confirmed_at();
         confirmed.is_some_and(|at| at + span > now.mono)
     }
 
-    /// The members of this data centre that don't stop.
+    /// The members of this data centre that are not about to stop.
     fn remaining_members(&self) -> BTreeSet<VmId> {
-        let mine = |(_, m): &(&VmId, &crate::store::Member)| {
+        let is_staying = |(_, m): &(&VmId, &crate::store::Member)| {
             m.dc == self.config.dc && !m.draining
         };
-        let members = self.view.members.iter().filter(mine);
+        let members = self.view.members.iter().filter(is_staying);
         let mut vms: BTreeSet<VmId> =
             members.map(|(vm, _)| vm.clone()).collect();
         if self.draining {
@@ -267,9 +270,9 @@
         });
         self.assign_scopes(now, &known.value);
         let mut map = known.value.clone();
-        let mine = |scope| self.view.holder(&dc, scope) == Some(&me);
-        if !map.contracts.keys().any(|scope| mine(*scope)) {
-            // Nothing was held that somebody could have taken over.
+        let is_own = |scope| self.view.holder(&dc, scope) == Some(&me);
+        if !map.contracts.keys().any(|scope| is_own(*scope)) {
+            // This VM held no contract that another could have taken over.
             self.claims.lease_lost = false;
         }
         let mut claimed = false;
@@ -300,8 +303,8 @@
         }
     }
 
-    /// Changes the holder of a contract if that is this VM's to do. Returns
-    /// whether the contract was claimed.
+    /// Changes the holder of a contract if that is up to this VM. Returns
+    /// whether this VM claimed it.
     fn propose_holder(
         &mut self,
         now: Now,
@@ -318,7 +321,7 @@
                 return true;
             }
             if contract.epoch != known {
-                // A claim that was made alone has proved to be the highest.
+                // A claim made without the platform is the highest epoch.
                 contract.previous = contract.epoch.clone();
                 contract.epoch = known;
                 contract.handed_over = false;
@@ -337,18 +340,19 @@
         true
     }
 
-    /// Whether this VM should take an orphaned contract over now.
+    /// Whether this VM should take over an orphaned contract now.
     fn should_claim(&mut self, now: Now, scope: Scope) -> bool {
         if self.draining {
             return false;
         }
         let since =
             *self.claims.orphaned_since.entry(scope).or_insert(now.mono);
-        let mine = self.claims.assigned.get(&scope) == Some(&self.config.vm);
-        mine || since + FALLBACK_CLAIM_DELAY <= now.mono
+        let is_assigned =
+            self.claims.assigned.get(&scope) == Some(&self.config.vm);
+        is_assigned || since + FALLBACK_CLAIM_DELAY <= now.mono
     }
 
-    /// Passes a contract on to the VM that should hold it.
+    /// Hands a contract over to the VM that should hold it.
     fn propose_successor(
         &mut self,
         now: Now,
@@ -356,8 +360,9 @@
         contract: &mut Contract,
     ) {
         let me = &self.config.vm;
-        let should = self.claims.assigned.get(&scope).filter(|vm| *vm != me);
-        let Some(to) = should.cloned() else {
+        let successor =
+            self.claims.assigned.get(&scope).filter(|vm| *vm != me);
+        let Some(to) = successor.cloned() else {
             self.claims.handovers.remove(&scope);
             return;
         };
@@ -381,9 +386,10 @@
     }
 
     fn begin_handover(&mut self, now: Now, scope: Scope, to: VmId) {
-        let settled = self.claims.assigned_at + self.config.rebalance_after;
-        let one_at_a_time = self.claims.handovers.is_empty();
-        let due = settled <= now.mono && one_at_a_time;
+        let assignment_stable_at =
+            self.claims.assigned_at + self.config.rebalance_after;
+        let no_other_handover = self.claims.handovers.is_empty();
+        let due = assignment_stable_at <= now.mono && no_other_handover;
         if !due && !self.draining {
             return;
         }
@@ -393,7 +399,7 @@
         };
         let held = self.held_contracts.get(&scope);
         let memory = held.map(|held| held.keys.export());
-        // Tasks need no bequest: the workers' own lists are the truth.
+        // Tasks need no handover of state: the workers' lists are complete.
         let acknowledged = (scope == Scope::Tasks).then_some(true);
         let handover =
             Handover { to: to.clone(), sent_at: now.mono, acknowledged };
@@ -409,7 +415,7 @@
         self.reroute_waiting(now, scope, Reason::Draining);
     }
 
-    /// Enrols new targets in this VM's contracts and drops those that are
+    /// Enrols new targets in this VM's contracts and removes those that are
     /// gone.
     fn propose_targets(&mut self, now: Now, map: &mut ContractMap) {
         let enrolled: BTreeSet<TargetId> = map
@@ -417,8 +423,8 @@
             .values()
             .flat_map(|contract| contract.targets.iter().cloned())
             .collect();
-        // Every VM works out the same places for all new targets, and
-        // enrols those that fall to its own contracts.
+        // Every VM computes the same plan for all new targets, and enrols
+        // those that the plan assigns to its own contracts.
         let mut plan = map.clone();
         let dc = &self.config.dc;
         for listed in self.view.listed.values() {
@@ -435,14 +441,14 @@
             if let Some(contract) = plan.contracts.get_mut(&scope) {
                 contract.targets.insert(listed.id.clone());
             }
-            if let Some(contract) = self.mine(map, scope) {
+            if let Some(contract) = self.own_contract(map, scope) {
                 contract.targets.insert(listed.id.clone());
             }
         }
-        for target in self.view.gone(now, self.config.gone_after) {
+        for target in self.view.gone_targets(now, self.config.gone_after) {
             let scopes: Vec<Scope> = map.contracts.keys().copied().collect();
             for scope in scopes {
-                if let Some(contract) = self.mine(map, scope) {
+                if let Some(contract) = self.own_contract(map, scope) {
                     contract.targets.remove(&target);
                 }
             }
@@ -450,7 +456,7 @@
     }
 
     /// The contract, if this VM holds it.
-    fn mine<'a>(
+    fn own_contract<'a>(
         &self,
         map: &'a mut ContractMap,
         scope: Scope,
@@ -460,13 +466,13 @@
         (contract.epoch.holder == *me).then_some(contract)
     }
 
-    /// Takes over contracts of VMs that are not heard, while the platform
-    /// is down for everybody.
+    /// Takes over contracts of silent holders while no live peer can reach the
+    /// platform either.
     fn claim_without_platform(&mut self, now: Now) {
         let ttl = self.config.member_ttl;
         let Some(renewed_at) = self.claims.lease_renewed_at else { return };
-        let since = renewed_at.max(self.claims.awake_since);
-        if self.draining || since + 2 * ttl > now.mono {
+        let isolated_since = renewed_at.max(self.claims.awake_since);
+        if self.draining || isolated_since + 2 * ttl > now.mono {
             return;
         }
         let heard: BTreeMap<&VmId, &super::view::Peer> = self
@@ -474,21 +480,21 @@
             .peers
             .iter()
             .filter(|(_, p)| p.dc == self.config.dc)
-            .filter(|(_, p)| p.heard + ttl > now.mono)
+            .filter(|(_, p)| p.heard_at + ttl > now.mono)
             .collect();
-        if heard.values().any(|peer| peer.platform) {
+        if heard.values().any(|peer| peer.platform_reachable) {
             return;
         }
-        let mut able: BTreeSet<VmId> = heard
+        let mut candidates: BTreeSet<VmId> = heard
             .iter()
             .filter(|(_, peer)| !peer.draining)
             .map(|(vm, _)| (*vm).clone())
             .collect();
-        able.insert(self.config.vm.clone());
+        candidates.insert(self.config.vm.clone());
         let Some(map) = self.view.contract_map(&self.config.dc) else {
             return;
         };
-        let assigned = assign(map.contracts.keys(), &able);
+        let assigned = assign(map.contracts.keys(), &candidates);
         for (scope, vm) in assigned {
             if vm == self.config.vm && self.holder_is_silent(now, scope) {
                 self.claim_scope_without_platform(scope);
@@ -496,13 +502,13 @@
         }
     }
 
-    /// Whether the holder has not been heard for long.
+    /// Whether the holder has been silent for two member lifetimes.
     fn holder_is_silent(&self, now: Now, scope: Scope) -> bool {
         let span = 2 * self.config.member_ttl;
         let Some(holder) = self.view.holder(&self.config.dc, scope) else {
             return false;
         };
-        let heard = self.view.peers.get(holder).map_or(0, |p| p.heard);
+        let heard = self.view.peers.get(holder).map_or(0, |p| p.heard_at);
         let last = heard.max(self.claims.awake_since);
         *holder != self.config.vm && last + span <= now.mono
     }
@@ -515,7 +521,7 @@
         self.counters.claims += 1;
     }
 
-    /// Begins and ends tenures as the highest known epochs say.
+    /// Starts and ends terms according to the highest known epochs.
     pub(super) fn update_terms(&mut self, now: Now) {
         let dc = self.config.dc.clone();
         let Some(map) = self.view.maps.get(&dc) else { return };
@@ -579,7 +585,7 @@
             let inherited = self.claims.received_handovers.remove(&scope);
             let valid = inherited.filter(|(e, _)| *e == contract.previous);
             if let Some((epoch, memory)) = valid {
-                held.inherit(epoch, memory);
+                held.inherit_keys(epoch, memory);
             }
         }
         held.configure(&self.view.config.value.policy);
--- a/puffinknot-core/src/node/held_calls.rs
+++ b/puffinknot-core/src/node/held_calls.rs
@@ -1,4 +1,5 @@
-//! The contracts for calls that this VM holds: their executors and keys.
+//! The call contracts that this VM holds: their executors and their
+//! idempotency keys.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,32 +14,36 @@
 use super::routing::Location;
 use super::{Action, ExecutorInfo, Node, Now, TargetError};
 
-/// An executor that has not accepted the epoch is asked again after this.
+/// The interval of queries to an executor that has not accepted the epoch.
 const QUERY_RETRY_INTERVAL: Millis = 300;
-/// An executor that runs calls of earlier tenures is asked this often.
+/// The interval of queries to an executor that runs calls of earlier terms, or
+/// calls whose connection was lost.
 const QUERY_UNTRACKED_INTERVAL: Millis = 500;
-/// Any other executor is asked this often whether it is leaving.
+/// The interval of queries to any other executor, which may be leaving.
 const QUERY_READY_INTERVAL: Millis = 2_000;
-/// A request to an executor is given up after this time.
+/// A query that gets no answer is given up after this time.
 const QUERY_TIMEOUT: Millis = 1_000;
 
-/// What is known of the questions that an executor was asked.
+/// The queries of one executor's state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct QueryState {
-    /// When it was asked last; `None` if it should be at once.
+    /// When the last query was sent or ended; `None` makes the next one due
+    /// at once.
     last_at: Option<Millis>,
-    /// Whether that question has yet to be answered.
+    /// Whether the last query has not been answered yet.
     unanswered: bool,
-    /// Questions that have not ended, those given up among them.
+    /// Queries that have not ended, including those given up.
     outstanding: u32,
-    /// Some of these may be older than the loss of a call there.
+    /// Whether an outstanding query may predate the loss of a call's
+    /// connection.
     predates_loss: bool,
 }
 
 impl QueryState {
-    /// A question has ended. Returns whether it is surely younger than every
-    /// loss of a call. Answers overtake each other, so that none is before
-    /// all questions have ended that were open at the loss.
+    /// Records the end of a query. Returns whether the query was certainly
+    /// sent after every loss of a call's connection. Answers can overtake each
+    /// other, so this holds only once all queries have ended that were
+    /// outstanding at the loss.
     fn finish(&mut self, now: Now) -> bool {
         let after_losses = !self.predates_loss;
         self.last_at = Some(now.mono);
@@ -49,13 +54,13 @@
     }
 }
 
-/// One contract for calls, while this VM holds it.
+/// A call contract that this VM holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct HeldContract {
     pub(super) term: Term,
     pub(super) pool: Pool,
     pub(super) keys: KeyTable,
-    /// The epoch of the holder that passed its keys on.
+    /// The epoch of the holder that handed over its keys.
     inherited_from: Option<Epoch>,
     targets: BTreeSet<TargetId>,
     queries: BTreeMap<TargetId, QueryState>,
@@ -78,13 +83,13 @@
         self.pool.configure(policy.into());
     }
 
-    /// Takes the keys of the holder before.
-    pub(super) fn inherit(&mut self, epoch: Epoch, memory: KeySnapshot) {
+    /// Imports the keys of the previous holder.
+    pub(super) fn inherit_keys(&mut self, epoch: Epoch, memory: KeySnapshot) {
         self.keys.import(memory);
         self.inherited_from = Some(epoch);
     }
 
-    /// How much room there is; none before work may be started.
+    /// The free capacity; none before work may be started.
     pub(super) fn load(&self) -> Load {
         if self.term.may_start() {
             self.pool.load()
@@ -99,7 +104,7 @@
         }
     }
 
-    /// The contract names these targets now.
+    /// Applies the current targets of the contract.
     pub(super) fn set_targets(
         &mut self,
         now: Now,
@@ -119,8 +124,8 @@
         self.check_takeover(now);
     }
 
-    /// The executors whose state should be asked for now.
-    fn due(&self, now: Now) -> Vec<TargetId> {
+    /// The executors that are due for a query.
+    fn due_queries(&self, now: Now) -> Vec<TargetId> {
         let due = |target: &&TargetId| {
             let Some(query) = self.queries.get(*target) else { return true };
             let Some(at) = query.last_at else { return true };
@@ -138,13 +143,13 @@
         self.targets.iter().filter(due).cloned().collect()
     }
 
-    /// An executor could not be connected to, or refused a call. It gets no
-    /// more before it has said how it is.
+    /// Records that an executor could not be connected to, or refused a
+    /// call. It gets no calls until it has reported its state.
     pub(super) fn executor_failed(&mut self, target: &TargetId) {
         self.pool.set_state(target, ExecutorState::Unavailable);
     }
 
-    /// After a pause, nothing that was known of the executors counts.
+    /// Discards what is known of the executors, after a pause of this VM.
     pub(super) fn mark_executors_unavailable(&mut self) {
         for target in &self.targets {
             self.pool.set_state(target, ExecutorState::Unavailable);
@@ -155,7 +160,7 @@
         }
     }
 
-    /// The connection to a call's executor was lost.
+    /// Records that the connection to a call's executor was lost.
     pub(super) fn connection_lost(&mut self, target: &TargetId, id: CallId) {
         self.pool.connection_lost(id);
         if let Some(query) = self.queries.get_mut(target) {
@@ -163,8 +168,9 @@
         }
     }
 
-    /// An executor has answered. Returns the slots that count as used by
-    /// calls that are not this tenure's, or lost; it named `foreign`.
+    /// Records an executor's answer, in which `foreign` requests are not
+    /// calls of this term. Returns the number of slots that count as used by
+    /// calls of other terms, or by calls whose connection was lost.
     fn record_answer(
         &mut self,
         now: Now,
@@ -175,17 +181,19 @@
         if query.finish(now) {
             return foreign;
         }
-        // What it said may have been true before a call that was lost had
-        // arrived there, so it frees nothing.
+        // The answer may predate the arrival of a call whose connection was
+        // lost, so it frees no slot.
         foreign.max(self.pool.untracked(target))
     }
 
-    /// Whether what was inherited is all there is. Had another VM served
-    /// the contract in between, every executor would have seen its epoch.
+    /// Checks that no other VM held the contract between the handover and
+    /// this term: such a holder would have presented its epoch to every
+    /// executor. Otherwise the inherited keys may be incomplete.
     fn verify_inherited_keys(&mut self, previous: &Epoch) {
         let expected = self.inherited_from.as_ref();
-        let known = expected == Some(previous) || *previous == self.term.epoch;
-        if self.inherited_from.is_some() && !known {
+        let unchanged =
+            expected == Some(previous) || *previous == self.term.epoch;
+        if self.inherited_from.is_some() && !unchanged {
             self.inherited_from = None;
             self.keys.invalidate();
         }
@@ -206,12 +214,12 @@
 
     fn query_executors(&mut self, now: Now, scope: Scope) {
         let Some(held) = self.held_contracts.get_mut(&scope) else { return };
-        for target in held.due(now) {
+        for target in held.due_queries(now) {
             let query = held.queries.entry(target.clone()).or_default();
             query.last_at = Some(now.mono);
             query.outstanding += 1;
             if std::mem::replace(&mut query.unanswered, true) {
-                // No answer is no reason to believe that it takes work.
+                // Without an answer, the executor may not accept work.
                 held.executor_failed(&target);
             }
             let epoch = held.term.epoch.clone();
@@ -219,7 +227,7 @@
         }
     }
 
-    /// Starts waiting calls of a contract while there is room.
+    /// Starts waiting calls of a contract while it has free slots for them.
     pub(super) fn start_waiting(&mut self, now: Now, scope: Scope) {
         if self.claims.is_handing_over(scope) {
             return;
@@ -246,10 +254,10 @@
         epoch: Epoch,
         result: Result<ExecutorInfo, TargetError>,
     ) {
-        let found = self.held_contracts.iter().find(|(_, held)| {
+        let matching = self.held_contracts.iter().find(|(_, held)| {
             held.term.epoch == epoch && held.targets.contains(&target)
         });
-        let Some(scope) = found.map(|(scope, _)| *scope) else { return };
+        let Some(scope) = matching.map(|(scope, _)| *scope) else { return };
         match result {
             Ok(info) => self.executor_reported(now, scope, &target, &info),
             Err(error) => {
@@ -279,10 +287,10 @@
             self.view.leaving.insert(target.clone());
         }
         let state = self.executor_state(target, info.leaving);
-        let mine = |id: &CallId| self.request_id(*id);
+        let request_id = |id: &CallId| self.request_id(*id);
         let Some(held) = self.held_contracts.get(&scope) else { return };
         let own: BTreeSet<String> =
-            held.pool.running_at(target).map(|id| mine(&id)).collect();
+            held.pool.running_at(target).map(|id| request_id(&id)).collect();
         let foreign = info.running.iter().filter(|id| !own.contains(*id));
         let foreign = foreign.count() as u32;
         let Some(held) = self.held_contracts.get_mut(&scope) else { return };
@@ -294,7 +302,7 @@
         self.start_waiting(now, scope);
     }
 
-    /// A target has seen a higher epoch than this VM's.
+    /// Records that a target has seen a higher epoch than this VM's.
     pub(super) fn superseded(
         &mut self,
         now: Now,
@@ -303,12 +311,12 @@
     ) {
         let dc = self.config.dc.clone();
         if self.view.record_epoch(&dc, scope, highest) {
-            self.after_change(now);
+            self.on_view_changed(now);
         }
     }
 
-    /// Takes every waiting call of a contract out of its queue and looks
-    /// for another place for it.
+    /// Removes every waiting call of a contract from its queue and routes it
+    /// again.
     pub(super) fn reroute_waiting(
         &mut self,
         now: Now,
@@ -326,7 +334,8 @@
         }
     }
 
-    /// A call certainly did not run, so that its key may be used again.
+    /// Removes the key of a call that certainly did not run, so that the key
+    /// may be used again.
     pub(super) fn forget_key(&mut self, scope: Scope, id: CallId) {
         let Some(state) = self.calls.get(&id) else { return };
         let Some(held) = self.held_contracts.get_mut(&scope) else { return };
--- a/puffinknot-core/src/node/held_tasks.rs
+++ b/puffinknot-core/src/node/held_tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of the data centre, while this VM holds that contract.
+//! The tasks of the data centre, if this VM holds their contract.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 
 use super::{Action, Node, Now, TargetError};
 
-/// A write of the progress that has not ended yet.
+/// A pending write of the task progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ProgressWrite {
     number: u64,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The platform holds a newer progress than was known.
+    /// Applies task progress from the platform that is newer than was known.
     pub(super) fn progress_changed(&mut self, now: Now) {
         let Some(placer) = &mut self.placer else { return };
         let value = &self.view.progress.value;
@@ -79,7 +79,7 @@
         self.update_placer(now);
     }
 
-    /// The contract names these workers now.
+    /// Applies the current workers of the contract.
     pub(super) fn update_workers(
         &mut self,
         now: Now,
--- a/puffinknot-core/src/node/mod.rs
+++ b/puffinknot-core/src/node/mod.rs
@@ -1,18 +1,19 @@
 /*!
 One entry VM: the state machine that the daemon drives.
 
-A [`Node`] is told what happened, with the time, and answers with what is to
-be done. It never waits: a request to the platform, a peer or a target is an
+A [`Node`] receives events with their time and returns the actions to take.
+It never blocks: a request to the platform, a peer or a target is an
 [`Action`], and its end comes back as an [`Event`]. All entry VMs run the
-same code; what one does follows from the contracts that it holds.
+same code; what a VM does follows from the contracts that it holds.
 
-The parts of the node each have a module:
+Each part of the node has a module:
 
-* `view` keeps the newest that is known of the platform's values,
-* `claims` takes contracts over, hands them over and names their targets,
-* `routing` leads calls to the holder of a slot,
-* `homes` runs the slots of the contracts that this VM holds,
-* `work` runs the tasks of the data centre, if this VM holds that contract.
+* `view` keeps the newest known versions of the platform's values,
+* `claims` takes contracts over, hands them over and enrols their targets,
+* `routing` routes calls to the holder of a contract with a free slot,
+* `held_calls` runs the executors of the call contracts that this VM holds,
+* `held_tasks` runs the tasks of the data centre, if this VM holds that
+  contract.
 */
 
 mod claims;
@@ -44,34 +45,37 @@
 /// A moment on the clocks of this VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Now {
-    /// The monotonic clock, in milliseconds since any start.
+    /// The monotonic clock, in milliseconds since an arbitrary start.
     pub mono: Millis,
     /// The wall clock, in milliseconds since 1970.
     pub wall: Millis,
 }
 
-/// What a node is told at its start.
+/// The settings of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NodeConfig {
-    /// The name of this run of the daemon.
+    /// The name of the VM, unique to this run of the daemon.
     pub vm: VmId,
-    /// The data centre.
+    /// The data centre of the VM.
     pub dc: DcName,
-    /// The number of call contracts, if this VM is the first of its data
-    /// centre.
+    /// The number of call contracts to create if the data centre has no
+    /// contracts yet.
     pub call_scopes: u16,
-    /// How long a member counts as alive without word, in milliseconds.
+    /// How long a member counts as alive after its last sign of life, in
+    /// milliseconds.
     pub member_ttl: Millis,
-    /// How long contracts stay where they are after a member has come.
+    /// How long the assignment of contracts to members must have been
+    /// unchanged before a contract is handed over, in milliseconds.
     pub rebalance_after: Millis,
-    /// For how long readings of the VM list must lack a target that is gone.
+    /// How long successive readings of the VM list must lack a target before
+    /// it counts as gone, in milliseconds.
     pub gone_after: Millis,
-    /// The limits of the memory for keys.
+    /// The limits of the idempotency key tables.
     pub keys: KeyTableConfig,
 }
 
 impl NodeConfig {
-    /// The usual times for a VM in a data centre.
+    /// Creates a configuration with the usual times.
     pub fn new(vm: VmId, dc: DcName) -> NodeConfig {
         NodeConfig {
             vm,
@@ -85,171 +89,171 @@
     }
 }
 
-/// Which kind a target is.
+/// The kind of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TargetKind {
-    /// It answers calls.
+    /// A target that answers calls.
     Executor,
-    /// It runs tasks.
+    /// A target that runs tasks.
     Worker,
 }
 
 /// A target in the VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ListedTarget {
-    /// Its name.
+    /// The name of the target.
     pub id: TargetId,
-    /// What it is.
+    /// The kind of the target.
     pub kind: TargetKind,
-    /// Its data centre.
+    /// The data centre of the target.
     pub dc: DcName,
-    /// Whether it is leaving.
+    /// Whether the target is leaving.
     pub leaving: bool,
 }
 
 /// Entries of the VM list that could not be read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct UnreadableEntries {
-    /// The targets that they name.
+    /// The targets that these entries name.
     pub targets: BTreeSet<TargetId>,
-    /// How many name no target, so that they may be anybody's.
+    /// The number of entries that name no target, so that each may belong to
+    /// any target.
     pub unidentified: usize,
 }
 
 impl UnreadableEntries {
-    /// Whether an entry of this target may be among them.
+    /// Whether one of the entries may belong to this target.
     pub fn may_include(&self, target: &TargetId) -> bool {
         self.unidentified > 0 || self.targets.contains(target)
     }
 }
 
-/// An executor's word on itself.
+/// An executor's report of its state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ExecutorInfo {
-    /// The highest epoch it had seen before it was asked.
+    /// The highest epoch that the executor had seen before this request.
     pub previous: Epoch,
-    /// The calls it can run at once.
+    /// The number of calls that the executor can run at once.
     pub slots: u32,
-    /// The requests that run, by the id they were sent with.
+    /// The running requests, by the id they were sent with.
     pub running: Vec<String>,
-    /// Whether it takes no new work.
+    /// Whether the executor accepts no new work.
     pub leaving: bool,
 }
 
-/// Why a target did not do what it was asked.
+/// Why a request to a target failed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum TargetError {
-    /// It has seen this higher epoch.
+    /// The target has seen this higher epoch.
     Stale(Epoch),
-    /// It could not be asked, or gave no usable answer.
+    /// The target could not be reached, or gave no usable answer.
     Unreachable,
 }
 
-/// How the attempt to run a call at an executor ended.
+/// The end of an attempt to run a call at an executor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Attempt {
-    /// The whole answer is there.
+    /// The complete answer has arrived.
     Answered,
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     NotSent,
-    /// The executor refused the epoch; it has seen this higher one.
+    /// The executor refused the epoch because it has seen this higher one.
     Stale(Epoch),
     /// The executor refused the call without running it.
     Refused,
-    /// The connection was lost, or the answer was cut.
+    /// The connection was lost, or the answer was truncated.
     Lost,
 }
 
-/// A call as it comes from a caller or over a hop.
+/// A call that a caller or a peer has sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Call {
-    /// Whose it is.
+    /// The caller.
     pub caller: CallerId,
-    /// Its class.
+    /// The name of the call's class.
     pub class: String,
-    /// How long its answer is worth waiting for, in milliseconds.
+    /// The time until the deadline, in milliseconds.
     pub remaining: Millis,
-    /// Its key, if it must not be repeated.
+    /// The idempotency key, if the call must not run twice.
     pub key: Option<IdempotencyKey>,
 }
 
-/// What a VM tells its peers of itself, every second.
+/// What a VM tells its peers about itself, every second.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Summary {
-    /// Whose summary it is.
+    /// The VM.
     pub vm: VmId,
-    /// Its data centre.
+    /// The data centre of the VM.
     pub dc: DcName,
-    /// Whether it is about to stop.
+    /// Whether the VM is about to stop.
     pub draining: bool,
-    /// Whether the platform answers it.
+    /// Whether the VM can reach the platform.
     pub platform: bool,
-    /// The revision of the operators' file that it has in force.
+    /// The revision of the operators' file in force on the VM.
     pub config: Revision,
-    /// The revisions of the contracts it knows, by data centre.
+    /// The revisions of the contracts that the VM knows, by data centre.
     pub maps: BTreeMap<DcName, Revision>,
-    /// The highest epochs it knows for its data centre.
+    /// The highest epochs that the VM knows for its data centre.
     pub epochs: BTreeMap<Scope, Epoch>,
-    /// The room under the contracts it holds.
+    /// The free capacity under the contracts that the VM holds.
     pub loads: BTreeMap<Scope, Load>,
-    /// Targets that it knows to be leaving.
+    /// The targets of its data centre that the VM knows to be leaving.
     pub leaving: BTreeSet<TargetId>,
 }
 
-/// What happened.
+/// An input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// Everything in the platform's service, read at a revision.
+    /// Everything in the platform's service was read at a revision.
     Snapshot {
         /// The revision of the read.
         revision: Revision,
-        /// The values.
+        /// The values that were read.
         stored: Vec<Stored>,
     },
-    /// The watch has seen changes.
+    /// The watch has reported changes.
     Changed {
         /// The revision of the last change.
         revision: Revision,
-        /// Values that were put.
+        /// Values that were written.
         stored: Vec<Stored>,
-        /// Keys that were deleted or whose lease has lapsed.
+        /// Keys that were deleted or whose lease has expired.
         deleted: Vec<Key>,
     },
-    /// The lease of this member was renewed by a request sent at this time.
+    /// The platform has renewed the lease of this member.
     Renewed {
-        /// When the request was sent.
+        /// When the renewal was sent.
         sent_at: Millis,
     },
-    /// The lease of this member has lapsed.
+    /// The lease of this member has expired.
     LeaseLost,
     /// A write has ended.
     Written {
         /// The key.
         key: Key,
-        /// How it ended.
+        /// The result of the write.
         result: WriteResult,
     },
-    /// The VM list was read.
+    /// The VM list was read completely.
     Listed(Vec<ListedTarget>),
-    /// The VM list was read, but for some entries.
+    /// The VM list was read, except for some entries.
     ListedPartially(Vec<ListedTarget>, UnreadableEntries),
     /// A peer has sent its summary.
     SummaryReceived(Summary),
-    /// A peer has sent what it knows of the platform's values.
+    /// A peer has sent the platform's values that it knows.
     ValuesReceived(Vec<Stored>),
-    /// A caller wants an answer.
+    /// A caller has sent a call.
     Call(CallId, Call),
-    /// A peer wants a call run under a contract.
+    /// A peer has forwarded a call to run under a contract.
     Hop(CallId, Scope, Call),
-    /// The caller has gone away.
+    /// The caller has disconnected.
     Abandoned(CallId),
     /// A forwarded call has ended.
     HopEnded(CallId, Outcome),
-    /// A call could not be forwarded. `sent` tells whether any byte may
-    /// have reached the peer.
+    /// Forwarding a call has failed.
     HopFailed {
         /// The call.
         id: CallId,
@@ -258,13 +262,13 @@
     },
     /// An attempt at an executor has ended.
     AttemptEnded(CallId, Attempt),
-    /// An executor was asked for its state under an epoch.
+    /// The query of an executor's state has ended.
     ExecutorReplied {
         /// The executor.
         target: TargetId,
         /// The epoch that was presented.
         epoch: Epoch,
-        /// Its word.
+        /// The executor's report, or why there is none.
         result: Result<ExecutorInfo, TargetError>,
     },
     /// A sync with a worker has ended.
@@ -273,44 +277,45 @@
         target: TargetId,
         /// The epoch of the sync.
         epoch: Epoch,
-        /// The number of the sync.
+        /// The sequence number of the sync.
         seq: u64,
-        /// The worker's word.
+        /// The worker's reply, or why there is none.
         result: Result<SyncReply, TargetError>,
     },
-    /// A holder passes on what it knows before it gives a contract up.
+    /// The holder of a contract has passed its state on to this VM before
+    /// giving the contract up.
     HandoverReceived {
         /// The contract.
         scope: Scope,
-        /// The holder's epoch.
+        /// The epoch of the previous holder.
         epoch: Epoch,
-        /// The keys it remembers.
+        /// The idempotency keys of the previous holder.
         memory: KeySnapshot,
     },
-    /// The successor has taken note of a bequest, or has not.
+    /// The successor has acknowledged a handover, or has failed to.
     HandoverEnded {
         /// The contract.
         scope: Scope,
-        /// Whether the successor has it.
+        /// Whether the successor has received the state.
         acknowledged: bool,
     },
-    /// The VM is to stop: it gives up its contracts.
+    /// The VM is to stop, and must give up its contracts.
     Drain,
 }
 
-/// What is to be done.
+/// An output of the state machine, for the daemon to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Make a compare-and-swap.
+    /// Make a compare-and-swap in the platform's service.
     Write(Write),
-    /// Read everything in the platform's service again.
+    /// Read everything in the platform's service.
     Read,
-    /// Write this VM's entry under its lease.
+    /// Write this VM's member entry under its lease.
     Register {
         /// Whether the VM is about to stop.
         draining: bool,
     },
-    /// Present the epoch to an executor and ask for its state.
+    /// Present the epoch to an executor and query its state.
     QueryExecutor {
         /// The executor.
         target: TargetId,
@@ -330,10 +335,10 @@
         id: CallId,
         /// The executor.
         target: TargetId,
-        /// The epoch to send it under.
+        /// The epoch under which to send the call.
         epoch: Epoch,
     },
-    /// Send a call to the holder of a contract.
+    /// Forward a call to the holder of a contract.
     Forward {
         /// The call.
         id: CallId,
@@ -341,22 +346,22 @@
         vm: VmId,
         /// The contract.
         scope: Scope,
-        /// What is sent.
+        /// The call to forward.
         call: Call,
     },
-    /// Answer a call.
+    /// Answer a caller or a forwarding peer.
     Answer {
         /// The call.
         id: CallId,
-        /// How it ended.
+        /// The outcome of the call.
         outcome: Outcome,
     },
-    /// Ask a peer for what it knows of the platform's values.
+    /// Ask a peer for the platform's values that it knows.
     Fetch {
         /// The peer.
         vm: VmId,
     },
-    /// Pass on what this VM knows to the successor of a contract.
+    /// Pass this VM's state on to the successor of a contract.
     SendHandover {
         /// The successor.
         vm: VmId,
@@ -364,39 +369,39 @@
         scope: Scope,
         /// The epoch of this VM.
         epoch: Epoch,
-        /// The keys it remembers.
+        /// The idempotency keys of this VM.
         memory: KeySnapshot,
     },
     /// A new revision of the operators' file is in force.
     ConfigApplied(Revision),
 }
 
-/// How often things happened.
+/// Event counts since the start of the node.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize,
 )]
 pub struct Counters {
-    /// Calls that came from callers.
+    /// Calls received from callers.
     pub calls: u64,
-    /// Calls that came from peers.
+    /// Calls received from peers.
     pub hops: u64,
-    /// Calls that were answered.
+    /// Calls from callers that were answered.
     pub answered: u64,
-    /// Refusals, by reason.
+    /// Refused calls, by reason.
     pub refused: BTreeMap<Reason, u64>,
-    /// Ends without knowledge of whether the call ran, by reason.
+    /// Calls that may have run, by reason.
     pub unknown: BTreeMap<Reason, u64>,
-    /// Retries, by the reason of the refusal before.
+    /// Retries, by the reason why the attempt before failed.
     pub retries: BTreeMap<Reason, u64>,
     /// Contracts taken over.
     pub claims: u64,
     /// Contracts handed over.
     pub handovers: u64,
-    /// Writes that another writer was faster with.
+    /// Writes that failed because another writer came first.
     pub writes_lost: u64,
-    /// Writes whose answer was lost.
+    /// Writes whose result is unknown.
     pub writes_unknown: u64,
-    /// Writes that the platform could not be asked for.
+    /// Writes that certainly were not made.
     pub writes_not_made: u64,
     /// Values from the platform that could not be used.
     pub bad_values: u64,
@@ -412,9 +417,9 @@
     placer: Option<Box<Placer>>,
     progress_write: Option<ProgressWrite>,
     calls: BTreeMap<CallId, CallState>,
-    /// Calls by the time at which something has to be done about them.
+    /// The times at which calls need attention.
     timers: BTreeSet<(Millis, CallId)>,
-    /// How many retries may still be made, in hundredths.
+    /// Credit for retries; each retry costs `RETRY_COST`.
     retry_credit: u64,
     counters: Counters,
     draining: bool,
@@ -422,7 +427,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node that knows nothing yet.
     pub fn new(config: NodeConfig) -> Node {
         Node {
             config,
@@ -450,22 +455,22 @@
         &self.config.dc
     }
 
-    /// What this VM knows of the platform's values.
+    /// The platform's values as far as this VM knows them.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// How often things happened.
+    /// The event counts.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// The tasks of the data centre, if this VM places them.
+    /// The placer of the data centre's tasks, if this VM holds that contract.
     pub fn placer(&self) -> Option<&Placer> {
         self.placer.as_deref()
     }
 
-    /// Takes note of an event and says what is to be done.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
         self.detect_pause(now);
         match event {
@@ -506,7 +511,7 @@
                 self.on_sync_ended(now, target, epoch, seq, result);
             }
             Event::HandoverReceived { scope, epoch, memory } => {
-                self.claims.inherit(scope, epoch, memory);
+                self.claims.receive_handover(scope, epoch, memory);
             }
             Event::HandoverEnded { scope, acknowledged } => {
                 self.on_handover_ended(now, scope, acknowledged);
@@ -516,7 +521,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// A VM that was paused has missed what others said in the meantime.
+    /// Detects that this VM was paused. Its state of the executors is then
+    /// outdated.
     fn detect_pause(&mut self, now: Now) {
         if self.claims.detect_pause(now, self.config.member_ttl) {
             for held in self.held_contracts.values_mut() {
@@ -549,13 +555,13 @@
             && self.placer.is_none()
     }
 
-    /// Whether the platform has answered within the time that a member
-    /// counts as alive.
+    /// Whether the platform has renewed this member's lease within the time
+    /// to live of a member.
     pub fn platform_is_reachable(&self, now: Now) -> bool {
         self.claims.lease_renewed_within(now, self.config.member_ttl)
     }
 
-    /// What this VM tells its peers.
+    /// The summary that this VM sends to its peers.
     pub fn summary(&self, now: Now) -> Summary {
         let loads = self
             .held_contracts
@@ -579,7 +585,7 @@
         format!("{}:{}", self.config.vm, id.0)
     }
 
-    fn count_end(&mut self, outcome: &Outcome) {
+    fn count_outcome(&mut self, outcome: &Outcome) {
         let counters = &mut self.counters;
         match *outcome {
             Outcome::Answered => counters.answered += 1,
--- a/puffinknot-core/src/node/routing.rs
+++ b/puffinknot-core/src/node/routing.rs
@@ -1,16 +1,16 @@
-//! The way of a call: to a slot on this VM, or over a hop to the holder of
-//! one, and back.
+//! Call routing: to an executor slot on this VM, or over a hop to the holder
+//! of another contract.
 //!
-//! A call that must not be repeated goes to the one home of its key. Any
-//! other call goes where a slot is free: first under a contract of this VM,
-//! then under another of the data centre, then, if its class allows it, in
-//! another data centre. It is tried again only after it was certainly not
-//! run, or if its class says that running twice does no harm.
+//! A call with an idempotency key goes to the home of its key. Any other
+//! call goes where a slot is free: first under a contract of this VM, then
+//! under another one of the data centre, then, if its class allows it, in
+//! another data centre. A call is retried only if it certainly did not run,
+//! or if its class allows it to run twice.
 //!
-//! *Not run* is a statement about the call and not about one attempt. For a
-//! call with a key, only the home of the key can make it: an earlier attempt
-//! over another entry VM may have run. Whoever can't ask the home answers
-//! *unknown*.
+//! *Not run* is a statement about the call, not about a single attempt. For a
+//! call with a key, only the home of the key can make it, because an earlier
+//! attempt through another entry VM may have run. A VM that can't ask the
+//! home answers *unknown*.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -23,38 +23,39 @@
 
 use super::{Action, Attempt, Call, Node, Now};
 
-/// A waiting call without a holder is tried again after this time.
+/// The delay of the next attempt for a waiting call whose contract has no
+/// reachable holder.
 const HOLDER_RETRY_DELAY: Millis = 100;
-/// One call is tried at this many places at the most.
+/// After this many refused attempts, a call is not routed again at once.
 const MAX_ATTEMPTS: u32 = 6;
-/// A retry costs this much credit; each call earns the policy's percentage.
+/// The credit that a retry costs. Each call earns the policy's percentage.
 const RETRY_COST: u64 = 100;
-/// The credit at the start.
+/// The credit of a node at its start.
 pub(super) const INITIAL_RETRY_CREDIT: u64 = 10 * RETRY_COST;
-/// Credit is saved up to this many retries.
+/// The maximum credit of a node.
 const MAX_RETRY_CREDIT: u64 = 100 * RETRY_COST;
-/// The advice on when to come back where nothing better is known.
+/// The default `retry_after` of a refusal.
 const RETRY_AFTER: Millis = 1_000;
 
-/// Where a call came from.
+/// The sender of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Origin {
     /// A caller.
     Caller,
-    /// A peer, which wants it run under this contract.
+    /// A peer, which has forwarded the call to run under this contract.
     Hop(Scope),
 }
 
-/// Where a call is.
+/// The place where a call runs or waits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Location {
-    /// On its way to somewhere else.
+    /// Nowhere: the call has not been routed, or its last attempt has ended.
     Unassigned,
     /// In the queue of a contract.
     Queued(Scope),
     /// At an executor, under an epoch.
     Running(Scope, TargetId, Epoch),
-    /// At a peer.
+    /// At a peer, under a contract.
     Forwarded(DcName, Scope),
 }
 
@@ -66,16 +67,17 @@
     pub(super) location: Location,
     kind: ClassKind,
     may_repeat: bool,
-    other_data_centres_allowed: bool,
+    may_leave_dc: bool,
     deadline: Millis,
     tried: BTreeSet<(DcName, Scope)>,
-    tries: u32,
+    attempts: u32,
     answered: bool,
-    /// The last refusal came from a peer, which vouches for it.
+    /// Whether the last outcome comes from a peer, which has already checked
+    /// that it may be reported.
     from_peer: bool,
 }
 
-/// A place to try.
+/// A contract under which to try a call.
 enum Candidate {
     Local(Scope),
     Peer(VmId, DcName, Scope),
@@ -116,10 +118,10 @@
             location: Location::Unassigned,
             kind,
             may_repeat: repeat == Repeat::Allowed,
-            other_data_centres_allowed: class.other_data_centres,
+            may_leave_dc: class.other_data_centres,
             deadline,
             tried: BTreeSet::new(),
-            tries: 0,
+            attempts: 0,
             answered: false,
             from_peer: false,
         };
@@ -128,7 +130,7 @@
         self.route(now, id);
     }
 
-    /// Finds a place for a call, trying the places on this VM at once.
+    /// Routes a call. Candidates on this VM are tried at once.
     fn route(&mut self, now: Now, id: CallId) {
         let mut refusal = Outcome::not_run(Reason::NoHolder, RETRY_AFTER);
         while let Some(next) = self.next_candidate(id) {
@@ -161,7 +163,7 @@
         }
         let mut best: Option<(CandidateRank, Candidate)> = None;
         for (dc, map) in &self.view.maps {
-            if dc != here && !state.other_data_centres_allowed {
+            if dc != here && !state.may_leave_dc {
                 continue;
             }
             for scope in map.value.contracts.keys() {
@@ -176,7 +178,7 @@
         best.map(|(_, next)| next)
     }
 
-    /// The one place for a call with a key.
+    /// The only candidate for a call with an idempotency key.
     fn candidate_for_key(&self, state: &CallState) -> Option<Candidate> {
         let key = state.call.key.as_ref()?;
         let caller = self.view.config.value.caller(&state.call.caller)?;
@@ -192,7 +194,7 @@
         Some(Candidate::Peer(holder.clone(), dc.clone(), scope))
     }
 
-    /// How good a place is for a call; the lowest is best.
+    /// Ranks a contract as a candidate for a call; the lowest rank is best.
     fn rank(
         &self,
         state: &CallState,
@@ -223,7 +225,7 @@
         Some((rank, Candidate::Peer(holder.clone(), dc.clone(), scope)))
     }
 
-    /// Offers a call to a contract of this VM.
+    /// Tries to start or queue a call under a contract of this VM.
     fn admit_locally(
         &mut self,
         now: Now,
@@ -344,18 +346,20 @@
         self.attempt_ended(now, id, outcome);
     }
 
-    /// An attempt has ended away from this VM or at an executor.
+    /// Handles the end of an attempt at a peer or an executor.
     fn attempt_ended(&mut self, now: Now, id: CallId, outcome: Outcome) {
         match outcome {
             Outcome::Answered => self.finish_call(now, id, outcome),
             Outcome::NotRun { .. } => self.handle_refusal(now, id, outcome),
             Outcome::Unknown { reason, .. } => {
-                let lost = matches!(
+                let connection_lost = matches!(
                     reason,
                     Reason::ConnectionLost | Reason::PeerLost
                 );
                 let state = self.calls.get(&id);
-                if lost && state.is_some_and(|state| state.may_repeat) {
+                if connection_lost
+                    && state.is_some_and(|state| state.may_repeat)
+                {
                     self.handle_refusal(now, id, outcome);
                 } else {
                     self.finish_call(now, id, outcome);
@@ -364,8 +368,8 @@
         }
     }
 
-    /// A call was turned away somewhere. It is tried elsewhere if there is
-    /// another place, time and credit.
+    /// Handles the refusal of a call. The call is retried if a candidate, an
+    /// attempt and retry credit are left.
     pub(super) fn handle_refusal(
         &mut self,
         now: Now,
@@ -377,15 +381,15 @@
             self.calls.remove(&id);
             return;
         }
-        state.tries += 1;
-        let tries = state.tries;
-        if tries >= MAX_ATTEMPTS || self.next_candidate(id).is_none() {
+        state.attempts += 1;
+        let attempts = state.attempts;
+        if attempts >= MAX_ATTEMPTS || self.next_candidate(id).is_none() {
             self.wait_or_finish(now, id, outcome);
             return;
         }
         if self.retry_credit < RETRY_COST {
             let no_credit = Outcome::not_run(Reason::RetryBudget, RETRY_AFTER);
-            self.count_end(&no_credit);
+            self.count_outcome(&no_credit);
             self.finish_call(now, id, outcome);
             return;
         }
@@ -396,8 +400,9 @@
         self.route(now, id);
     }
 
-    /// No place is left. A waiting call whose holder is only changing is
-    /// tried again a little later; any other is answered at once.
+    /// Handles a call without further candidates. A waiting call is retried
+    /// after a short delay if the refusal is likely due to a change of
+    /// holder; any other call ends at once.
     fn wait_or_finish(&mut self, now: Now, id: CallId, outcome: Outcome) {
         let Some(state) = self.calls.get_mut(&id) else { return };
         let transient = matches!(
@@ -410,14 +415,14 @@
                     | Reason::PeerUnreachable
             )
         );
-        let waits = state.kind == ClassKind::Waiting
+        let may_wait = state.kind == ClassKind::Waiting
             && state.origin == Origin::Caller
             && matches!(outcome, Outcome::NotRun { .. });
-        let again = now.mono + HOLDER_RETRY_DELAY;
-        if transient && waits && again < state.deadline {
+        let retry_at = now.mono + HOLDER_RETRY_DELAY;
+        if transient && may_wait && retry_at < state.deadline {
             state.tried.clear();
             state.location = Location::Unassigned;
-            self.timers.insert((again, id));
+            self.timers.insert((retry_at, id));
             return;
         }
         self.finish_call(now, id, outcome);
@@ -435,7 +440,7 @@
             return;
         };
         state.location = Location::Unassigned;
-        // Another executor of the same contract may do better.
+        // Another executor of the same contract may accept the call.
         let here = self.config.dc.clone();
         state.tried.remove(&(here, scope));
         let key = state.call.key.clone();
@@ -477,41 +482,41 @@
         self.start_waiting(now, scope);
     }
 
-    /// Ends a call: its caller is told, unless that has been done.
+    /// Ends a call and answers it, unless it has been answered before.
     pub(super) fn finish_call(
         &mut self,
         now: Now,
         id: CallId,
         outcome: Outcome,
     ) {
-        let current = self.lease_is_certainly_valid(now);
+        let lease_valid = self.lease_is_certainly_valid(now);
         let Some(state) = self.calls.get_mut(&id) else { return };
         let keyed = state.call.key.is_some();
-        let authoritative = state.from_peer || current;
+        let authoritative = state.from_peer || lease_valid;
         let outcome = if keyed {
             restrict_refusal(outcome, authoritative)
         } else {
             outcome
         };
         let origin = state.origin;
-        let first = !state.answered;
+        let unanswered = !state.answered;
         state.answered = true;
         let running = matches!(state.location, Location::Running(..));
         if !running {
             self.timers.remove(&(state.deadline, id));
             self.calls.remove(&id);
         }
-        if !first {
+        if !unanswered {
             return;
         }
         if origin == Origin::Caller {
-            self.count_end(&outcome);
+            self.count_outcome(&outcome);
         }
         self.actions.push(Action::Answer { id, outcome });
     }
 
-    /// The caller has gone away. What runs goes on; its answer goes to
-    /// nobody.
+    /// Handles the disconnection of a caller. A running call goes on, and
+    /// its answer is dropped.
     pub(super) fn on_abandoned(&mut self, now: Now, id: CallId) {
         self.withdraw(id);
         let Some(state) = self.calls.get_mut(&id) else { return };
@@ -519,8 +524,8 @@
         self.finish_call(now, id, Outcome::unknown(Reason::CallerGone, 0));
     }
 
-    /// Takes a call out of the queue it stands in. Returns whether it was
-    /// in one.
+    /// Removes a call from the queue in which it waits. Returns whether it
+    /// was queued.
     fn withdraw(&mut self, id: CallId) -> bool {
         let Some(state) = self.calls.get_mut(&id) else { return false };
         let Location::Queued(scope) = state.location else { return false };
@@ -564,7 +569,7 @@
     }
 }
 
-/// The order in which places are tried; fields are compared in turn.
+/// The rank of a candidate; fields are compared in the order of declaration.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateRank {
     full: bool,
@@ -586,10 +591,10 @@
     }
 }
 
-/// What may be said of a call with a key. A refusal that does not come from
-/// the home of the key says nothing about earlier attempts, and neither does
-/// that of a home which may have been superseded: only one whose word is
-/// `vouched` for may say that the call was not run.
+/// The outcome that may be reported for a call with an idempotency key. Only
+/// the home of the key knows of earlier attempts, and a home may have been
+/// superseded without knowing. The refusal stays *not run* only if it comes
+/// from the home and that is `authoritative`; otherwise it becomes *unknown*.
 fn restrict_refusal(outcome: Outcome, authoritative: bool) -> Outcome {
     let Outcome::NotRun { reason, retry_after } = outcome else {
         return outcome;
--- a/puffinknot-core/src/node/status.rs
+++ b/puffinknot-core/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What an operator can see of a node.
+//! The status of a node, as shown to operators.
 
 use std::collections::BTreeMap;
 
@@ -10,93 +10,93 @@
 
 use super::{Counters, Node, Now};
 
-/// A target as its holder sees it.
+/// The status of a target, as its holder knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetStatus {
-    /// Its name.
+    /// The name of the target.
     pub id: TargetId,
-    /// Whether it takes new work.
+    /// Whether the target accepts new work.
     pub ready: bool,
-    /// Its slots, or the number of tasks on a worker.
+    /// The number of slots of an executor, or of tasks on a worker.
     pub slots: u32,
-    /// The slots that are used.
+    /// The number of used slots.
     pub used: u32,
 }
 
-/// A contract that a VM holds.
+/// The status of a contract that the VM holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContractStatus {
-    /// The contract.
+    /// The scope of the contract.
     pub scope: Scope,
-    /// The epoch, as text.
+    /// The epoch of the holder, as text.
     pub epoch: String,
     /// Whether nothing can start under an earlier epoch any more.
     pub settled: bool,
-    /// Whether the platform holds the epoch.
+    /// Whether the platform's service holds the epoch.
     pub confirmed: bool,
-    /// Calls that run, or tasks that have a place.
+    /// The number of running calls, or of placed tasks.
     pub running: usize,
-    /// Calls or tasks that wait.
+    /// The number of waiting calls or tasks.
     pub waiting: usize,
-    /// How long calls take on average, in milliseconds.
+    /// The mean duration of calls, in milliseconds.
     pub mean_ms: Millis,
-    /// Its targets.
+    /// The targets of the contract.
     pub targets: Vec<TargetStatus>,
 }
 
-/// A job as the holder of the tasks sees it.
+/// The status of a job, as the holder of the tasks knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// Its name.
+    /// The name of the job.
     pub name: String,
-    /// Its team.
+    /// The team of the job.
     pub team: String,
     /// The number of its tasks.
     pub tasks: u32,
-    /// How many run.
+    /// The number of running tasks.
     pub running: u32,
-    /// How many wait.
+    /// The number of waiting tasks.
     pub waiting: u32,
-    /// How many are done.
+    /// The number of tasks that are done.
     pub done: u32,
-    /// How many may have run and are not repeated.
+    /// The number of tasks that may have run and are not repeated.
     pub unknown: u32,
 }
 
-/// What an operator can see of a VM.
+/// The status of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// The VM.
+    /// The name of the VM.
     pub vm: VmId,
-    /// Its data centre.
+    /// The data centre of the VM.
     pub dc: DcName,
-    /// Whether it is about to stop.
+    /// Whether the VM is about to stop.
     pub draining: bool,
-    /// Whether the platform answers it.
+    /// Whether the VM can reach the platform.
     pub platform: bool,
-    /// The revision of the operators' file in force here.
+    /// The revision of the operators' file in force on the VM.
     pub config: Revision,
-    /// The members that the platform knows, with the revision that each has
-    /// in force as far as it was heard.
+    /// The members that the platform lists, each with the revision of the
+    /// operators' file in force there, if the member has been heard.
     pub members: BTreeMap<VmId, Option<Revision>>,
-    /// The holder of each contract of this data centre.
+    /// The holder of each contract of the data centre.
     pub contracts: BTreeMap<Scope, VmId>,
-    /// The contracts that this VM holds.
+    /// The contracts that the VM holds.
     pub homes: Vec<ContractStatus>,
-    /// The jobs of this data centre, if this VM holds that contract.
+    /// The jobs of the data centre, if the VM holds the contract for tasks.
     pub jobs: Vec<JobStatus>,
-    /// How often things happened.
+    /// The event counts of the VM.
     pub counters: Counters,
 }
 
 impl Node {
-    /// What an operator can see of this VM.
+    /// The status of this VM.
     pub fn status(&self, now: Now) -> NodeStatus {
         let dc = &self.config.dc;
         let epochs = self.view.epochs(dc);
         let holders = epochs.into_iter().map(|(s, e)| (s, e.holder));
-        let mut homes = self.call_homes();
-        homes.extend(self.task_home());
+        let mut contracts = self.call_contracts();
+        contracts.extend(self.task_contract());
         NodeStatus {
             vm: self.config.vm.clone(),
             dc: dc.clone(),
@@ -105,7 +105,7 @@
             config: self.view.config_revision(),
             members: self.member_revisions(),
             contracts: holders.collect(),
-            homes,
+            homes: contracts,
             jobs: self.job_status(),
             counters: self.counters.clone(),
         }
@@ -122,7 +122,7 @@
         members.map(|vm| (vm.clone(), revision(vm))).collect()
     }
 
-    fn call_homes(&self) -> Vec<ContractStatus> {
+    fn call_contracts(&self) -> Vec<ContractStatus> {
         let view =
             |(scope, held): (&Scope, &super::HeldContract)| ContractStatus {
                 scope: *scope,
@@ -146,7 +146,7 @@
         self.held_contracts.iter().map(view).collect()
     }
 
-    fn task_home(&self) -> Option<ContractStatus> {
+    fn task_contract(&self) -> Option<ContractStatus> {
         let placer = self.placer.as_ref()?;
         let targets =
             placer.workers().into_iter().map(|worker| TargetStatus {
--- a/puffinknot-core/src/node/view.rs
+++ b/puffinknot-core/src/node/view.rs
@@ -1,8 +1,8 @@
-//! The newest that is known of the platform's values, from wherever it came.
+//! The newest known versions of the platform's values, from any source.
 //!
-//! Nothing in a view ever goes back: a value replaces another only if its
-//! revision is higher, whether it comes from a read, from the watch or from
-//! a peer.
+//! A value never goes back to an earlier version: it is replaced only by one
+//! of a higher revision, whether that comes from a read, from the watch or
+//! from a peer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,8 +15,7 @@
 
 use super::{Action, ListedTarget, Node, Now, Summary, UnreadableEntries};
 
-/// A peer is forgotten after this many times the span in which it should
-/// have been heard.
+/// A peer is forgotten after a silence of this many member lifetimes.
 const PEER_RETENTION_TTLS: Millis = 100;
 
 /// A value with its revision.
@@ -26,17 +25,17 @@
     pub(super) value: T,
 }
 
-/// What is known of a peer from itself.
+/// The state of a peer, from its last summary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Peer {
     pub(super) dc: DcName,
-    pub(super) heard: Millis,
-    pub(super) platform: bool,
+    pub(super) heard_at: Millis,
+    pub(super) platform_reachable: bool,
     pub(super) draining: bool,
     pub(super) config: Revision,
 }
 
-/// What one VM knows of the platform's values.
+/// The platform's values as far as one VM knows them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct View {
     /// The revision of the last read or watch event; zero before the first.
@@ -46,20 +45,21 @@
     pub(super) maps: BTreeMap<DcName, Versioned<ContractMap>>,
     pub(super) progress: Versioned<Progress>,
     pub(super) members: BTreeMap<VmId, Member>,
-    /// The highest epochs heard of, also from peers and targets.
+    /// The highest known epochs, including those from peers and targets.
     pub(super) epochs: BTreeMap<(DcName, Scope), Epoch>,
     pub(super) peers: BTreeMap<VmId, Peer>,
-    /// Peers that have not been heard lately.
+    /// Peers that have missed their last summaries.
     pub(super) silent_peers: BTreeSet<VmId>,
-    /// The room under each contract, as its holder said last.
+    /// The free capacity under each contract, as its holder last reported.
     pub(super) loads: BTreeMap<(DcName, Scope), Load>,
     pub(super) listed: BTreeMap<TargetId, ListedTarget>,
-    /// When the VM list was read last, so that it shows who is missing.
+    /// When the VM list was last read well enough to show which targets are
+    /// missing.
     pub(super) listed_at: Option<Millis>,
-    /// Targets of a contract that no reading of the VM list has named since
-    /// the one at this time.
+    /// The targets of contracts that the VM list lacks, each with the time
+    /// of the first reading without it.
     pub(super) missing_since: BTreeMap<TargetId, Millis>,
-    /// Targets that a peer or the target itself called leaving.
+    /// Targets that a peer or the target itself reported as leaving.
     pub(super) leaving: BTreeSet<TargetId>,
 }
 
@@ -79,29 +79,29 @@
         &self.config_text
     }
 
-    /// The members that the platform knows, by name.
+    /// The members that the platform lists, by name.
     pub fn members(&self) -> &BTreeMap<VmId, Member> {
         &self.members
     }
 
-    /// The VM that holds a contract, by the highest epoch known.
+    /// The VM that holds a contract, according to the highest known epoch.
     pub fn holder(&self, dc: &DcName, scope: Scope) -> Option<&VmId> {
         self.epoch(dc, scope).map(|epoch| &epoch.holder)
     }
 
-    /// The highest epoch known of a contract.
+    /// The highest known epoch of a contract.
     pub fn epoch(&self, dc: &DcName, scope: Scope) -> Option<&Epoch> {
         let heard = self.epochs.get(&(dc.clone(), scope));
         let map = self.maps.get(dc).and_then(|m| m.value.epoch(scope));
         heard.max(map)
     }
 
-    /// The contracts of a data centre as the platform holds them.
+    /// The contracts of a data centre, as the platform holds them.
     pub fn contract_map(&self, dc: &DcName) -> Option<&ContractMap> {
         self.maps.get(dc).map(|map| &map.value)
     }
 
-    /// One contract as the platform holds it.
+    /// One contract, as the platform holds it.
     pub(super) fn contract(
         &self,
         dc: &DcName,
@@ -110,16 +110,21 @@
         self.contract_map(dc)?.contracts.get(&scope)
     }
 
-    /// Whether the target is leaving, as anybody has said.
+    /// Whether any source reports that the target is leaving.
     pub fn is_leaving(&self, target: &TargetId) -> bool {
         let listed = self.listed.get(target).is_some_and(|l| l.leaving);
         listed || self.leaving.contains(target)
     }
 
-    /// Targets that have stopped for good: readings over `span` lacked them.
-    /// It is counted from reading to reading, the last one recent, since a
-    /// time without readings shows nothing.
-    pub(super) fn gone(&self, now: Now, span: Millis) -> Vec<TargetId> {
+    /// Targets that are permanently gone: the readings of the VM list over
+    /// `span` lacked them. The span runs from reading to reading, and the
+    /// last reading must be recent, because a time without readings shows
+    /// nothing.
+    pub(super) fn gone_targets(
+        &self,
+        now: Now,
+        span: Millis,
+    ) -> Vec<TargetId> {
         let recent = |at: &Millis| at + span > now.mono;
         let Some(last) = self.listed_at.filter(recent) else { return vec![] };
         let gone = |since: Millis| since + span <= last;
@@ -133,15 +138,15 @@
         self.silent_peers.contains(vm)
     }
 
-    /// Finds out anew which peers have not been heard for `span`.
+    /// Recomputes which peers have not been heard for `span`.
     pub(super) fn update_silent_peers(&mut self, now: Now, span: Millis) {
-        let late = |(_, p): &(&VmId, &Peer)| p.heard + span <= now.mono;
+        let late = |(_, p): &(&VmId, &Peer)| p.heard_at + span <= now.mono;
         let silent = self.peers.iter().filter(late);
         self.silent_peers = silent.map(|(vm, _)| vm.clone()).collect();
-        // A peer that was silent for this long does not come back under
-        // the same name.
+        // A peer that was silent for this long does not return under the same
+        // name.
         let forget = span * PEER_RETENTION_TTLS;
-        self.peers.retain(|_, p| p.heard + forget > now.mono);
+        self.peers.retain(|_, p| p.heard_at + forget > now.mono);
     }
 
     pub(super) fn map_revisions(&self) -> BTreeMap<DcName, Revision> {
@@ -158,12 +163,13 @@
     }
 
     pub(super) fn leaving_here(&self, dc: &DcName) -> BTreeSet<TargetId> {
-        let mine = |l: &&ListedTarget| l.dc == *dc && self.is_leaving(&l.id);
-        let listed = self.listed.values().filter(mine);
+        let is_leaving_here =
+            |l: &&ListedTarget| l.dc == *dc && self.is_leaving(&l.id);
+        let listed = self.listed.values().filter(is_leaving_here);
         listed.map(|l| l.id.clone()).collect()
     }
 
-    /// Takes note of an epoch. Returns whether it is the highest so far.
+    /// Records an epoch. Returns whether it is the highest known.
     pub(super) fn record_epoch(
         &mut self,
         dc: &DcName,
@@ -177,7 +183,7 @@
         true
     }
 
-    /// Everything that a peer may need, in the form it is stored.
+    /// All values that a peer may need, in their stored form.
     pub fn export(&self) -> Vec<Stored> {
         let mut all = Vec::new();
         if self.config.revision > 0 {
@@ -217,7 +223,7 @@
         self.view.members.clear();
         self.apply(now, stored);
         self.claims.read_finished();
-        self.after_change(now);
+        self.on_view_changed(now);
     }
 
     pub(super) fn on_changed(
@@ -237,17 +243,19 @@
             }
         }
         self.apply(now, stored);
-        self.after_change(now);
+        self.on_view_changed(now);
     }
 
-    /// A peer's knowledge. Members are only taken while the platform has
-    /// never been read, since a peer can't tell who has left.
+    /// Applies the values that a peer knows. Members are applied only until
+    /// the first read of the platform, because a peer can't tell who has
+    /// left.
     pub(super) fn on_values(&mut self, now: Now, stored: Vec<Stored>) {
-        let fresh = self.view.revision == 0;
-        let usable = |s: &Stored| fresh || !matches!(s.key, Key::Member(..));
-        let stored = stored.into_iter().filter(usable).collect();
+        let never_read = self.view.revision == 0;
+        let is_usable =
+            |s: &Stored| never_read || !matches!(s.key, Key::Member(..));
+        let stored = stored.into_iter().filter(is_usable).collect();
         self.apply(now, stored);
-        self.after_change(now);
+        self.on_view_changed(now);
     }
 
     fn apply(&mut self, now: Now, stored: Vec<Stored>) {
@@ -311,7 +319,7 @@
         }
     }
 
-    /// A new revision of the operators' file is in force.
+    /// Applies a new revision of the operators' file.
     fn configure(&mut self) {
         let config = &self.view.config.value;
         for held in self.held_contracts.values_mut() {
@@ -322,8 +330,8 @@
         }
     }
 
-    /// Does what a change of the view asks for.
-    pub(super) fn after_change(&mut self, now: Now) {
+    /// Updates everything that depends on the view.
+    pub(super) fn on_view_changed(&mut self, now: Now) {
         self.update_claims(now);
         self.update_held_calls(now);
         self.update_placer(now);
@@ -333,8 +341,8 @@
         let dc = summary.dc.clone();
         let peer = Peer {
             dc: dc.clone(),
-            heard: now.mono,
-            platform: summary.platform,
+            heard_at: now.mono,
+            platform_reachable: summary.platform,
             draining: summary.draining,
             config: summary.config,
         };
@@ -343,11 +351,11 @@
         for (scope, load) in summary.loads {
             self.view.loads.insert((dc.clone(), scope), load);
         }
-        let behind = |(dc, revision): (&DcName, &Revision)| {
+        let is_newer = |(dc, revision): (&DcName, &Revision)| {
             let known = self.view.maps.get(dc).map_or(0, |m| m.revision);
             *revision > known
         };
-        let outdated = summary.maps.iter().any(behind)
+        let outdated = summary.maps.iter().any(is_newer)
             || summary.config > self.view.config.revision;
         if outdated {
             self.actions.push(Action::Fetch { vm: summary.vm });
@@ -360,13 +368,14 @@
             changed |= self.view.leaving.insert(target);
         }
         if changed {
-            self.after_change(now);
+            self.on_view_changed(now);
         }
     }
 
-    /// The VM list was read. An entry that could not be changes nothing of
-    /// what is known of its target; one that may be anybody's leaves it open
-    /// who is missing, so that the reading counts for nobody's end.
+    /// Applies a reading of the VM list. An unreadable entry changes nothing
+    /// that is known of its target. An entry of an unidentified target leaves
+    /// open which targets are missing, so that such a reading counts against
+    /// no target.
     pub(super) fn on_listed(
         &mut self,
         now: Now,
@@ -381,9 +390,9 @@
         all.extend(listed.into_iter().map(|l| (l.id.clone(), l)));
         self.view.listed = all;
         let listed = &self.view.listed;
-        let may_be =
+        let may_be_listed =
             |id: &TargetId| listed.contains_key(id) || unread.may_include(id);
-        self.view.leaving.retain(may_be);
+        self.view.leaving.retain(may_be_listed);
         if unread.unidentified == 0 {
             self.record_missing(now, unread);
         } else {
@@ -391,18 +400,18 @@
                 !listed.contains_key(id) && !unread.targets.contains(id)
             });
         }
-        self.after_change(now);
+        self.on_view_changed(now);
     }
 
-    /// Takes note of the targets that a reading of the VM list lacks.
+    /// Records the targets that a reading of the VM list lacks.
     fn record_missing(&mut self, now: Now, unread: &UnreadableEntries) {
         let enrolled = self.view.contract_map(&self.config.dc).map(|map| {
             let contracts = map.contracts.values();
             contracts.flat_map(|c| c.targets.iter().cloned()).collect()
         });
         let enrolled: BTreeSet<TargetId> = enrolled.unwrap_or_default();
-        // What was missing before a gap in the readings may have been named
-        // in it: the count begins anew.
+        // A target that was missing before a gap in the readings may have
+        // been listed during the gap, so its time starts anew.
         let span = self.config.gone_after;
         let last = self.view.listed_at.replace(now.mono);
         if last.is_none_or(|at| at + span <= now.mono) {
