--- a/puffinknot-core/src/calls.rs
+++ b/puffinknot-core/src/calls.rs
@@ -414,9 +414,9 @@
         None
     }
 
-    /// The predicted wait of the caller's next call, in milliseconds: its
-    /// own calls ahead of it go first, and every other caller starts one
-    /// call in between.
+    /// The predicted wait of the caller's next call, in milliseconds: it
+    /// starts after the caller's calls ahead of it, and every other caller
+    /// starts one call before each of them.
     pub fn predicted_wait(&self, caller: &CallerId) -> Millis {
         let ahead = self.queues.get(caller).map_or(0, BTreeSet::len) as u64;
         let known = self.queues.contains_key(caller);
--- a/puffinknot-core/src/node/claims.rs
+++ b/puffinknot-core/src/node/claims.rs
@@ -60,9 +60,9 @@
     awake_since: Millis,
     last_event_at: Option<Millis>,
     lease_renewed_at: Option<Millis>,
-    /// Whether the lease expired after the contracts were claimed.
+    /// Whether the lease has expired since the contracts were claimed.
     lease_lost: bool,
-    /// Whether the pending write claims the contracts again after that.
+    /// Whether the pending write reclaims contracts after a lost lease.
     reclaiming: bool,
     pending_write: Option<PendingWrite>,
     /// The earliest time of the next write.
@@ -321,7 +321,8 @@
                 return true;
             }
             if contract.epoch != known {
-                // A claim made without the platform is the highest epoch.
+                // A claim made without the platform turned out to have the highest
+                // epoch.
                 contract.previous = contract.epoch.clone();
                 contract.epoch = known;
                 contract.handed_over = false;
--- a/puffinknot-core/src/node/held_calls.rs
+++ b/puffinknot-core/src/node/held_calls.rs
@@ -219,7 +219,7 @@
             query.last_at = Some(now.mono);
             query.outstanding += 1;
             if std::mem::replace(&mut query.unanswered, true) {
-                // Without an answer, the executor may not accept work.
+                // Without an answer, nothing shows that it accepts work.
                 held.executor_failed(&target);
             }
             let epoch = held.term.epoch.clone();
--- a/puffinknot-core/src/node/mod.rs
+++ b/puffinknot-core/src/node/mod.rs
@@ -399,9 +399,9 @@
     pub handovers: u64,
     /// Writes that failed because another writer came first.
     pub writes_lost: u64,
-    /// Writes whose result is unknown.
+    /// Writes whose answer was lost, so that their result is unknown.
     pub writes_unknown: u64,
-    /// Writes that certainly were not made.
+    /// Writes that were not made because the platform could not be asked.
     pub writes_not_made: u64,
     /// Values from the platform that could not be used.
     pub bad_values: u64,
@@ -521,8 +521,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Detects that this VM was paused. Its state of the executors is then
-    /// outdated.
+    /// Detects that this VM was paused. It has then missed what others sent
+    /// in the meantime, so its state of the executors is outdated.
     fn detect_pause(&mut self, now: Now) {
         if self.claims.detect_pause(now, self.config.member_ttl) {
             for held in self.held_contracts.values_mut() {
