--- a/tests/jobs/faults.rs
+++ b/tests/jobs/faults.rs
@@ -1,5 +1,5 @@
-//! Faults that were found on the users' bench, each by the smallest sequence
-//! that brings it about. Each failed before it was mended.
+//! Faults of the scheduler, each reproduced by the shortest sequence of events
+//! that leads to it.
 
 use puffinknot_core::jobs::model::StepKey;
 use puffinknot_core::jobs::{
@@ -7,17 +7,17 @@
     Request,
 };
 
-use super::world::{job, room, step, World, LEASE, WORK};
+use super::world::{job, resources, step, World, LEASE, WORK};
 
-/// A successor hears of a step whose dependencies it does not yet know to
-/// be done, since another executor lists their ends. Dropped, such reports
-/// made tasks start twice.
+/// A successor hears of a step whose dependencies it does not know to be done
+/// yet, because another executor lists their ends. If it drops such reports,
+/// tasks start twice.
 #[test]
 fn steps_may_be_heard_of_before_their_turn() {
     let mut world = World::new(2);
-    let mut first = step(1, room(3_500, 100));
+    let mut first = step(1, resources(3_500, 100));
     first.max_per_executor = 1;
-    let mut second = step(2, room(3_000, 100));
+    let mut second = step(2, resources(3_000, 100));
     second.after = vec![0];
     second.max_per_executor = 1;
     world.submit(job(1, "batch", vec![first, second]));
@@ -33,12 +33,13 @@
     world.check();
 }
 
-/// Each unanswered hold put off the time at which all on a dead executor has
-/// lapsed, so that its tasks were never started elsewhere.
+/// Guards against tasks of a dead executor that never start elsewhere, because
+/// each unanswered renewal postpones the time at which its leases have
+/// expired.
 #[test]
 fn what_ran_on_a_dead_executor_starts_elsewhere() {
     let mut world = World::new(2);
-    let mut gang = step(2, room(3_000, 100));
+    let mut gang = step(2, resources(3_000, 100));
     gang.gang = true;
     world.submit(job(1, "batch", vec![gang]));
     world.run(60);
@@ -51,47 +52,49 @@
     world.check();
 }
 
-/// Operators are told by what a life of an executor was taken for over.
+/// Operators are told why an incarnation of an executor is considered over.
 #[test]
-fn by_what_a_life_was_over_is_told() {
+fn the_reason_for_the_end_of_an_incarnation_is_reported() {
     let mut world = World::new(1);
-    world.submit(job(1, "batch", vec![step(1, room(500, 100))]));
+    world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(60);
     world.die(0);
     let id = world.executors[0].info.id.clone();
     world.event(Event::Unlisted(id.clone()));
     world.run(LEASE + 1_000);
-    assert_eq!(world.lives_over, [(id, IncarnationEnd::Lapsed)]);
+    assert_eq!(world.incarnations_over, [(id, IncarnationEnd::Lapsed)]);
     let counted = world.scheduler.counters()["executors_over_lapsed"];
     assert_eq!(counted, 1);
 }
 
-/// A job counted as begun when a task of it was ordered, though the order
-/// never arrived.
+/// Guards against a job that counts as started once one of its tasks is
+/// ordered, although the order never arrives.
 #[test]
 fn a_job_waits_until_an_executor_says_that_it_runs() {
     let mut world = World::new(1);
     world.run(50);
-    world.executors[0].cut = true;
-    world.submit(job(1, "batch", vec![step(1, room(500, 100))]));
+    world.executors[0].isolated = true;
+    world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(200);
     assert_eq!(world.pending("batch"), 1);
     assert_eq!(world.state(1), Some(JobState::Queued));
 }
 
-/// While the store is stuck, jobs queued behind the commit under way until
-/// their clients had gone.
+/// Guards against jobs that queue behind a stuck commit until their clients
+/// have gone.
 #[test]
 fn a_stuck_store_takes_no_more_jobs() {
     let mut world = World::new(1);
     world.run(50);
     world.store_down = true;
-    world.submit(job(1, "batch", vec![step(1, room(500, 100))]));
+    world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(100);
-    let waiting = world.submit(job(2, "batch", vec![step(1, room(500, 100))]));
+    let waiting =
+        world.submit(job(2, "batch", vec![step(1, resources(500, 100))]));
     world.run(1_000);
     assert!(matches!(world.replies[&waiting], Outcome::Refused(_)));
-    let late = world.submit(job(3, "batch", vec![step(1, room(500, 100))]));
+    let late =
+        world.submit(job(3, "batch", vec![step(1, resources(500, 100))]));
     assert!(matches!(world.replies[&late], Outcome::Refused(_)));
     world.store_up();
     world.run(2 * WORK);
@@ -100,57 +103,59 @@
     world.check();
 }
 
-/// An order whose answer is lost runs on, and is not started again.
+/// An order whose answer is lost keeps running, and is not started again.
 #[test]
-fn a_start_without_answer_is_found_by_the_next_account() {
+fn a_start_without_answer_is_found_by_the_next_report() {
     let mut world = World::new(1);
     world.run(50);
-    world.executors[0].mute = 1;
-    world.submit(job(1, "batch", vec![step(1, room(500, 100))]));
+    world.executors[0].lost_answers = 1;
+    world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(WORK + 500);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     assert_eq!(world.starts.values().sum::<u32>(), 1);
     world.check();
 }
 
-/// An order that is carried out seconds later must not run beside the one
-/// that has taken its place.
+/// An order that is carried out seconds later must not run beside the one that
+/// has replaced it.
 #[test]
 fn an_order_carried_out_late_does_nothing() {
     let mut world = World::new(2);
     world.run(50);
-    world.executors[0].late = Some(3_000);
-    world.executors[1].late = Some(3_000);
-    world.submit(job(1, "batch", vec![step(2, room(500, 100))]));
+    world.executors[0].order_delay = Some(3_000);
+    world.executors[1].order_delay = Some(3_000);
+    world.submit(job(1, "batch", vec![step(2, resources(500, 100))]));
     world.run(350);
-    world.executors[0].late = None;
-    world.executors[1].late = None;
+    world.executors[0].order_delay = None;
+    world.executors[1].order_delay = None;
     world.run(8_000);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
 }
 
-/// A successor starts nothing that may still run where it can't look.
+/// A successor starts nothing that may still run on executors which it can't
+/// reach.
 #[test]
-fn tasks_on_executors_that_are_cut_off_are_waited_for() {
+fn tasks_on_executors_that_are_isolated_are_waited_for() {
     let mut world = World::new(2);
-    world.submit(job(1, "batch", vec![step(2, room(3_000, 100))]));
+    world.submit(job(1, "batch", vec![step(2, resources(3_000, 100))]));
     world.run(60);
-    world.executors[0].cut = true;
+    world.executors[0].isolated = true;
     world.replace_leader();
     world.run(4_000);
     world.check();
-    world.executors[0].cut = false;
+    world.executors[0].isolated = false;
     world.run(3_000);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
 }
 
-/// The predecessor dies between the write and all that follows from it.
+/// The predecessor dies after the write and before everything that follows
+/// from it.
 #[test]
 fn what_was_acknowledged_survives_the_leader() {
     let mut world = World::new(2);
-    let id = world.submit(job(1, "batch", vec![step(2, room(500, 100))]));
+    let id = world.submit(job(1, "batch", vec![step(2, resources(500, 100))]));
     world.run(45);
     assert_eq!(world.replies[&id], Outcome::Accepted);
     world.replace_leader();
@@ -160,12 +165,12 @@
     world.check();
 }
 
-/// Failures are named by their runs: a successor that hears of one again
-/// counted it twice.
+/// Guards against a failure that counts twice because a successor hears of it
+/// again. Failures are identified by their runs.
 #[test]
 fn a_failure_that_is_reported_again_counts_once() {
     let mut world = World::new(1);
-    world.submit(job(1, "batch", vec![step(1, room(500, 100))]));
+    world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     let task = "0000000000000001.0.0.0".parse().expect("a task");
     world.failing.insert(task, 2);
     world.run(WORK);
@@ -183,46 +188,46 @@
     world.check();
 }
 
-/// What may still run under a lease is not started elsewhere.
+/// A task that may still run under a lease is not started elsewhere.
 #[test]
 fn a_long_task_on_a_cut_executor_is_not_doubled() {
     let mut world = World::new(2);
-    let mut long = step(2, room(3_000, 100));
+    let mut long = step(2, resources(3_000, 100));
     long.estimate = 5_500;
     world.submit(job(1, "batch", vec![long]));
     world.run(300);
-    world.executors[1].cut = true;
+    world.executors[1].isolated = true;
     world.run(LEASE + 6_000);
-    world.executors[1].cut = false;
+    world.executors[1].isolated = false;
     world.run(LEASE);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
 }
 
-/// A node that asked for advice lost its link to the leader, and came back
-/// before the leader had noticed. The call was open for ever, and its step
-/// never started.
+/// Guards against an advice call that stays open forever, so that its step
+/// never starts. The node that made the call loses its link to the leader and
+/// returns before the leader has noticed.
 #[test]
 fn advice_that_never_comes_is_asked_for_again() {
     let mut world = World::new(4);
     world.run(50);
     world.lost_advice = 2;
-    world.submit(job(1, "advised", vec![step(2, room(500, 100))]));
-    world.submit(job(2, "advised", vec![step(2, room(500, 100))]));
+    world.submit(job(1, "advised", vec![step(2, resources(500, 100))]));
+    world.submit(job(2, "advised", vec![step(2, resources(500, 100))]));
     world.run(8_000);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     assert_eq!(world.state(2), Some(JobState::Succeeded));
     world.check();
 }
 
-/// A store takes values of a megabyte. A burst of large jobs in one commit
-/// would be refused for ever.
+/// Guards against a commit that the store refuses forever: a burst of large
+/// jobs in one commit exceeds the megabyte that the store accepts.
 #[test]
 fn a_commit_is_never_larger_than_the_store_takes() {
     let mut world = World::new(4);
     world.run(50);
     for id in 1..=400 {
-        let mut large = job(id, "batch", vec![step(1, room(10, 10))]);
+        let mut large = job(id, "batch", vec![step(1, resources(10, 10))]);
         large.spec = "x".repeat(4_000);
         world.submit(large);
     }
@@ -234,48 +239,50 @@
     world.check();
 }
 
-/// A leader that does not know yet that it is superseded can't reach an
-/// executor whose lease its successor renews. It took that lease for over and
-/// started the task once more, where its successor had not been heard yet.
+/// Guards against a superseded leader that starts a task a second time. It
+/// does not know yet that it is superseded and can't reach an executor whose
+/// lease its successor renews. It considers that lease expired, and starts the
+/// task on an executor that its successor has not reached yet.
 #[test]
 fn a_superseded_leader_takes_no_lease_for_over() {
     let mut world = World::new(2);
-    let mut long = step(1, room(3_000, 100));
+    let mut long = step(1, resources(3_000, 100));
     long.estimate = 2 * LEASE;
     world.submit(job(1, "batch", vec![long]));
     world.run(300);
     let task = "0000000000000001.0.0.0".parse().expect("a task");
     let at = usize::from(!world.executors[0].runs(&task));
-    world.executors[at].cut_from = Some(world.token);
+    world.executors[at].isolated_from = Some(world.token);
     world.run(1_000);
     world.replace_leader();
-    world.executors[1 - at].cut_from = Some(world.token);
+    world.executors[1 - at].isolated_from = Some(world.token);
     world.run(LEASE);
     world.check();
-    world.executors[1 - at].cut_from = None;
+    world.executors[1 - at].isolated_from = None;
     world.run(2 * LEASE);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     assert_eq!(world.starts.values().sum::<u32>(), 1);
     world.check();
 }
 
-/// A gang had its tickets renewed for the executors that suited it best; by
-/// the time of the answer others suited it better, and so on without end.
+/// Guards against a gang that renews its tickets without end: it renews them
+/// for the executors that suit it best, and by the time of the answer others
+/// suit it better.
 #[test]
 fn a_gang_starts_although_the_best_executors_change() {
     const EXECUTORS: u64 = 40;
     let mut world = World::new(EXECUTORS as usize);
     world.run(50);
     for id in 0..EXECUTORS {
-        let mut filler = step(1, room(3_900, 100));
+        let mut filler = step(1, resources(3_900, 100));
         filler.estimate = 60_000;
         world.submit(job(100 + id, "batch", vec![filler]));
         world.run(40);
     }
-    let mut gang = step(2, room(3_000, 100));
+    let mut gang = step(2, resources(3_000, 100));
     gang.gang = true;
     world.submit(job(1, "advised", vec![gang]));
-    // Its first tickets are too old by now.
+    // Its first tickets have expired by now.
     world.run(3_000);
     for id in (0..EXECUTORS).rev() {
         let job = JobId(100 + id);
@@ -289,44 +296,45 @@
     world.check();
 }
 
-/// One hold a second to each of thousands of idle executors was more than
-/// the leader's machine could send.
+/// Guards against more renewals than the leader's machine can send: one per
+/// second to each of thousands of idle executors is too many.
 #[test]
 fn idle_executors_of_a_large_cell_are_asked_less_often() {
     const SECONDS: u64 = 6;
     let mut world = World::new(1_000);
     world.run(2_000);
-    world.holds = 0;
+    world.renewals = 0;
     world.run(SECONDS * 1_000);
-    assert!(world.holds <= 600 * SECONDS, "{} holds", world.holds);
-    assert!(world.holds >= 400 * SECONDS, "{} holds", world.holds);
-    // Where something runs, its end is heard of at once.
-    world.submit(job(1, "batch", vec![step(1, room(500, 100))]));
+    assert!(world.renewals <= 600 * SECONDS, "{} renewals", world.renewals);
+    assert!(world.renewals >= 400 * SECONDS, "{} renewals", world.renewals);
+    // Where something runs, its end is reported at once.
+    world.submit(job(1, "batch", vec![step(1, resources(500, 100))]));
     world.run(WORK + 150);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
 }
 
-/// Jobs that still wait some time after a data centre was cut off.
-fn stranded_by_a_cut(without: Mechanisms) -> usize {
+/// The number of jobs that still wait some time after a data centre was
+/// isolated.
+fn waiting_after_isolation(without: Mechanisms) -> usize {
     let mut world = World::without(16, without);
     for executor in &mut world.executors[8..] {
         executor.info.dc = "e".into();
     }
-    world.tell_all();
+    world.list_all();
     world.run(100);
     for executor in &mut world.executors[8..] {
-        executor.cut = true;
+        executor.isolated = true;
     }
     for id in 1..=40 {
-        world.submit(job(id, "urgent", vec![step(8, room(500, 100))]));
+        world.submit(job(id, "urgent", vec![step(8, resources(500, 100))]));
         world.run(50);
     }
     world.run(2 * WORK);
     let waits = |id: &u64| world.state(*id) != Some(JobState::Succeeded);
     let stranded = (1..=40).filter(waits).count();
     for executor in &mut world.executors[8..] {
-        executor.cut = false;
+        executor.isolated = false;
     }
     world.run(LEASE + 2_000);
     for id in 1..=40 {
@@ -336,26 +344,26 @@
     stranded
 }
 
-/// Each executor of a data centre that was cut off was found out by an
-/// unanswered start of its own, and each such start left a task in doubt
-/// until the cut was over.
+/// Guards against an isolated data centre whose executors are found
+/// unreachable one by one, each by an unanswered start that leaves its task in
+/// doubt until the data centre is back.
 #[test]
-fn a_data_centre_that_is_cut_off_takes_few_tasks_with_it() {
+fn a_data_centre_that_is_isolated_takes_few_tasks_with_it() {
     let off = [Mechanism::UnresponsiveExecutors, Mechanism::SuspectedDcs];
-    let before = stranded_by_a_cut(Mechanisms::all_except(off));
-    let after = stranded_by_a_cut(Mechanisms::default());
+    let before = waiting_after_isolation(Mechanisms::all_except(off));
+    let after = waiting_after_isolation(Mechanisms::default());
     assert!(2 * after < before, "{after} jobs wait, {before} without");
 }
 
-/// Executors that fail all that they start took run after run, until their
-/// tasks had used up their attempts.
+/// Guards against executors that fail everything they start, and receive run
+/// after run until the tasks have used up their attempts.
 #[test]
 fn an_executor_that_fails_all_gets_few_runs() {
     let mut world = World::new(8);
-    world.executors[0].fails = true;
+    world.executors[0].fails_all = true;
     world.run(100);
     for id in 1..=60 {
-        world.submit(job(id, "urgent", vec![step(4, room(500, 100))]));
+        world.submit(job(id, "urgent", vec![step(4, resources(500, 100))]));
         world.run(50);
     }
     world.run(4 * WORK);
@@ -367,13 +375,14 @@
     world.check();
 }
 
-/// The members of a gang went back to the executor that had failed them.
+/// Guards against members of a gang that return to the executor that has
+/// failed them.
 #[test]
 fn a_gang_avoids_executors_on_which_it_has_failed() {
     let mut world = World::new(4);
-    world.executors[0].fails = true;
+    world.executors[0].fails_all = true;
     world.run(100);
-    let mut gang = step(4, room(2_000, 100));
+    let mut gang = step(4, resources(2_000, 100));
     gang.gang = true;
     world.submit(job(1, "batch", vec![gang]));
     world.run(6 * WORK);
@@ -383,8 +392,8 @@
     world.check();
 }
 
-/// Advice that was asked through a node out of reach was waited for until the
-/// link to it was given up.
+/// Guards against a wait for advice that lasts until the link to an
+/// unreachable node is given up.
 #[test]
 fn overdue_advice_is_asked_of_another_node() {
     let mut world = World::new(2);
@@ -392,24 +401,24 @@
     world.event(puffinknot_core::jobs::Event::Advisors(nodes));
     world.run(50);
     world.lost_advice = 1;
-    world.submit(job(1, "advised", vec![step(1, room(500, 100))]));
+    world.submit(job(1, "advised", vec![step(1, resources(500, 100))]));
     world.run(500 + WORK);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
 }
 
-/// A gang asked for the tickets of busy executors again and again, and never
-/// about others, which were free (LOST on litoral-grown scale-1, seed 2).
+/// Guards against a gang that asks for tickets of busy executors again and
+/// again, and never about others, which are free.
 #[test]
 fn a_gang_asks_about_further_executors_while_those_known_are_busy() {
-    // One call asks about a hundred.
+    // One call covers a hundred executors.
     let mut world = World::new(110);
-    let mut busy = step(100, room(4_000, 100));
+    let mut busy = step(100, resources(4_000, 100));
     busy.lasting = true;
     busy.max_per_executor = 1;
     world.submit(job(1, "batch", vec![busy]));
     world.run(500);
-    let mut gang = step(4, room(4_000, 100));
+    let mut gang = step(4, resources(4_000, 100));
     gang.gang = true;
     world.submit(job(2, "dear", vec![gang]));
     world.run(6_000);
@@ -417,33 +426,33 @@
     world.check();
 }
 
-/// An end that is told after the executor's lease has lapsed is an end all the
-/// same: the task is done, and the next step may begin.
+/// An end that is reported after the lease of its executor has expired counts
+/// nevertheless: the task is done, and the next step may begin.
 #[test]
 fn an_end_told_late_lets_the_next_step_begin() {
     let mut world = World::new(1);
     world.run(50);
-    world.executors[0].held_up = Some(4_900);
-    let first = step(1, room(300, 100));
-    let mut second = step(1, room(300, 100));
+    world.executors[0].answer_delay = Some(4_900);
+    let first = step(1, resources(300, 100));
+    let mut second = step(1, resources(300, 100));
     second.after = vec![0];
     world.submit(job(1, "batch", vec![first, second]));
     world.run(20_000);
-    world.executors[0].held_up = None;
+    world.executors[0].answer_delay = None;
     world.run(10_000);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     world.check();
 }
 
-/// Ends were heard of only when the holds that waited for them on silent
-/// connections were given up.
+/// Guards against ends that are heard of only when the renewals that wait for
+/// them on silent connections time out.
 #[test]
 fn unanswered_orders_to_several_executors_have_all_asked_at_once() {
-    let holds = |without: Mechanisms| {
+    let renewals = |without: Mechanisms| {
         let mut world = World::without(6, without);
         world.run(50);
         let long = |id| {
-            let mut one = step(6, room(2_000, 100));
+            let mut one = step(6, resources(2_000, 100));
             one.max_per_executor = 1;
             one.estimate = 12 * WORK;
             job(id, "batch", vec![one])
@@ -451,21 +460,22 @@
         world.submit(long(1));
         world.run(200);
         for at in 0..3 {
-            world.executors[at].mute = 1;
+            world.executors[at].lost_answers = 1;
         }
-        let before = world.holds;
+        let before = world.renewals;
         world.submit(long(2));
         world.run(400);
-        world.holds - before
+        world.renewals - before
     };
-    let with = holds(Mechanisms::default());
-    let without = holds(Mechanisms::all_except([Mechanism::SilenceAlarm]));
-    // Three were in doubt anyway; so the others are asked too.
-    assert!(with >= without + 3, "{with} holds, {without} without");
+    let with = renewals(Mechanisms::default());
+    let without = renewals(Mechanisms::all_except([Mechanism::SilenceAlarm]));
+    // Three executors are suspected in any case, so the others are asked, too.
+    assert!(with >= without + 3, "{with} renewals, {without} without");
 }
 
-/// A successor that heard of a task's next run before the end of the last one
-/// stopped the next, and started the task anew while that still went on.
+/// Guards against a successor that hears of the next run of a task before it
+/// hears of the end of the previous one. It must not stop that run and start
+/// the task again while the run is still going on.
 #[test]
 fn a_task_that_a_predecessor_starts_again_meanwhile_runs_once() {
     for (gang, passed) in [false, true].into_iter().flat_map(|gang| {
@@ -473,32 +483,33 @@
         times.map(move |passed| (gang, passed))
     }) {
         let mut world = World::new(6);
-        let mut step = step(2, room(2_500, 100));
+        let mut step = step(2, resources(2_500, 100));
         step.estimate = 3 * WORK / 2;
         step.gang = gang;
         let key = StepKey { job: JobId(1), time: 0, step: 0 };
         world.failing.insert(key.task(0), 1);
         world.submit(job(1, "batch", vec![step]));
         world.run(3 * WORK / 2 - passed);
-        let there = |world: &World, at: usize| {
+        let runs_there = |world: &World, at: usize| {
             (0..2).any(|index| world.executors[at].runs(&key.task(index)))
         };
-        let at_work: Vec<bool> = (0..6).map(|at| there(&world, at)).collect();
+        let at_work: Vec<bool> =
+            (0..6).map(|at| runs_there(&world, at)).collect();
         let next = Some(world.token + 1);
         for (at, at_work) in at_work.iter().enumerate() {
-            world.executors[at].cut_from = next.filter(|_| !at_work);
+            world.executors[at].isolated_from = next.filter(|_| !at_work);
         }
         world.replace_leader();
         world.run(20);
         for index in 0..2 {
-            world.takes.insert(key.task(index), 300);
+            world.run_time_percents.insert(key.task(index), 300);
         }
         for (at, at_work) in at_work.iter().enumerate() {
-            world.executors[at].cut_from = next.filter(|_| *at_work);
+            world.executors[at].isolated_from = next.filter(|_| *at_work);
         }
         world.run(850);
         for executor in &mut world.executors {
-            executor.cut_from = None;
+            executor.isolated_from = None;
         }
         world.run(10_000);
         world.check();
--- a/tests/jobs/holds.rs
+++ b/tests/jobs/renewals.rs
@@ -1,15 +1,16 @@
-//! Which executors are asked for their accounts.
+//! Which executors have their leases renewed.
 
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{Mechanism, Mechanisms};
 
-use super::world::{job, room, step, World};
+use super::world::{job, resources, step, World};
 
 const EXECUTORS: usize = 320;
-/// The time between two turns of a leader that is busy.
-const TURN: Millis = 100;
+/// The time between two iterations of a busy leader.
+const ITERATION: Millis = 100;
 
-/// Those that were known first were asked again and again, others never.
+/// Guards against a leader that renews with the executors it knew first again
+/// and again, and never with the others.
 #[test]
 fn no_executor_is_passed_over_while_the_turns_of_a_leader_are_long() {
     let mut world = World::without(
@@ -17,9 +18,9 @@
         Mechanisms::all_except([Mechanism::Admission]),
     );
     world.run(500);
-    world.turn = TURN;
-    let mut short = step(40 * EXECUTORS as u32, room(4_000, 100));
-    short.estimate = TURN;
+    world.advance_interval = ITERATION;
+    let mut short = step(40 * EXECUTORS as u32, resources(4_000, 100));
+    short.estimate = ITERATION;
     world.submit(job(1, "batch", vec![short]));
     world.run(10_000);
     let ends: Vec<u64> = world.executors.iter().map(|e| e.ends()).collect();
--- a/tests/jobs/urgent.rs
+++ b/tests/jobs/urgent_tasks.rs
@@ -1,4 +1,4 @@
-//! Urgent tasks in a cell that is full, and what may wait beside them.
+//! Urgent tasks in a full cell, and the jobs beside them that may wait.
 
 use std::collections::BTreeMap;
 
@@ -9,28 +9,28 @@
 };
 use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms};
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
 const EXECUTORS: usize = 8;
-/// Urgent jobs have numbers from here on.
+/// The ids of urgent jobs start here.
 const URGENT: u64 = 1_000;
-/// The objective of an urgent job: twice its work, and a second.
+/// The objective of an urgent job: twice its run time plus a second.
 const OBJECTIVE: Millis = 2 * WORK + 1_000;
-/// A start later than this after the job was handed in is late.
+/// A start later than this after the submission of the job is late.
 const AT_ONCE: Millis = 400;
 
-fn patient(id: u64, count: u32, works: u64, saves: bool) -> Job {
-    let mut tasks = step(count, room(1_000, 500));
+fn normal_job(id: u64, count: u32, works: u64, saves: bool) -> Job {
+    let mut tasks = step(count, resources(1_000, 500));
     tasks.estimate = works * WORK;
     tasks.checkpoints = saves;
     job(id, "background", vec![tasks])
 }
 
-fn urgent(id: u64, count: u32) -> Job {
-    job(URGENT + id, "urgent", vec![step(count, room(1_500, 500))])
+fn urgent_job(id: u64, count: u32) -> Job {
+    job(URGENT + id, "urgent", vec![step(count, resources(1_500, 500))])
 }
 
-fn off(mechanisms: &[Mechanism]) -> Mechanisms {
+fn all_except(mechanisms: &[Mechanism]) -> Mechanisms {
     Mechanisms::all_except(mechanisms.iter().copied())
 }
 
@@ -38,37 +38,37 @@
     world.scheduler.counters().get(name).copied().unwrap_or(0)
 }
 
-/// When each urgent job was handed in, and how long it waited for its start.
+/// When each urgent job was submitted, and how long it waited for its start.
 #[derive(Default)]
 struct Waits {
-    handed_in: BTreeMap<u64, Millis>,
+    submitted: BTreeMap<u64, Millis>,
     waited: BTreeMap<u64, Millis>,
     in_time: usize,
 }
 
 impl Waits {
     fn submit(&mut self, world: &mut World, job: Job) {
-        self.handed_in.insert(job.id.0, world.now);
+        self.submitted.insert(job.id.0, world.now);
         world.submit(job);
     }
 
-    /// Lets time pass and notes what starts and ends meanwhile.
+    /// Advances time, and records starts and ends.
     fn run(&mut self, world: &mut World, time: Millis) {
-        const GRAIN: Millis = 10;
-        for _ in 0..time / GRAIN {
-            world.run(GRAIN);
-            let begun = world.starts.keys().map(|task| task.step.job.0);
-            for id in begun {
-                if let Some(since) = self.handed_in.get(&id) {
+        const INTERVAL: Millis = 10;
+        for _ in 0..time / INTERVAL {
+            world.run(INTERVAL);
+            let started = world.starts.keys().map(|task| task.step.job.0);
+            for id in started {
+                if let Some(since) = self.submitted.get(&id) {
                     self.waited.entry(id).or_insert(world.now - since);
                 }
             }
             let due: Vec<u64> = self
-                .handed_in
+                .submitted
                 .iter()
                 .filter(|(_, at)| {
                     let age = world.now - **at;
-                    (OBJECTIVE..OBJECTIVE + GRAIN).contains(&age)
+                    (OBJECTIVE..OBJECTIVE + INTERVAL).contains(&age)
                 })
                 .map(|(id, _)| *id)
                 .collect();
@@ -84,24 +84,24 @@
     }
 }
 
-/// A cell whose executors are all taken for long by tasks that save their
-/// progress.
+/// A cell whose executors are all occupied for long by tasks that write
+/// checkpoints.
 fn full(without: Mechanisms) -> World {
     let mut world = World::without(EXECUTORS, without);
     world.run(50);
     for id in 1..=EXECUTORS as u64 {
-        world.submit(patient(id, 4, 16, true));
+        world.submit(normal_job(id, 4, 16, true));
     }
     world.run(300);
     assert_eq!(world.starts.len(), 4 * EXECUTORS, "the cell is full");
     world
 }
 
-/// A burst of urgent jobs on a full cell, over two seconds.
+/// Submits a burst of urgent jobs to a full cell, over two seconds.
 fn burst(world: &mut World) -> Waits {
     let mut waits = Waits::default();
     for id in 1..=20 {
-        waits.submit(world, urgent(id, 2));
+        waits.submit(world, urgent_job(id, 2));
         waits.run(world, 100);
     }
     waits.run(world, OBJECTIVE + WORK);
@@ -109,18 +109,18 @@
 }
 
 #[test]
-fn others_give_way_to_a_burst_of_urgent_work() {
+fn others_are_preempted_for_a_burst_of_urgent_work() {
     let mut world = full(Mechanisms::default());
     let waits = burst(&mut world);
     assert!(waits.at_once() >= 18, "at once: {}", waits.at_once());
     assert_eq!(waits.in_time, 20);
     assert!(counted(&world, "urgent_displacements") > 0);
 
-    let mut without = full(off(&[Mechanism::UrgentPreemption]));
+    let mut without = full(all_except(&[Mechanism::UrgentPreemption]));
     let waits = burst(&mut without);
     assert_eq!(waits.at_once(), 0);
     assert_eq!(counted(&without, "urgent_displacements"), 0);
-    // What gave way has only moved: all is done by when it should be.
+    // Preempted tasks have only moved: all are done in due time.
     for world in [&mut world, &mut without] {
         world.run(2 * 16 * WORK);
         assert!(world.unfinished().is_empty());
@@ -129,18 +129,19 @@
 }
 
 #[test]
-fn no_task_gives_way_twice() {
+fn no_task_is_preempted_twice() {
     let mut world = full(Mechanisms::default());
     for _ in 0..2 {
         let mut waits = Waits::default();
         for id in 1..=60 {
-            waits.submit(&mut world, urgent(id, 2));
+            waits.submit(&mut world, urgent_job(id, 2));
             waits.run(&mut world, 60);
         }
     }
     world.run(4 * 16 * WORK);
-    let patient = world.starts.iter().filter(|(t, _)| t.step.job.0 < URGENT);
-    let most = patient.map(|(_, starts)| *starts).max();
+    let normal_starts =
+        world.starts.iter().filter(|(t, _)| t.step.job.0 < URGENT);
+    let most = normal_starts.map(|(_, starts)| *starts).max();
     assert!(most <= Some(2), "started {most:?} times");
     assert!(world.unfinished().is_empty());
     world.check();
@@ -151,9 +152,9 @@
     for (works, saves) in [(16, false), (1, true)] {
         let mut world = World::new(EXECUTORS);
         world.run(50);
-        world.submit(patient(1, 4 * EXECUTORS as u32, works, saves));
+        world.submit(normal_job(1, 4 * EXECUTORS as u32, works, saves));
         world.run(100);
-        world.submit(urgent(1, 2));
+        world.submit(urgent_job(1, 2));
         world.run(2 * WORK);
         assert!(world.starts.values().all(|starts| *starts == 1));
         assert_eq!(counted(&world, "runs_displaced"), 0);
@@ -161,15 +162,15 @@
     }
 }
 
-/// Room that is bought is not lost to others while the victims stop, and the
-/// rest of the executor is not kept.
+/// Capacity that preemption frees is not lost to others while the preempted
+/// tasks stop, and the rest of the executor is not reserved.
 #[test]
-fn an_urgent_gang_gets_all_of_its_room() {
+fn an_urgent_gang_gets_all_of_its_capacity() {
     let mut world = full(Mechanisms::default());
-    let mut gang = step(4, room(3_000, 500));
+    let mut gang = step(4, resources(3_000, 500));
     gang.gang = true;
     world.submit(job(URGENT, "urgent", vec![gang]));
-    world.submit(patient(50, 30, 2, false));
+    world.submit(normal_job(50, 30, 2, false));
     world.run(OBJECTIVE);
     assert_eq!(world.state(URGENT), Some(JobState::Succeeded));
     assert_eq!(counted(&world, "runs_displaced"), 4 * 3);
@@ -179,11 +180,11 @@
 }
 
 #[test]
-fn a_successor_goes_on_while_others_give_way() {
+fn a_successor_goes_on_while_others_are_preempted() {
     for after in [160, 200, 300, 400] {
         let mut world = full(Mechanisms::default());
         for id in 1..=6 {
-            world.submit(urgent(id, 2));
+            world.submit(urgent_job(id, 2));
         }
         world.run(after);
         world.replace_leader();
@@ -194,40 +195,40 @@
 }
 
 #[test]
-fn executors_may_leave_while_others_give_way() {
+fn executors_may_leave_while_others_are_preempted() {
     let mut world = full(Mechanisms::default());
     let mut waits = Waits::default();
     for id in 1..=6 {
-        waits.submit(&mut world, urgent(id, 2));
+        waits.submit(&mut world, urgent_job(id, 2));
     }
     waits.run(&mut world, 200);
     for at in 0..EXECUTORS / 2 {
         world.executors[at].info.draining = true;
-        world.tell_entry(at);
+        world.list_entry(at);
     }
     waits.run(&mut world, OBJECTIVE);
     assert_eq!(waits.in_time, 6, "waited {:?}", waits.waited);
-    world.executors[EXECUTORS - 1].cut = true;
+    world.executors[EXECUTORS - 1].isolated = true;
     world.run(40_000);
-    world.executors[EXECUTORS - 1].cut = false;
+    world.executors[EXECUTORS - 1].isolated = false;
     world.run(40_000);
     assert!(world.unfinished().is_empty());
     world.check();
 }
 
-/// Four waves of small urgent jobs beside a backlog that saves no progress and
-/// has not waited for twice its objective at their end.
+/// Four bursts of small urgent jobs, beside a backlog that writes no
+/// checkpoints and has not waited for twice its objective at the end.
 fn waves(without: Mechanisms) -> (World, Waits) {
     let mut world = World::without(EXECUTORS, without);
     world.run(50);
     let mut waits = Waits::default();
     let mut next = 1;
     for id in 1..=20 {
-        world.submit(patient(id, 10, 5, false));
+        world.submit(normal_job(id, 10, 5, false));
     }
     for _ in 0..4 {
         for _ in 0..4 {
-            let small = step(2, room(600, 300));
+            let small = step(2, resources(600, 300));
             let small = job(URGENT + next, "urgent", vec![small]);
             waits.submit(&mut world, small);
             next += 1;
@@ -239,11 +240,11 @@
 }
 
 #[test]
-fn room_is_kept_for_the_next_wave() {
+fn capacity_is_reserved_for_the_next_burst() {
     let only = [Mechanism::UrgentPreemption, Mechanism::UrgentHeadroom];
-    let (_, before) = waves(off(&only));
-    let (mut world, after) = waves(off(&only[..1]));
-    // The first wave finds the cell full.
+    let (_, before) = waves(all_except(&only));
+    let (mut world, after) = waves(all_except(&only[..1]));
+    // The first burst finds the cell full.
     let later = |waits: &Waits| {
         let later = waits.waited.range(URGENT + 5..);
         later.filter(|(_, waited)| **waited <= AT_ONCE).count()
@@ -252,8 +253,9 @@
     assert!(later(&before) <= 6, "waited {:?}", before.waited);
     assert!(after.in_time >= before.in_time);
     assert!(counted(&world, "starts_held_back") > 0);
-    // All that may wait is done by when all executors but the part that may be
-    // kept have worked it off, and a second for each start.
+    // The jobs that may wait are done in the time that all executors, except
+    // for the part that may be reserved, need for them, plus a second for each
+    // start.
     let work = 200 * 5 * WORK / (4 * EXECUTORS as u64);
     let bound =
         work * MAX_RESERVED_DIVISOR / (MAX_RESERVED_DIVISOR - 1) + 10_000;
@@ -262,17 +264,19 @@
     world.check();
 }
 
-/// Whoever is held back starts in the kept room before it would be late.
+/// A job that is held back starts in the reserved capacity before it would be
+/// late.
 #[test]
 fn nothing_that_waits_starves_by_urgent_work() {
-    let mut world = World::without(2, off(&[Mechanism::UrgentPreemption]));
+    let mut world =
+        World::without(2, all_except(&[Mechanism::UrgentPreemption]));
     world.run(50);
     let mut waits = Waits::default();
-    world.submit(patient(1, 6, 100, false));
-    let mut large = step(1, room(2_000, 500));
+    world.submit(normal_job(1, 6, 100, false));
+    let mut large = step(1, resources(2_000, 500));
     large.estimate = 2 * WORK;
     for id in 1..=40 {
-        waits.submit(&mut world, urgent(id, 1));
+        waits.submit(&mut world, urgent_job(id, 1));
         if id == 5 {
             world.submit(job(2, "background", vec![large.clone()]));
         }
@@ -282,19 +286,25 @@
     world.check();
 }
 
-/// Where nothing is urgent, where all is, and where there is room, everything
-/// goes as without.
+/// If nothing is urgent, if everything is, and if there is free capacity, all
+/// jobs run as without the mechanism.
 #[test]
 fn without_need_nothing_changes() {
     let both = [Mechanism::UrgentPreemption, Mechanism::UrgentHeadroom];
     let loads: [fn(u64) -> Job; 3] = [
-        |id| patient(id, 6, 3, true),
-        |id| urgent(id, 2),
-        |id| if id % 2 == 0 { urgent(id, 1) } else { patient(id, 1, 1, true) },
+        |id| normal_job(id, 6, 3, true),
+        |id| urgent_job(id, 2),
+        |id| {
+            if id % 2 == 0 {
+                urgent_job(id, 1)
+            } else {
+                normal_job(id, 1, 1, true)
+            }
+        },
     ];
     for (number, load) in loads.into_iter().enumerate() {
         let mut counters = Vec::new();
-        for without in [Mechanisms::default(), off(&both)] {
+        for without in [Mechanisms::default(), all_except(&both)] {
             let mut world = World::without(EXECUTORS, without);
             world.run(50);
             for id in 1..=40 {
@@ -320,17 +330,28 @@
 
 #[test]
 fn headroom_follows_the_recent_peaks() {
-    let need = room(1_000, 100);
+    let need = resources(1_000, 100);
     let mut headroom = Headroom::default();
     headroom.observe(&demand(60, 40, &need), 1_000);
-    let calm = demand(20, 0, &need);
-    headroom.observe(&calm, 1_000);
-    assert_eq!(headroom.wanted_tasks(&calm, 10_000), 80);
-    headroom.observe(&calm, 16_000);
-    assert_eq!(headroom.wanted_tasks(&calm, 10_000), 30, "half of the peak");
-    headroom.observe(&calm, 200_000);
-    assert_eq!(headroom.wanted_tasks(&calm, 10_000), 0, "it is forgotten");
+    let low_demand = demand(20, 0, &need);
+    headroom.observe(&low_demand, 1_000);
+    assert_eq!(headroom.wanted_tasks(&low_demand, 10_000), 80);
+    headroom.observe(&low_demand, 16_000);
+    assert_eq!(
+        headroom.wanted_tasks(&low_demand, 10_000),
+        30,
+        "half of the peak"
+    );
+    headroom.observe(&low_demand, 200_000);
+    assert_eq!(
+        headroom.wanted_tasks(&low_demand, 10_000),
+        0,
+        "it is forgotten"
+    );
     headroom.observe(&demand(0, 5_000, &need), 200_000);
-    assert_eq!(headroom.wanted_tasks(&calm, 400), 400 / MAX_RESERVED_DIVISOR);
-    assert_eq!(headroom.typical_need(), Some(room(1_500, 150)));
+    assert_eq!(
+        headroom.wanted_tasks(&low_demand, 400),
+        400 / MAX_RESERVED_DIVISOR
+    );
+    assert_eq!(headroom.typical_need(), Some(resources(1_500, 150)));
 }
--- a/tests/jobs/world/work.rs
+++ b/tests/jobs/world/runs.rs
@@ -1,41 +1,41 @@
-//! What tasks do on executors: they work, end, and lapse.
+//! The runs on executors: they work, end, and lapse.
 
 use super::*;
 
 impl World {
-    /// Lets gangs begin once all members are there, and break when one has
-    /// ended.
+    /// Lets gangs begin once all members are there, and break when one of them
+    /// has ended.
     pub(super) fn work_gangs(&mut self) {
         let now = self.now;
         let mut members: BTreeMap<(StepKey, u64), Vec<(usize, TaskKey)>> =
             BTreeMap::new();
-        for (at, there) in self.executors.iter().enumerate() {
-            for (task, run) in &there.running {
+        for (at, executor) in self.executors.iter().enumerate() {
+            for (task, run) in &executor.running {
                 if run.gang.is_some() {
                     let key = (task.step, run.run);
                     members.entry(key).or_default().push((at, *task));
                 }
             }
         }
-        for ((step, _), there) in members {
-            let first = &self.executors[there[0].0].running[&there[0].1];
+        for ((step, _), present) in members {
+            let first = &self.executors[present[0].0].running[&present[0].1];
             let count = first.gang.unwrap_or(0) as usize;
-            let working = there.iter().any(|(at, task)| {
+            let working = present.iter().any(|(at, task)| {
                 let run = &self.executors[*at].running[task];
                 run.ends_at != Millis::MAX && run.how != EndKind::Stopped
             });
-            let whole = there.len() == count;
-            // The slowest member ends it.
-            let work = there
+            let whole = present.len() == count;
+            // The gang ends with its slowest member.
+            let work = present
                 .iter()
                 .map(|(at, task)| self.executors[*at].running[task].work);
             let work = work.max().unwrap_or(0);
             if whole && !working {
-                let fails = there.iter().any(|(at, task)| {
+                let fails = present.iter().any(|(at, task)| {
                     let run = &self.executors[*at].running[task];
                     run.how == EndKind::Failed
                 });
-                for (at, task) in &there {
+                for (at, task) in &present {
                     let run = &mut self.executors[*at].running;
                     let Some(run) = run.get_mut(task) else { continue };
                     if run.ends_at == Millis::MAX {
@@ -47,7 +47,7 @@
                 }
             }
             if working && !whole {
-                for (at, task) in &there {
+                for (at, task) in &present {
                     let run = &mut self.executors[*at].running;
                     let Some(run) = run.get_mut(task) else { continue };
                     let done = self.gangs_done.contains(&step);
@@ -57,9 +57,9 @@
                     }
                 }
             }
-            for (at, task) in &there {
-                let run_there = &mut self.executors[*at].running;
-                let Some(member) = run_there.get_mut(task) else { continue };
+            for (at, task) in &present {
+                let runs = &mut self.executors[*at].running;
+                let Some(member) = runs.get_mut(task) else { continue };
                 let alone = member.ends_at == Millis::MAX
                     && member.since + GANG_WAIT < now;
                 if alone {
@@ -70,43 +70,45 @@
         }
     }
 
-    /// Lets tasks work, and leases run out.
+    /// Lets runs work, and leases expire.
     pub(super) fn work(&mut self) {
         self.work_gangs();
         let now = self.now;
         for at in 0..self.executors.len() {
-            let there = &mut self.executors[at];
-            if there.dead {
+            let executor = &mut self.executors[at];
+            if executor.dead {
                 continue;
             }
-            let lapsed = there.due < there.clock(now);
-            let over: Vec<TaskKey> = there
+            let lapsed = executor.due < executor.clock(now);
+            let ended: Vec<TaskKey> = executor
                 .running
                 .iter()
                 .filter(|(_, run)| lapsed || run.ends_at <= now)
                 .map(|(task, _)| *task)
                 .collect();
-            if over.is_empty() {
+            if ended.is_empty() {
                 continue;
             }
-            for task in over {
-                let Some(run) = there.running.remove(&task) else { continue };
+            for task in ended {
+                let Some(run) = executor.running.remove(&task) else {
+                    continue;
+                };
                 let how = if lapsed { EndKind::Lapsed } else { run.how };
-                there.numbers += 1;
-                there.ended.push(EndReport {
-                    number: there.numbers,
+                executor.end_count += 1;
+                executor.ended.push(EndReport {
+                    number: executor.end_count,
                     task,
                     run: run.run,
                     how,
                     checkpoint: String::new(),
                 });
-                let sealed = there.sealed.entry(task).or_default();
+                let sealed = executor.sealed.entry(task).or_default();
                 *sealed = (*sealed).max(run.run);
                 if how == EndKind::Failed {
                     self.failures.entry(task).or_default().insert(run.run);
                 }
                 if how == EndKind::Done {
-                    self.ever_done.insert(task);
+                    self.all_done.insert(task);
                     self.done.entry(task).or_default().insert(run.run);
                     if run.gang.is_some() {
                         self.gangs_done.insert(task.step);
@@ -115,7 +117,7 @@
             }
             if lapsed {
                 // Ends from before the lapse bind nobody any more.
-                for end in &there.ended {
+                for end in &executor.ended {
                     if let Some(runs) = self.done.get_mut(&end.task) {
                         runs.remove(&end.run);
                         if runs.is_empty() {
@@ -124,21 +126,23 @@
                     }
                 }
             }
-            self.wake_holds(at);
+            self.wake_renewals(at);
         }
     }
 
-    /// Holds that wait at an executor are answered by an end.
-    pub(super) fn wake_holds(&mut self, at: usize) {
+    /// Answers the renewals that wait at an executor when a run ends.
+    pub(super) fn wake_renewals(&mut self, at: usize) {
         let waiting: Vec<(Millis, u64)> = self
             .queue
             .iter()
-            .filter(|(_, p)| matches!(p, Pending::HoldDue(i, ..) if *i == at))
+            .filter(
+                |(_, p)| matches!(p, Pending::RenewalDue(i, ..) if *i == at),
+            )
             .map(|(key, _)| *key)
             .collect();
         for key in waiting {
             if let Some(pending) = self.queue.remove(&key) {
-                self.later(0, pending);
+                self.schedule(0, pending);
             }
         }
     }
