--- a/puffinknot-core/src/lib.rs
+++ b/puffinknot-core/src/lib.rs
@@ -12,9 +12,9 @@
 * [`config`] parses and checks the operators' file.
 * [`contract`] determines the one VM that may start work on a set of targets,
   under an epoch that only grows, and which VM should take a contract over.
-* [`tenure`] tracks the takeover of a contract: a new holder knows what runs
+* [`term`] tracks the takeover of a contract: a new holder knows what runs
   only after it has presented its epoch to every target of the contract.
-* [`keys`] remembers calls that must not be repeated.
+* [`idempotency`] remembers calls that must not be repeated.
 * [`calls`] assigns executor slots to calls, and queues or refuses the rest.
 * [`tasks`] places tasks on workers under leases.
 * [`jobs`] runs jobs of several steps for a cell that one node leads.
@@ -40,11 +40,11 @@
 pub mod calls;
 pub mod config;
 pub mod contract;
+pub mod idempotency;
 pub mod ids;
 pub mod jobs;
-pub mod keys;
 pub mod node;
 pub mod outcome;
 pub mod store;
 pub mod tasks;
-pub mod tenure;
+pub mod term;
--- a/puffinknot-core/src/node/claims.rs
+++ b/puffinknot-core/src/node/claims.rs
@@ -1,136 +1,137 @@
-//! Who holds which contract: claims, handovers and the targets of each.
+//! Contract ownership: claims, handovers and the targets of each contract.
 //!
 //! A VM changes the contracts of its data centre by one compare-and-swap at
-//! a time. It takes over what a member left behind whose lease has lapsed,
-//! passes on what another member should hold, and enrols the targets of its
-//! own contracts.
+//! a time. It takes over the contracts of members whose lease has expired,
+//! hands over contracts that another member should hold, and enrols targets
+//! in its own contracts.
 //!
-//! While the platform does not answer, a VM may claim a contract whose
-//! holder it hasn't heard for a while *alone*. Such a claim is not
-//! confirmed: it does nothing before every target has accepted it.
+//! While the platform does not answer, a VM may claim a contract without it
+//! if the holder hasn't been heard for some time. Such a claim is not
+//! confirmed: nothing starts under it before every target has accepted it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::contract::{assign, Contract, ContractMap, Scope};
+use crate::idempotency::KeySnapshot;
 use crate::ids::{DcName, Epoch, Millis, Revision, TargetId, VmId};
-use crate::keys::KeyMemory;
 use crate::outcome::Reason;
 use crate::store::{Key, Value, Write, WriteResult};
 use crate::tasks::{Placer, PlacerConfig};
-use crate::tenure::Tenure;
+use crate::term::Term;
 
-use super::homes::Home;
+use super::held_calls::HeldContract;
 use super::view::Versioned;
 use super::{Action, Node, Now, TargetKind};
 
-/// After its first read a VM waits this long for others of its data centre
-/// before it claims anything.
-const GATHERING: Millis = 1_000;
-/// Another VM than the one that should may take a contract over after this.
-const SECOND_CHANCE: Millis = 2_000;
-/// A successor must take note of a bequest within this time.
-const BEQUEST_TIMEOUT: Millis = 1_000;
-/// After a write that could not be made, the next one waits this long.
-const REST: Millis = 500;
-/// A write whose end is not known after this time is looked up.
+/// How long a VM waits after its first read before it claims anything, so that
+/// other members of its data centre can join.
+const FIRST_CLAIM_DELAY: Millis = 1_000;
+/// A VM other than the assigned one may take a contract over after this time.
+const FALLBACK_CLAIM_DELAY: Millis = 2_000;
+/// The time within which a successor must acknowledge a handover.
+const HANDOVER_TIMEOUT: Millis = 1_000;
+/// The delay of the next write after one that could not be made.
+const WRITE_BACKOFF: Millis = 500;
+/// A write that is not visible after this time is looked up by a read.
 const WRITE_TIMEOUT: Millis = 5_000;
 
-/// A contract that is being passed on.
+/// A contract that is being handed over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Bequest {
+struct Handover {
     to: VmId,
     sent_at: Millis,
-    /// Whether the successor has taken note; `None` is not known yet.
-    taken: Option<bool>,
+    /// Whether the successor received the state; `None` if not yet known.
+    acknowledged: Option<bool>,
 }
 
 /// A write of the contracts that the view doesn't show yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Writing {
-    since: Millis,
-    /// The revision at which it was made, if that is known.
-    won: Option<Revision>,
+struct PendingWrite {
+    sent_at: Millis,
+    /// The revision of the write, once it is known.
+    won_revision: Option<Revision>,
 }
 
-/// What a node remembers about contracts, besides the view.
+/// The state of claims and handovers, in addition to the view.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Claims {
-    first_read: Option<Millis>,
-    /// When the node was started, or last woke from a pause.
+    first_read_at: Option<Millis>,
+    /// When the node started, or last resumed after a pause.
     awake_since: Millis,
-    last_event: Option<Millis>,
-    renewed_at: Option<Millis>,
-    /// The lease has lapsed since the contracts were claimed.
-    broken: bool,
-    /// The contracts in the last write were claimed anew.
-    mending: bool,
-    writing: Option<Writing>,
-    /// No write is tried before this time.
-    rest_until: Millis,
-    reading: bool,
+    last_event_at: Option<Millis>,
+    lease_renewed_at: Option<Millis>,
+    /// Whether the lease has expired since the contracts were claimed.
+    lease_lost: bool,
+    /// Whether the pending write reclaims contracts after a lost lease.
+    reclaiming: bool,
+    pending_write: Option<PendingWrite>,
+    /// The earliest time of the next write.
+    write_backoff_until: Millis,
+    read_pending: bool,
     assigned: BTreeMap<Scope, VmId>,
     assigned_at: Millis,
-    orphans: BTreeMap<Scope, Millis>,
-    inherited: BTreeMap<Scope, (Epoch, KeyMemory)>,
-    bequests: BTreeMap<Scope, Bequest>,
+    orphaned_since: BTreeMap<Scope, Millis>,
+    received_handovers: BTreeMap<Scope, (Epoch, KeySnapshot)>,
+    handovers: BTreeMap<Scope, Handover>,
 }
 
 impl Claims {
-    /// Takes note of the time, and tells whether the node was paused. One
-    /// that was must not take its peers for dead.
-    pub(super) fn woke(&mut self, now: Now, pause: Millis) -> bool {
-        let last = self.last_event.replace(now.mono);
-        let woke = last.is_none_or(|last| last + pause <= now.mono);
-        if woke {
+    /// Records the time of an event, and returns whether the node was paused
+    /// before it. After a pause, the node must not treat its peers as dead.
+    pub(super) fn detect_pause(&mut self, now: Now, pause: Millis) -> bool {
+        let last = self.last_event_at.replace(now.mono);
+        let paused = last.is_none_or(|last| last + pause <= now.mono);
+        if paused {
             self.awake_since = now.mono;
         }
-        woke
+        paused
     }
 
-    /// Whether the platform is left alone for a moment.
-    pub(super) fn resting(&self, now: Now) -> bool {
-        now.mono < self.rest_until || self.reading
+    /// Whether writes are held back after a failed write or during a read.
+    pub(super) fn is_backing_off(&self, now: Now) -> bool {
+        now.mono < self.write_backoff_until || self.read_pending
     }
 
-    pub(super) fn renewed_within(&self, now: Now, span: Millis) -> bool {
-        self.renewed_at.is_some_and(|at| at + span > now.mono)
+    pub(super) fn lease_renewed_within(&self, now: Now, span: Millis) -> bool {
+        self.lease_renewed_at.is_some_and(|at| at + span > now.mono)
     }
 
-    /// When the platform last confirmed that every contract is still held.
+    /// The time of the last lease renewal, if it confirms that this VM still
+    /// holds its contracts.
     pub(super) fn confirmed_at(&self) -> Option<Millis> {
-        self.renewed_at.filter(|_| !self.broken)
+        self.lease_renewed_at.filter(|_| !self.lease_lost)
     }
 
-    pub(super) fn read_done(&mut self) {
-        self.reading = false;
+    pub(super) fn read_finished(&mut self) {
+        self.read_pending = false;
     }
 
-    pub(super) fn inherit(
+    pub(super) fn receive_handover(
         &mut self,
         scope: Scope,
         epoch: Epoch,
-        memory: KeyMemory,
+        memory: KeySnapshot,
     ) {
-        self.inherited.insert(scope, (epoch, memory));
+        self.received_handovers.insert(scope, (epoch, memory));
     }
 
-    /// Whether the contract is being passed on, so that nothing may be
-    /// started under it.
-    pub(super) fn frozen(&self, scope: Scope) -> bool {
-        self.bequests.contains_key(&scope)
+    /// Whether the contract is being handed over, so that nothing may start
+    /// under it.
+    pub(super) fn is_handing_over(&self, scope: Scope) -> bool {
+        self.handovers.contains_key(&scope)
     }
 }
 
 impl Node {
     pub(super) fn on_renewed(&mut self, now: Now, sent_at: Millis) {
         let claims = &mut self.claims;
-        claims.renewed_at = claims.renewed_at.max(Some(sent_at));
-        self.tend_claims(now);
+        claims.lease_renewed_at = claims.lease_renewed_at.max(Some(sent_at));
+        self.update_claims(now);
     }
 
     pub(super) fn on_lease_lost(&mut self) {
-        self.claims.broken = true;
-        self.out.push(Action::Register { draining: self.draining });
+        self.claims.lease_lost = true;
+        self.actions.push(Action::Register { draining: self.draining });
     }
 
     pub(super) fn on_written(
@@ -151,93 +152,100 @@
             self.contracts_written(result);
         }
         if matches!(result, WriteResult::Conflict | WriteResult::Unknown) {
-            // Only a read can tell what the value is now.
+            // Only a read shows the current value.
             self.read_again();
         }
         if result == WriteResult::Failed {
-            self.claims.rest_until = now.mono + REST;
+            self.claims.write_backoff_until = now.mono + WRITE_BACKOFF;
         }
-        self.after_change(now);
+        self.on_view_changed(now);
     }
 
     fn contracts_written(&mut self, result: WriteResult) {
         let claims = &mut self.claims;
-        match (result, &mut claims.writing) {
-            (WriteResult::Written(revision), Some(writing)) => {
-                writing.won = Some(revision);
-                claims.broken &= !claims.mending;
+        match (result, &mut claims.pending_write) {
+            (WriteResult::Written(revision), Some(pending_write)) => {
+                pending_write.won_revision = Some(revision);
+                claims.lease_lost &= !claims.reclaiming;
             }
-            _ => claims.writing = None,
+            _ => claims.pending_write = None,
         }
-        claims.mending = false;
+        claims.reclaiming = false;
     }
 
     pub(super) fn read_again(&mut self) {
-        if !self.claims.reading {
-            self.claims.reading = true;
-            self.out.push(Action::Read);
+        if !self.claims.read_pending {
+            self.claims.read_pending = true;
+            self.actions.push(Action::Read);
         }
     }
 
-    pub(super) fn on_bequest_ended(
+    pub(super) fn on_handover_ended(
         &mut self,
         now: Now,
         scope: Scope,
-        taken: bool,
+        acknowledged: bool,
     ) {
-        if let Some(bequest) = self.claims.bequests.get_mut(&scope) {
-            bequest.taken = Some(taken);
+        if let Some(handover) = self.claims.handovers.get_mut(&scope) {
+            handover.acknowledged = Some(acknowledged);
         }
-        self.tend_claims(now);
+        self.update_claims(now);
     }
 
-    /// Brings tenures in line with the view, and the platform's contracts
-    /// in line with what this VM should hold.
-    pub(super) fn tend_claims(&mut self, now: Now) {
-        self.tend_tenures(now);
-        if self.still_writing(now) || now.mono < self.claims.rest_until {
+    /// Updates the terms to match the view, and the platform's contracts to
+    /// match what this VM should hold.
+    pub(super) fn update_claims(&mut self, now: Now) {
+        self.update_terms(now);
+        if self.write_is_pending(now)
+            || now.mono < self.claims.write_backoff_until
+        {
             return;
         }
-        if self.platform_answers(now) {
-            if self.view.revision > 0 && !self.claims.reading {
-                self.propose(now);
+        if self.platform_is_reachable(now) {
+            if self.view.revision > 0 && !self.claims.read_pending {
+                self.propose_contracts(now);
             }
         } else {
-            self.claim_alone(now);
+            self.claim_without_platform(now);
         }
-        self.tend_tenures(now);
+        self.update_terms(now);
     }
 
-    /// Whether the last write is not yet seen in the view.
-    fn still_writing(&mut self, now: Now) -> bool {
-        let Some(writing) = &self.claims.writing else { return false };
+    /// Whether the view doesn't show the last write yet.
+    fn write_is_pending(&mut self, now: Now) -> bool {
+        let Some(pending_write) = &self.claims.pending_write else {
+            return false;
+        };
         let map = self.view.maps.get(&self.config.dc);
-        let shown = map.map_or(0, |map| map.revision);
-        if writing.won.is_some_and(|won| won <= shown) {
-            self.claims.writing = None;
+        let visible = map.map_or(0, |map| map.revision);
+        if pending_write
+            .won_revision
+            .is_some_and(|revision| revision <= visible)
+        {
+            self.claims.pending_write = None;
             return false;
         }
-        if writing.since + WRITE_TIMEOUT <= now.mono {
-            self.claims.writing = None;
+        if pending_write.sent_at + WRITE_TIMEOUT <= now.mono {
+            self.claims.pending_write = None;
             self.read_again();
         }
         true
     }
 
-    /// Whether no other VM can have taken this VM's contracts over yet: its
-    /// lease can't have lapsed.
-    pub(super) fn surely_holds(&self, now: Now) -> bool {
+    /// Whether no other VM can have taken over this VM's contracts yet,
+    /// because its lease can't have expired.
+    pub(super) fn lease_is_certainly_valid(&self, now: Now) -> bool {
         let span = self.config.member_ttl - self.config.member_ttl / 10;
         let confirmed = self.claims.confirmed_at();
         confirmed.is_some_and(|at| at + span > now.mono)
     }
 
-    /// The members of this data centre that don't stop.
-    fn staying(&self) -> BTreeSet<VmId> {
-        let mine = |(_, m): &(&VmId, &crate::store::Member)| {
+    /// The members of this data centre that are not about to stop.
+    fn remaining_members(&self) -> BTreeSet<VmId> {
+        let is_staying = |(_, m): &(&VmId, &crate::store::Member)| {
             m.dc == self.config.dc && !m.draining
         };
-        let members = self.view.members.iter().filter(mine);
+        let members = self.view.members.iter().filter(is_staying);
         let mut vms: BTreeSet<VmId> =
             members.map(|(vm, _)| vm.clone()).collect();
         if self.draining {
@@ -246,13 +254,13 @@
         vms
     }
 
-    fn propose(&mut self, now: Now) {
+    fn propose_contracts(&mut self, now: Now) {
         let me = self.config.vm.clone();
         if !self.view.members.contains_key(&me) {
             return;
         }
-        let first = *self.claims.first_read.get_or_insert(now.mono);
-        if now.mono < first + GATHERING {
+        let first = *self.claims.first_read_at.get_or_insert(now.mono);
+        if now.mono < first + FIRST_CLAIM_DELAY {
             return;
         }
         let dc = self.config.dc.clone();
@@ -262,10 +270,10 @@
         });
         self.assign_scopes(now, &known.value);
         let mut map = known.value.clone();
-        let mine = |scope| self.view.holder(&dc, scope) == Some(&me);
-        if !map.contracts.keys().any(|scope| mine(*scope)) {
-            // Nothing was held that somebody could have taken over.
-            self.claims.broken = false;
+        let is_own = |scope| self.view.holder(&dc, scope) == Some(&me);
+        if !map.contracts.keys().any(|scope| is_own(*scope)) {
+            // This VM held no contract that another could have taken over.
+            self.claims.lease_lost = false;
         }
         let mut claimed = false;
         for (scope, contract) in &mut map.contracts {
@@ -275,10 +283,11 @@
         if map == known.value {
             return;
         }
-        self.claims.writing = Some(Writing { since: now.mono, won: None });
-        self.claims.mending = self.claims.broken;
+        self.claims.pending_write =
+            Some(PendingWrite { sent_at: now.mono, won_revision: None });
+        self.claims.reclaiming = self.claims.lease_lost;
         let since = self.view.config.revision;
-        self.out.push(Action::Write(Write {
+        self.actions.push(Action::Write(Write {
             key: Key::Contracts(dc),
             value: Value::Contracts(map),
             expected_revision: known.revision,
@@ -287,15 +296,15 @@
     }
 
     fn assign_scopes(&mut self, now: Now, map: &ContractMap) {
-        let assigned = assign(map.contracts.keys(), &self.staying());
+        let assigned = assign(map.contracts.keys(), &self.remaining_members());
         if assigned != self.claims.assigned {
             self.claims.assigned = assigned;
             self.claims.assigned_at = now.mono;
         }
     }
 
-    /// Changes the holder of a contract if that is this VM's to do. Returns
-    /// whether the contract was claimed.
+    /// Changes the holder of a contract if that is up to this VM. Returns
+    /// whether this VM claimed it.
     fn propose_holder(
         &mut self,
         now: Now,
@@ -307,12 +316,13 @@
         let known = self.view.epoch(dc, scope).cloned().unwrap_or_default();
         let since = self.view.config.revision;
         if known.holder == me {
-            if self.claims.broken {
+            if self.claims.lease_lost {
                 contract.claim(&me, &known, since);
                 return true;
             }
             if contract.epoch != known {
-                // A claim that was made alone has proved to be the highest.
+                // A claim made without the platform turned out to have the highest
+                // epoch.
                 contract.previous = contract.epoch.clone();
                 contract.epoch = known;
                 contract.handed_over = false;
@@ -323,7 +333,7 @@
             return false;
         }
         let orphaned = !self.view.members.contains_key(&known.holder);
-        if !orphaned || !self.my_turn(now, scope) {
+        if !orphaned || !self.should_claim(now, scope) {
             return false;
         }
         contract.claim(&me, &known, since);
@@ -331,17 +341,19 @@
         true
     }
 
-    /// Whether this VM should take an orphaned contract over now.
-    fn my_turn(&mut self, now: Now, scope: Scope) -> bool {
+    /// Whether this VM should take over an orphaned contract now.
+    fn should_claim(&mut self, now: Now, scope: Scope) -> bool {
         if self.draining {
             return false;
         }
-        let since = *self.claims.orphans.entry(scope).or_insert(now.mono);
-        let mine = self.claims.assigned.get(&scope) == Some(&self.config.vm);
-        mine || since + SECOND_CHANCE <= now.mono
+        let since =
+            *self.claims.orphaned_since.entry(scope).or_insert(now.mono);
+        let is_assigned =
+            self.claims.assigned.get(&scope) == Some(&self.config.vm);
+        is_assigned || since + FALLBACK_CLAIM_DELAY <= now.mono
     }
 
-    /// Passes a contract on to the VM that should hold it.
+    /// Hands a contract over to the VM that should hold it.
     fn propose_successor(
         &mut self,
         now: Now,
@@ -349,33 +361,36 @@
         contract: &mut Contract,
     ) {
         let me = &self.config.vm;
-        let should = self.claims.assigned.get(&scope).filter(|vm| *vm != me);
-        let Some(to) = should.cloned() else {
-            self.claims.bequests.remove(&scope);
+        let successor =
+            self.claims.assigned.get(&scope).filter(|vm| *vm != me);
+        let Some(to) = successor.cloned() else {
+            self.claims.handovers.remove(&scope);
             return;
         };
-        let Some(bequest) = self.claims.bequests.get(&scope).cloned() else {
-            self.begin_bequest(now, scope, to);
+        let Some(handover) = self.claims.handovers.get(&scope).cloned() else {
+            self.begin_handover(now, scope, to);
             return;
         };
-        let late = bequest.sent_at + BEQUEST_TIMEOUT <= now.mono;
-        let taken = bequest.taken.or(late.then_some(false));
-        if bequest.to != to || (taken == Some(false) && !self.draining) {
-            self.claims.bequests.remove(&scope);
+        let late = handover.sent_at + HANDOVER_TIMEOUT <= now.mono;
+        let acknowledged = handover.acknowledged.or(late.then_some(false));
+        if handover.to != to || (acknowledged == Some(false) && !self.draining)
+        {
+            self.claims.handovers.remove(&scope);
             self.claims.assigned_at = now.mono;
             return;
         }
-        if let Some(taken) = taken {
+        if let Some(acknowledged) = acknowledged {
             contract.hand_over(&to, self.view.config.revision);
-            contract.handed_over = taken;
+            contract.handed_over = acknowledged;
             self.counters.handovers += 1;
         }
     }
 
-    fn begin_bequest(&mut self, now: Now, scope: Scope, to: VmId) {
-        let settled = self.claims.assigned_at + self.config.rebalance_after;
-        let one_at_a_time = self.claims.bequests.is_empty();
-        let due = settled <= now.mono && one_at_a_time;
+    fn begin_handover(&mut self, now: Now, scope: Scope, to: VmId) {
+        let assignment_stable_at =
+            self.claims.assigned_at + self.config.rebalance_after;
+        let no_other_handover = self.claims.handovers.is_empty();
+        let due = assignment_stable_at <= now.mono && no_other_handover;
         if !due && !self.draining {
             return;
         }
@@ -383,19 +398,25 @@
         else {
             return;
         };
-        let home = self.homes.get(&scope);
-        let memory = home.map(|home| home.keys.export());
-        // Tasks need no bequest: the workers' own lists are the truth.
-        let taken = (scope == Scope::Tasks).then_some(true);
-        let bequest = Bequest { to: to.clone(), sent_at: now.mono, taken };
-        self.claims.bequests.insert(scope, bequest);
+        let held = self.held_contracts.get(&scope);
+        let memory = held.map(|held| held.keys.export());
+        // Tasks need no handover of state: the workers' lists are complete.
+        let acknowledged = (scope == Scope::Tasks).then_some(true);
+        let handover =
+            Handover { to: to.clone(), sent_at: now.mono, acknowledged };
+        self.claims.handovers.insert(scope, handover);
         if let Some(memory) = memory {
-            self.out.push(Action::Bequeath { vm: to, scope, epoch, memory });
+            self.actions.push(Action::SendHandover {
+                vm: to,
+                scope,
+                epoch,
+                memory,
+            });
         }
-        self.requeue_waiting(now, scope, Reason::Draining);
+        self.reroute_waiting(now, scope, Reason::Draining);
     }
 
-    /// Enrols new targets in this VM's contracts and drops those that are
+    /// Enrols new targets in this VM's contracts and removes those that are
     /// gone.
     fn propose_targets(&mut self, now: Now, map: &mut ContractMap) {
         let enrolled: BTreeSet<TargetId> = map
@@ -403,8 +424,8 @@
             .values()
             .flat_map(|contract| contract.targets.iter().cloned())
             .collect();
-        // Every VM works out the same places for all new targets, and
-        // enrols those that fall to its own contracts.
+        // Every VM computes the same plan for all new targets, and enrols
+        // those that the plan assigns to its own contracts.
         let mut plan = map.clone();
         let dc = &self.config.dc;
         for listed in self.view.listed.values() {
@@ -421,14 +442,14 @@
             if let Some(contract) = plan.contracts.get_mut(&scope) {
                 contract.targets.insert(listed.id.clone());
             }
-            if let Some(contract) = self.mine(map, scope) {
+            if let Some(contract) = self.own_contract(map, scope) {
                 contract.targets.insert(listed.id.clone());
             }
         }
-        for target in self.view.gone(now, self.config.gone_after) {
+        for target in self.view.gone_targets(now, self.config.gone_after) {
             let scopes: Vec<Scope> = map.contracts.keys().copied().collect();
             for scope in scopes {
-                if let Some(contract) = self.mine(map, scope) {
+                if let Some(contract) = self.own_contract(map, scope) {
                     contract.targets.remove(&target);
                 }
             }
@@ -436,7 +457,7 @@
     }
 
     /// The contract, if this VM holds it.
-    fn mine<'a>(
+    fn own_contract<'a>(
         &self,
         map: &'a mut ContractMap,
         scope: Scope,
@@ -446,13 +467,13 @@
         (contract.epoch.holder == *me).then_some(contract)
     }
 
-    /// Takes over contracts of VMs that are not heard, while the platform
-    /// is down for everybody.
-    fn claim_alone(&mut self, now: Now) {
+    /// Takes over contracts of silent holders while no live peer can reach the
+    /// platform either.
+    fn claim_without_platform(&mut self, now: Now) {
         let ttl = self.config.member_ttl;
-        let Some(renewed) = self.claims.renewed_at else { return };
-        let since = renewed.max(self.claims.awake_since);
-        if self.draining || since + 2 * ttl > now.mono {
+        let Some(renewed_at) = self.claims.lease_renewed_at else { return };
+        let isolated_since = renewed_at.max(self.claims.awake_since);
+        if self.draining || isolated_since + 2 * ttl > now.mono {
             return;
         }
         let heard: BTreeMap<&VmId, &super::view::Peer> = self
@@ -460,83 +481,85 @@
             .peers
             .iter()
             .filter(|(_, p)| p.dc == self.config.dc)
-            .filter(|(_, p)| p.heard + ttl > now.mono)
+            .filter(|(_, p)| p.heard_at + ttl > now.mono)
             .collect();
-        if heard.values().any(|peer| peer.platform) {
+        if heard.values().any(|peer| peer.platform_reachable) {
             return;
         }
-        let mut able: BTreeSet<VmId> = heard
+        let mut candidates: BTreeSet<VmId> = heard
             .iter()
             .filter(|(_, peer)| !peer.draining)
             .map(|(vm, _)| (*vm).clone())
             .collect();
-        able.insert(self.config.vm.clone());
-        let Some(map) = self.view.map(&self.config.dc) else { return };
-        let assigned = assign(map.contracts.keys(), &able);
+        candidates.insert(self.config.vm.clone());
+        let Some(map) = self.view.contract_map(&self.config.dc) else {
+            return;
+        };
+        let assigned = assign(map.contracts.keys(), &candidates);
         for (scope, vm) in assigned {
-            if vm == self.config.vm && self.silent_holder(now, scope) {
-                self.claim_one_alone(scope);
+            if vm == self.config.vm && self.holder_is_silent(now, scope) {
+                self.claim_scope_without_platform(scope);
             }
         }
     }
 
-    /// Whether the holder has not been heard for long.
-    fn silent_holder(&self, now: Now, scope: Scope) -> bool {
+    /// Whether the holder has been silent for two member lifetimes.
+    fn holder_is_silent(&self, now: Now, scope: Scope) -> bool {
         let span = 2 * self.config.member_ttl;
         let Some(holder) = self.view.holder(&self.config.dc, scope) else {
             return false;
         };
-        let heard = self.view.peers.get(holder).map_or(0, |p| p.heard);
+        let heard = self.view.peers.get(holder).map_or(0, |p| p.heard_at);
         let last = heard.max(self.claims.awake_since);
         *holder != self.config.vm && last + span <= now.mono
     }
 
-    fn claim_one_alone(&mut self, scope: Scope) {
+    fn claim_scope_without_platform(&mut self, scope: Scope) {
         let dc = self.config.dc.clone();
         let known = self.view.epoch(&dc, scope).cloned().unwrap_or_default();
         let epoch = known.next(&self.config.vm);
-        self.view.note_epoch(&dc, scope, &epoch);
+        self.view.record_epoch(&dc, scope, &epoch);
         self.counters.claims += 1;
     }
 
-    /// Begins and ends tenures as the highest known epochs say.
-    pub(super) fn tend_tenures(&mut self, now: Now) {
+    /// Starts and ends terms according to the highest known epochs.
+    pub(super) fn update_terms(&mut self, now: Now) {
         let dc = self.config.dc.clone();
         let Some(map) = self.view.maps.get(&dc) else { return };
         let scopes: Vec<Scope> = map.value.contracts.keys().copied().collect();
         for scope in scopes {
-            self.tend_tenure(now, &dc, scope);
+            self.update_term(now, &dc, scope);
         }
     }
 
-    fn tend_tenure(&mut self, now: Now, dc: &DcName, scope: Scope) {
+    fn update_term(&mut self, now: Now, dc: &DcName, scope: Scope) {
         let Some(contract) = self.view.contract(dc, scope).cloned() else {
             return;
         };
         let Some(epoch) = self.view.epoch(dc, scope).cloned() else { return };
         if !self.view.members.contains_key(&epoch.holder) {
-            self.claims.orphans.entry(scope).or_insert(now.mono);
+            self.claims.orphaned_since.entry(scope).or_insert(now.mono);
         } else {
-            self.claims.orphans.remove(&scope);
+            self.claims.orphaned_since.remove(&scope);
         }
         if epoch.holder != self.config.vm {
-            self.claims.bequests.remove(&scope);
-            self.end_tenure(now, scope);
+            self.claims.handovers.remove(&scope);
+            self.end_term(now, scope);
             return;
         }
         let confirmed = contract.epoch == epoch;
         let held = match scope {
-            Scope::Tasks => self.work.as_ref().map(|w| &w.term.epoch),
-            _ => self.homes.get(&scope).map(|h| &h.tenure.epoch),
+            Scope::Tasks => self.placer.as_ref().map(|w| &w.term.epoch),
+            _ => self.held_contracts.get(&scope).map(|h| &h.term.epoch),
         };
         if held != Some(&epoch) {
-            self.end_tenure(now, scope);
-            self.begin_tenure(now, scope, &contract, epoch);
+            self.end_term(now, scope);
+            self.begin_term(now, scope, &contract, epoch);
         }
-        self.update_tenure(now, scope, &contract, confirmed);
+        self.refresh_term(now, scope, &contract, confirmed);
     }
 
-    fn begin_tenure(
+    fn begin_term(
         &mut self,
         now: Now,
         scope: Scope,
@@ -545,33 +568,33 @@
     ) {
         let confirmed = contract.epoch == epoch;
         let targets = contract.targets.clone();
-        let tenure = Tenure::new(epoch, contract.since, confirmed, targets);
+        let term = Term::new(epoch, contract.since, confirmed, targets);
         if scope == Scope::Tasks {
             let config = PlacerConfig::default();
             let dc = self.config.dc.clone();
             let old = self.view.config();
             let progress = self.view.progress.value.clone();
-            let mut placer = Placer::new(config, dc, tenure, old, progress);
+            let mut placer = Placer::new(config, dc, term, old, progress);
             if let Some(config) = self.view.config() {
                 placer.apply_config(config);
             }
-            self.work = Some(Box::new(placer));
+            self.placer = Some(Box::new(placer));
             return;
         }
-        let mut home = Home::new(tenure, &self.config.keys);
+        let mut held = HeldContract::new(term, &self.config.keys);
         if contract.handed_over {
-            let inherited = self.claims.inherited.remove(&scope);
+            let inherited = self.claims.received_handovers.remove(&scope);
             let valid = inherited.filter(|(e, _)| *e == contract.previous);
             if let Some((epoch, memory)) = valid {
-                home.inherit(epoch, memory);
+                held.inherit_keys(epoch, memory);
             }
         }
-        home.configure(&self.view.config.value.policy);
-        home.settle_if_done(now);
-        self.homes.insert(scope, home);
+        held.configure(&self.view.config.value.policy);
+        held.check_takeover(now);
+        self.held_contracts.insert(scope, held);
     }
 
-    fn update_tenure(
+    fn refresh_term(
         &mut self,
         now: Now,
         scope: Scope,
@@ -579,24 +602,24 @@
         confirmed: bool,
     ) {
         if scope == Scope::Tasks {
-            if let Some(work) = &mut self.work {
-                work.term.confirmed = confirmed;
+            if let Some(placer) = &mut self.placer {
+                placer.term.confirmed = confirmed;
             }
             self.update_workers(now, &contract.targets);
-        } else if let Some(home) = self.homes.get_mut(&scope) {
-            home.tenure.confirmed = confirmed;
-            home.set_targets(now, &contract.targets);
+        } else if let Some(held) = self.held_contracts.get_mut(&scope) {
+            held.term.confirmed = confirmed;
+            held.set_targets(now, &contract.targets);
         }
     }
 
-    fn end_tenure(&mut self, now: Now, scope: Scope) {
+    fn end_term(&mut self, now: Now, scope: Scope) {
         if scope == Scope::Tasks {
-            self.work = None;
+            self.placer = None;
             return;
         }
-        if self.homes.contains_key(&scope) {
-            self.requeue_waiting(now, scope, Reason::NotHolder);
-            self.homes.remove(&scope);
+        if self.held_contracts.contains_key(&scope) {
+            self.reroute_waiting(now, scope, Reason::NotHolder);
+            self.held_contracts.remove(&scope);
         }
     }
 }
--- a/puffinknot-core/src/tasks/placer/mod.rs
+++ b/puffinknot-core/src/tasks/placer/mod.rs
@@ -11,12 +11,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::config::{Config, Job, Priority, Repeat, Resources, Room};
-use crate::contract::hash;
+use crate::contract::stable_hash;
 use crate::ids::{DcName, Epoch, Millis, TargetId, TaskId};
 use crate::tasks::fit::Fit;
 use crate::tasks::message::{SyncRequest, WorkerInfo};
 use crate::tasks::progress::Progress;
-use crate::tenure::Tenure;
+use crate::term::Term;
 
 mod saved_progress;
 mod schedule;
@@ -234,7 +234,7 @@
     config: PlacerConfig,
     dc: DcName,
     /// The contract term under which this VM places tasks.
-    pub term: Tenure,
+    pub term: Term,
     /// The jobs, and their numbers of tasks, of which a holder may have known
     /// before the term began.
     former_task_counts: BTreeMap<String, u32>,
@@ -282,7 +282,7 @@
     pub fn new(
         config: PlacerConfig,
         dc: DcName,
-        term: Tenure,
+        term: Term,
         former_config: Option<&Config>,
         progress: Progress,
     ) -> Placer {
@@ -494,7 +494,7 @@
 
     /// Removes a worker that is permanently gone, and its tasks with it.
     pub fn remove_worker(&mut self, id: &TargetId) {
-        self.term.seen(id);
+        self.term.epoch_accepted(id);
         self.remove_all_placements(id);
         self.workers.remove(id);
         self.needs_scheduling = true;
@@ -631,5 +631,5 @@
 /// running tasks. The quota, the priority and the number of tasks are not in
 /// it, since a change of these needs no restart.
 pub fn spec_hash(job: &Job) -> u64 {
-    hash(&(job.need, job.run_ms, job.checkpoint, job.repeat))
+    stable_hash(&(job.need, job.run_ms, job.checkpoint, job.repeat))
 }
--- a/puffinknot-core/src/tasks/placer/sync.rs
+++ b/puffinknot-core/src/tasks/placer/sync.rs
@@ -45,7 +45,7 @@
         self.largest_worker.memory_mb =
             self.largest_worker.memory_mb.max(capacity.memory_mb);
         state.list_version = reply.counter;
-        self.term.seen(id);
+        self.term.epoch_accepted(id);
         self.needs_scheduling = true;
         if let Some(tasks) = reply.tasks {
             self.reconcile(read_at, id, reply.seq, &tasks);
--- a/puffinknot-measure/src/packing.rs
+++ b/puffinknot-measure/src/packing.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use puffinknot_core::calls::{
-    CallId, CallSpec, Condition, Offer, Pool, PoolConfig,
+    Admission, CallId, CallSpec, ExecutorState, Pool, PoolConfig,
 };
 use puffinknot_core::config::{
     ClassKind, Config, Job, Policy, Repeat, Resources, Team,
@@ -14,7 +14,7 @@
 use puffinknot_core::tasks::{
     Fit, Placer, PlacerConfig, Progress, WorkerInfo,
 };
-use puffinknot_core::tenure::Tenure;
+use puffinknot_core::term::Term;
 use puffinknot_standin::worker::WorkerState;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -56,7 +56,7 @@
 impl Bench {
     fn new(size: Size, fit: Fit) -> Bench {
         let epoch = Epoch { number: 1, holder: "vm".into() };
-        let tenure = Tenure::new(epoch, 1, true, Default::default());
+        let tenure = Term::new(epoch, 1, true, Default::default());
         let config =
             PlacerConfig { fit, lease: 10_000, ..PlacerConfig::default() };
         let progress = Progress::default();
@@ -418,7 +418,7 @@
     let mut pool = Pool::new(config);
     for n in 0..executors {
         let id = TargetId(format!("executor-{n}"));
-        pool.report(&id, Condition::Ready, 8, 0);
+        pool.report(&id, ExecutorState::Ready, 8, 0);
     }
     let spec = CallSpec {
         caller: "caller".into(),
@@ -433,11 +433,11 @@
     let start = Instant::now();
     for id in 0..rounds {
         let one = Instant::now();
-        let offer = pool.offer(id, CallId(id), &spec);
-        assert!(matches!(offer, Offer::Start(_)));
+        let offer = pool.admit(id, CallId(id), &spec);
+        assert!(matches!(offer, Admission::Start(_)));
         if id >= busy {
             pool.finish(id, CallId(id - busy));
-            let _ = pool.pump(id);
+            let _ = pool.start_waiting(id);
         }
         let _ = times.record(one.elapsed().as_nanos() as u64);
     }
