--- a/puffinknot-core/src/node/claims.rs
+++ b/puffinknot-core/src/node/claims.rs
@@ -321,8 +321,8 @@
                 return true;
             }
             if contract.epoch != known {
-                // A claim made without the platform turned out to have the highest
-                // epoch.
+                // A claim made without the platform turned out to have
+                // the highest epoch.
                 contract.previous = contract.epoch.clone();
                 contract.epoch = known;
                 contract.handed_over = false;
