--- a/puffinknot-core/src/jobs/accounts.rs
+++ b/puffinknot-core/src/jobs/accounts.rs
@@ -22,7 +22,7 @@
 /// The length of a digest.
 const DIGEST_BYTES: usize = 32;
 /// The length of the prefix of a digest by which keys are indexed.
-const INDEX_BYTES: usize = 8;
+const LOOKUP_PREFIX_BYTES: usize = 8;
 
 /// The SHA-256 digest of an API key. Its debug form reveals nothing of it.
 #[derive(Clone, Copy, Serialize, Deserialize)]
@@ -36,10 +36,10 @@
 
     /// The prefix by which keys are indexed. The lookup does not take constant
     /// time, so that it leaks a part of the digest, but nothing of the key.
-    fn index(&self) -> [u8; INDEX_BYTES] {
-        let mut index = [0; INDEX_BYTES];
-        index.copy_from_slice(&self.0[..INDEX_BYTES]);
-        index
+    fn lookup_prefix(&self) -> [u8; LOOKUP_PREFIX_BYTES] {
+        let mut prefix = [0; LOOKUP_PREFIX_BYTES];
+        prefix.copy_from_slice(&self.0[..LOOKUP_PREFIX_BYTES]);
+        prefix
     }
 }
 
@@ -75,22 +75,22 @@
 
 /// The resources left under a limit after `used`, unbounded where the limit is
 /// zero.
-pub fn left(limit: &Resources, used: &Resources) -> Resources {
-    let left = |limit: u32, used: u32| match limit {
+pub fn remaining(limit: &Resources, used: &Resources) -> Resources {
+    let remaining = |limit: u32, used: u32| match limit {
         0 => u32::MAX,
         limit => limit.saturating_sub(used),
     };
     Resources {
-        cpu_millis: left(limit.cpu_millis, used.cpu_millis),
-        memory_mb: left(limit.memory_mb, used.memory_mb),
-        accelerators: left(limit.accelerators, used.accelerators),
+        cpu_millis: remaining(limit.cpu_millis, used.cpu_millis),
+        memory_mb: remaining(limit.memory_mb, used.memory_mb),
+        accelerators: remaining(limit.accelerators, used.accelerators),
     }
 }
 
 /// An index from API keys to the accounts that own them.
 #[derive(Clone, Debug, Default)]
 pub struct KeyRing {
-    keys: BTreeMap<[u8; INDEX_BYTES], Vec<(KeyDigest, String)>>,
+    keys: BTreeMap<[u8; LOOKUP_PREFIX_BYTES], Vec<(KeyDigest, String)>>,
 }
 
 impl KeyRing {
@@ -99,7 +99,7 @@
         let mut ring = KeyRing::default();
         for account in policy.accounts.values() {
             for key in &account.keys {
-                let entry = ring.keys.entry(key.index()).or_default();
+                let entry = ring.keys.entry(key.lookup_prefix()).or_default();
                 entry.push((*key, account.name.clone()));
             }
         }
@@ -108,7 +108,7 @@
 
     /// The name of the account that owns a key, if there is one.
     pub fn find(&self, key: &KeyDigest) -> Option<&str> {
-        let candidates = self.keys.get(&key.index())?;
+        let candidates = self.keys.get(&key.lookup_prefix())?;
         let found = candidates.iter().find(|(known, _)| known == key);
         found.map(|(_, account)| account.as_str())
     }
--- a/puffinknot-core/src/jobs/executors.rs
+++ b/puffinknot-core/src/jobs/executors.rs
@@ -16,7 +16,7 @@
 /// Executors by index.
 #[derive(Clone, Debug, Default)]
 pub struct Executors {
-    slots: Vec<Option<Box<(ExecutorIndex, Executor)>>>,
+    entries: Vec<Option<Box<(ExecutorIndex, Executor)>>>,
     by_address: HashMap<String, BTreeSet<ExecutorIndex>>,
     descriptions_version: u64,
 }
@@ -25,10 +25,10 @@
     /// Adds an executor and returns its index.
     pub fn add(&mut self, executor: Executor) -> ExecutorIndex {
         self.descriptions_version += 1;
-        let index = self.slots.len() as ExecutorIndex;
+        let index = self.entries.len() as ExecutorIndex;
         let address = executor.info.address.clone();
         self.by_address.entry(address).or_default().insert(index);
-        self.slots.push(Some(Box::new((index, executor))));
+        self.entries.push(Some(Box::new((index, executor))));
         index
     }
 
@@ -56,10 +56,10 @@
     }
 
     /// Updates which executors are cordoned.
-    pub fn update_cordons(&mut self, covers: impl Fn(&Executor) -> bool) {
+    pub fn update_cordons(&mut self, is_cordoned: impl Fn(&Executor) -> bool) {
         self.descriptions_version += 1;
         for executor in self.values_mut() {
-            executor.cordoned = covers(executor);
+            executor.cordoned = is_cordoned(executor);
         }
     }
 
@@ -70,9 +70,9 @@
     }
 
     fn remove_address(&mut self, index: ExecutorIndex, address: &str) {
-        let Some(there) = self.by_address.get_mut(address) else { return };
-        there.remove(&index);
-        if there.is_empty() {
+        let Some(indexes) = self.by_address.get_mut(address) else { return };
+        indexes.remove(&index);
+        if indexes.is_empty() {
             self.by_address.remove(address);
         }
     }
@@ -87,47 +87,47 @@
 
     /// The executor with an index.
     pub fn get(&self, index: &ExecutorIndex) -> Option<&Executor> {
-        let slot = self.slots.get(*index as usize)?.as_ref()?;
-        Some(&slot.1)
+        let entry = self.entries.get(*index as usize)?.as_ref()?;
+        Some(&entry.1)
     }
 
     /// Like [`Executors::get`], mutable.
     pub fn get_mut(&mut self, index: &ExecutorIndex) -> Option<&mut Executor> {
-        let slot = self.slots.get_mut(*index as usize)?.as_mut()?;
-        Some(&mut slot.1)
+        let entry = self.entries.get_mut(*index as usize)?.as_mut()?;
+        Some(&mut entry.1)
     }
 
     /// Removes an executor.
     pub fn remove(&mut self, index: &ExecutorIndex) -> Option<Executor> {
-        let slot = self.slots.get_mut(*index as usize)?.take()?;
-        self.remove_address(*index, &slot.1.info.address);
-        Some(slot.1)
+        let entry = self.entries.get_mut(*index as usize)?.take()?;
+        self.remove_address(*index, &entry.1.info.address);
+        Some(entry.1)
     }
 
     /// All executors with their indexes, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = (&ExecutorIndex, &Executor)> {
-        self.slots.iter().flatten().map(|slot| (&slot.0, &slot.1))
+        self.entries.iter().flatten().map(|entry| (&entry.0, &entry.1))
     }
 
-    /// All executors with their indexes, starting at a slot that `seed`
+    /// All executors with their indexes, starting at an entry that `seed`
     /// selects and wrapping around.
     pub fn iter_from(
         &self,
         seed: u64,
     ) -> impl Iterator<Item = (&ExecutorIndex, &Executor)> {
-        let first = seed % self.slots.len().max(1) as u64;
-        let (before, after) = self.slots.split_at(first as usize);
-        let slots = after.iter().chain(before).flatten();
-        slots.map(|slot| (&slot.0, &slot.1))
+        let first = seed % self.entries.len().max(1) as u64;
+        let (before, after) = self.entries.split_at(first as usize);
+        let entries = after.iter().chain(before).flatten();
+        entries.map(|entry| (&entry.0, &entry.1))
     }
 
     /// Like [`Executors::iter`], mutable.
     pub fn iter_mut(
         &mut self,
     ) -> impl Iterator<Item = (&ExecutorIndex, &mut Executor)> {
-        let slots = self.slots.iter_mut().flatten();
-        slots.map(|slot| {
-            let (index, executor) = &mut **slot;
+        let entries = self.entries.iter_mut().flatten();
+        entries.map(|entry| {
+            let (index, executor) = &mut **entry;
             (&*index, executor)
         })
     }
--- a/puffinknot-core/src/jobs/headroom.rs
+++ b/puffinknot-core/src/jobs/headroom.rs
@@ -74,14 +74,14 @@
 
 /// The decaying peak level of urgent demand.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Headroom {
+pub struct DemandPeak {
     /// In tasks.
     level: f64,
     at: Millis,
     typical_need: Resources,
 }
 
-impl Headroom {
+impl DemandPeak {
     /// Adds the current demand of urgent tasks.
     pub fn observe(&mut self, demand: &Demand, now: Millis) {
         let passed = now.saturating_sub(self.at) as f64;
--- a/puffinknot-core/src/jobs/scheduler/admission.rs
+++ b/puffinknot-core/src/jobs/scheduler/admission.rs
@@ -392,6 +392,6 @@
 
     /// Forgets refused jobs that should have been retried by now.
     pub(super) fn forget_refusals(&mut self, now: Millis) {
-        self.admission.retry_schedule.forget(now);
+        self.admission.retry_schedule.drop_expired(now);
     }
 }
--- a/puffinknot-core/src/jobs/scheduler/advice.rs
+++ b/puffinknot-core/src/jobs/scheduler/advice.rs
@@ -49,7 +49,7 @@
 const MIN_EXECUTORS_FOUND: f64 = 3.0;
 /// How often, at least, a waiting step asks about further executors: about as
 /// long as most tickets are valid.
-const WIDEN_INTERVAL: Millis = 1_500;
+const FURTHER_ADVICE_INTERVAL: Millis = 1_500;
 /// The weight of a new answer in the smoothed approval rate of a queue: the
 /// fraction of executors that may run its steps.
 const APPROVAL_WEIGHT: f64 = 0.1;
@@ -109,7 +109,7 @@
 
 impl SaturatedKinds {
     /// Returns the flag for long or for short calls.
-    fn of(&mut self, long: bool) -> &mut bool {
+    fn flag(&mut self, long: bool) -> &mut bool {
         if long {
             &mut self.long
         } else {
@@ -168,16 +168,17 @@
         let step = &live.job.steps[key.step as usize];
         let label = step.label.as_deref();
         let asked = &state.advice.asked;
-        let from = tie_breaker(key, 0);
-        let suitable =
-            self.executors.iter_from(from).filter(|(index, executor)| {
+        let start_seed = tie_breaker(key, 0);
+        let suitable = self.executors.iter_from(start_seed).filter(
+            |(index, executor)| {
                 executor.info.service == live.queue.service
                     && !executor.info.draining
                     && !executor.cordoned
                     && executor.info.capacity.fits(&step.footprint())
                     && label.is_none_or(|label| executor.has_label(label))
                     && !asked.contains(index)
-            });
+            },
+        );
         let suitable = suitable.take(MAX_CANDIDATES);
         let mut ranked: Vec<((u32, u64), ExecutorIndex)> = suitable
             .map(|(index, executor)| {
@@ -200,7 +201,7 @@
             ranked.into_iter().map(|(_, index)| index).collect();
         if !indices.is_empty() {
             self.request_advice(key, indices, now);
-            self.update_advice(key, |advice| advice.widened_at = now);
+            self.update_advice(key, |advice| advice.last_requested_at = now);
             return;
         }
         let described = self.executors.descriptions_version();
@@ -223,9 +224,15 @@
     /// those known. Without this, renewals of their tickets, which are
     /// repeated while there is no free capacity, would leave no chance for
     /// other executors.
-    pub(super) fn widen_advice(&mut self, key: StepKey, now: Millis) {
+    pub(super) fn request_further_advice(
+        &mut self,
+        key: StepKey,
+        now: Millis,
+    ) {
         let state = self.step_state(key);
-        if state.is_some_and(|s| now >= s.advice.widened_at + WIDEN_INTERVAL) {
+        if state.is_some_and(|s| {
+            now >= s.advice.last_requested_at + FURTHER_ADVICE_INTERVAL
+        }) {
             self.request_more_advice(key, now);
         }
     }
@@ -277,14 +284,14 @@
         let long = cost.call_time(executors.min(batch)) > MAX_SHORT_CALL;
         let split = long
             && self.is_enabled(Mechanism::ParallelAdvice)
-            && !self.advice_scarce();
+            && !self.are_advisors_scarce();
         let parts = if split { PARTS_PER_LONG_CALL } else { 1 };
         executors.div_ceil(parts).clamp(1, batch)
     }
 
     /// Abandons overdue calls and lets other nodes make them. The former node
     /// may be unreachable, or may have lost its link.
-    pub(super) fn expire_advice(&mut self, now: Millis) {
+    pub(super) fn reassign_overdue_calls(&mut self, now: Millis) {
         let processed = self.processed_until(now);
         let overdue = self.advice_calls.iter().filter(|(_, call)| {
             call.advisor.is_some() && call.overdue_at < processed
@@ -308,7 +315,7 @@
 
     /// Returns whether more than half as many calls wait as there are nodes.
     /// Calls that are not strictly needed are not made then.
-    pub(super) fn advice_scarce(&self) -> bool {
+    pub(super) fn are_advisors_scarce(&self) -> bool {
         let mut waiting =
             self.advice_calls.values().filter(|c| c.advisor.is_none());
         waiting.nth(self.advisors.len() / 2).is_some()
@@ -335,21 +342,22 @@
                 self.estimate_sufficient(id);
             }
             let call = &self.advice_calls[&id];
-            let cost = call.cost.call_time(call.executors_to_ask(shortens));
-            let long = cost > MAX_SHORT_CALL;
-            if *saturated.of(long) {
+            let call_time =
+                call.cost.call_time(call.executors_to_ask(shortens));
+            let long = call_time > MAX_SHORT_CALL;
+            if *saturated.flag(long) {
                 continue;
             }
             let reserve_short_lane = self.is_enabled(Mechanism::ShortLane);
             let Some(name) = self.advisors.pick(long, reserve_short_lane, now)
             else {
-                *saturated.of(long) = true;
+                *saturated.flag(long) = true;
                 continue;
             };
             if shortens {
                 self.shorten_call(id);
             }
-            self.dispatch_call(id, name, cost, now);
+            self.dispatch_call(id, name, call_time, now);
         }
     }
 
@@ -357,7 +365,7 @@
         &mut self,
         id: CallId,
         name: String,
-        cost: Millis,
+        call_time: Millis,
         now: Millis,
     ) {
         let reassigns = self.is_enabled(Mechanism::OverdueAdvice);
@@ -367,7 +375,7 @@
         let asked = call.executors.clone();
         let known = asked.iter().filter_map(|i| self.executors.get(i));
         let executors = known.map(|e| e.info.id.clone()).collect();
-        let overdue = self.advisors.start_call(&name, cost, now);
+        let overdue = self.advisors.start_call(&name, call_time, now);
         let timeout = now + CALL_TIMEOUT;
         let overdue = if reassigns { overdue.min(timeout) } else { timeout };
         if let Some(call) = self.advice_calls.get_mut(&id) {
@@ -484,8 +492,8 @@
         let place = (key.time, key.step);
         let Some(state) = live.steps.get_mut(&place) else { return };
         let advice = &mut state.advice;
-        let rows = match answer {
-            Ok(rows) => rows,
+        let approved = match answer {
+            Ok(approved) => approved,
             Err(failure) => {
                 self.count("advice_failed");
                 let busy = failure == AdviceFailure::Busy;
@@ -500,12 +508,12 @@
         advice.answered = true;
         let valid_until = now + call.cost.valid.saturating_sub(TICKET_MARGIN);
         let asked = call.executors.len().max(1) as f64;
-        let found = rows.len() as f64 / asked;
-        let first = advice.tickets.is_empty();
+        let approved_ratio = approved.len() as f64 / asked;
+        let had_no_tickets = advice.tickets.is_empty();
         for index in &call.executors {
             advice.tickets.remove(index);
         }
-        for row in rows {
+        for row in approved {
             let index = self.by_id.get(&row.executor);
             // The advice does not apply to a later incarnation.
             if let Some(index) = index.filter(|i| call.executors.contains(i)) {
@@ -513,13 +521,13 @@
                 advice.tickets.insert(*index, ticket);
             }
         }
-        if first {
+        if had_no_tickets {
             let queue = live.job.queue.clone();
             let rate = self
                 .approval_rates
                 .entry(queue)
                 .or_insert(INITIAL_APPROVAL_RATE);
-            *rate += (found - *rate) * APPROVAL_WEIGHT;
+            *rate += (approved_ratio - *rate) * APPROVAL_WEIGHT;
         }
         self.count("advised");
         self.needs_placement = true;
--- a/puffinknot-core/src/jobs/scheduler/gangs.rs
+++ b/puffinknot-core/src/jobs/scheduler/gangs.rs
@@ -142,8 +142,8 @@
         }
         let all: Vec<ExecutorIndex> =
             candidates.iter().map(|(at, _)| *at).collect();
-        self.widen_advice(key, now);
-        let scarce = self.advice_scarce();
+        self.request_further_advice(key, now);
+        let scarce = self.are_advisors_scarce();
         if may_reserve {
             self.reserve_in_advance(
                 &waiting,
@@ -198,8 +198,8 @@
             return;
         }
         self.note_no_capacity(key);
-        self.widen_advice(key, now);
-        let scarce = self.advice_scarce();
+        self.request_further_advice(key, now);
+        let scarce = self.are_advisors_scarce();
         if !scarce || !self.could_fit_all(key, now) {
             self.request_more_advice(key, now);
         }
--- a/puffinknot-core/src/jobs/scheduler/ledger.rs
+++ b/puffinknot-core/src/jobs/scheduler/ledger.rs
@@ -78,7 +78,7 @@
             weight: self.weight,
             used: self.used,
             urgent: self.urgent,
-            limit: accounts::left(&self.limit, &Resources::default()),
+            limit: accounts::remaining(&self.limit, &Resources::default()),
         }
     }
 }
@@ -149,7 +149,7 @@
         let mut used = entry.used.plus(&entry.unseen);
         for ((end, ..), amount) in &entry.ends {
             used = used.minus(amount);
-            if accounts::left(&entry.limit, &used).fits(needed) {
+            if accounts::remaining(&entry.limit, &used).fits(needed) {
                 // An overdue run is expected to take as long again as it is
                 // overdue, up to the grace.
                 let overrun = now.saturating_sub(*end).min(OVERRUN_GRACE);
@@ -166,9 +166,9 @@
         match entry {
             Some(entry) => {
                 let used = entry.used.plus(&entry.unseen);
-                accounts::left(&entry.limit, &used)
+                accounts::remaining(&entry.limit, &used)
             }
-            None => accounts::left(&none, &none),
+            None => accounts::remaining(&none, &none),
         }
     }
 
@@ -177,7 +177,7 @@
     pub fn limit_of(&self, account: Option<AccountIndex>) -> Resources {
         let entry = account.and_then(|at| self.entries.get(at as usize));
         let limit = entry.map(|entry| entry.limit).unwrap_or_default();
-        accounts::left(&limit, &Resources::default())
+        accounts::remaining(&limit, &Resources::default())
     }
 
     /// Adds what a predecessor recorded as possibly still in use by jobs that
--- a/puffinknot-core/src/jobs/scheduler/live_job.rs
+++ b/puffinknot-core/src/jobs/scheduler/live_job.rs
@@ -39,7 +39,7 @@
     /// Whether the first answer has come.
     pub answered: bool,
     /// When advice was last requested for further executors.
-    pub widened_at: Millis,
+    pub last_requested_at: Millis,
 }
 
 /// The state of a step, in one repetition of its job.
--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -430,7 +430,7 @@
         self.give_up_incarnations(now);
         self.expire_leases(now);
         self.expire_in_flight_starts(now);
-        self.expire_advice(now);
+        self.reassign_overdue_calls(now);
         self.resend_stops(now);
         self.release_due(now);
         self.check_takeover(now);
--- a/puffinknot-core/src/jobs/scheduler/placement.rs
+++ b/puffinknot-core/src/jobs/scheduler/placement.rs
@@ -99,7 +99,7 @@
             order.retain(|(rank, _)| rank.is_urgent());
         }
         self.begin_placement_pass(full);
-        self.reset_victim_searches();
+        self.reset_preemption_searches();
         if full {
             self.update_urgent_slots(&order, now);
         }
@@ -348,7 +348,7 @@
             self.start(at, key.task(index), run, ticket, now);
         }
         if held_back {
-            self.record_held_back(key);
+            self.record_deferral(key);
         }
         let left = self.step_state(key).map(|state| state.waiting.len());
         let count = left.unwrap_or(0) as u32;
@@ -358,7 +358,7 @@
             self.unreserve(key);
             return true;
         }
-        self.widen_advice(key, now);
+        self.request_further_advice(key, now);
         if expired_tickets {
             // By the time the advice arrives, the free capacity may have moved
             // to other executors, so all expired tickets are renewed.
@@ -408,7 +408,7 @@
     ) -> bool {
         let reserves = may_reserve && self.is_wide(waiting.step, known);
         if reserves {
-            let may_request = !self.advice_scarce();
+            let may_request = !self.are_advisors_scarce();
             self.reserve_in_advance(
                 waiting,
                 known,
@@ -417,7 +417,8 @@
                 now,
             );
         }
-        if !self.advice_scarce() || !self.could_fit(waiting.step, known) {
+        if !self.are_advisors_scarce() || !self.could_fit(waiting.step, known)
+        {
             self.request_more_advice(waiting.key, now);
         }
         reserves
--- a/puffinknot-core/src/jobs/scheduler/preemption.rs
+++ b/puffinknot-core/src/jobs/scheduler/preemption.rs
@@ -186,7 +186,7 @@
         }
         self.unreserve(key);
         self.may_preempt(key, now)
-            && self.may_search_victims()
+            && self.try_begin_preemption_search()
             && self.preempt_runs(waiting, executors, now)
     }
 
--- a/puffinknot-core/src/jobs/scheduler/retry_schedule.rs
+++ b/puffinknot-core/src/jobs/scheduler/retry_schedule.rs
@@ -39,7 +39,7 @@
 }
 
 /// The jobs of one account and queue, which retry one after another.
-type Lane = (Option<AccountIndex>, String);
+type QueueOfAccount = (Option<AccountIndex>, String);
 
 /// The refused jobs and their retry times.
 #[derive(Clone, Debug, Default)]
@@ -49,7 +49,7 @@
     forget_order: VecDeque<(Millis, JobId)>,
     /// Until when the capacity of each lane is taken by jobs that are to be
     /// retried.
-    lanes: BTreeMap<Lane, Millis>,
+    next_retry_times: BTreeMap<QueueOfAccount, Millis>,
 }
 
 impl RetrySchedule {
@@ -69,7 +69,7 @@
         retry_at: Millis,
     ) {
         while self.forget_order.len() >= MAX_REFUSALS {
-            self.forget_oldest();
+            self.drop_oldest();
         }
         let forget_at = retry_at + RETRY_WINDOW;
         self.jobs.insert(
@@ -85,7 +85,7 @@
     pub fn schedule(
         &mut self,
         job: JobId,
-        lane: Lane,
+        key: QueueOfAccount,
         from: Millis,
         duration: Millis,
         now: Millis,
@@ -94,7 +94,7 @@
         if let Some(known) = self.jobs.get(&job) {
             return known.retry_at.max(from).min(latest);
         }
-        let next = self.lanes.entry(lane).or_default();
+        let next = self.next_retry_times.entry(key).or_default();
         let retry_at = from.max(*next).min(latest);
         *next = retry_at + duration;
         retry_at
@@ -106,14 +106,14 @@
     }
 
     /// Forgets the jobs that should have been retried by now.
-    pub fn forget(&mut self, now: Millis) {
+    pub fn drop_expired(&mut self, now: Millis) {
         while self.forget_order.front().is_some_and(|(at, _)| *at <= now) {
-            self.forget_oldest();
+            self.drop_oldest();
         }
-        self.lanes.retain(|_, next| *next > now);
+        self.next_retry_times.retain(|_, next| *next > now);
     }
 
-    fn forget_oldest(&mut self) {
+    fn drop_oldest(&mut self) {
         let Some((at, job)) = self.forget_order.pop_front() else { return };
         // A job that was refused again since is remembered for longer.
         if self.jobs.get(&job).is_some_and(|known| known.forget_at <= at) {
--- a/puffinknot-core/src/jobs/scheduler/urgent_headroom.rs
+++ b/puffinknot-core/src/jobs/scheduler/urgent_headroom.rs
@@ -19,7 +19,7 @@
 use crate::config::Resources;
 use crate::ids::Millis;
 use crate::jobs::executor::{Executor, PlacedRun};
-use crate::jobs::headroom::{Demand, Headroom, MAX_RESERVED_DIVISOR};
+use crate::jobs::headroom::{Demand, DemandPeak, MAX_RESERVED_DIVISOR};
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{AccountIndex, Action, ExecutorIndex};
 use crate::jobs::model::StepKey;
@@ -37,31 +37,32 @@
 const MIN_HEADROOM_WAIT: Millis = 10_000;
 /// The number of urgent steps per placement round that may search for runs to
 /// preempt. The remaining steps can do so in the next rounds.
-const MAX_VICTIM_SEARCHES: u32 = 8;
+const MAX_PREEMPTION_SEARCHES: u32 = 8;
 
 /// The state of the capacity that is kept free for urgent tasks.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UrgentHeadroom {
-    headroom: Headroom,
+    demand_peak: DemandPeak,
     /// The same by account. No headroom is kept for an account that is over
     /// its share.
-    by_account: BTreeMap<Option<AccountIndex>, Headroom>,
+    demand_peaks_by_account: BTreeMap<Option<AccountIndex>, DemandPeak>,
     /// The capacity for one urgent task.
-    slot: Resources,
+    slot_size: Resources,
     /// The number of slots that tasks which are not urgent may still take;
     /// none is no limit.
     available_slots: Option<u64>,
     counted_at: Millis,
     /// The number of searches for runs to preempt in this round.
-    victim_searches: u32,
+    preemption_searches: u32,
 }
 
 impl Scheduler {
     /// Recounts how many urgent slots may be taken, unless they were counted
-    /// less than [`COUNT_INTERVAL`] ago. `order` holds all waiting steps.
+    /// less than [`COUNT_INTERVAL`] ago. `waiting_steps` holds all
+    /// waiting steps.
     pub(super) fn update_urgent_slots(
         &mut self,
-        order: &[(Rank, StepKey)],
+        waiting_steps: &[(Rank, StepKey)],
         now: Millis,
     ) {
         if now < self.urgent_headroom.counted_at + COUNT_INTERVAL {
@@ -74,10 +75,11 @@
         {
             return;
         }
-        let demands = self.urgent_demands(order);
+        let demands = self.urgent_demands(waiting_steps);
         let demand = demands.values().fold(Demand::default(), Demand::plus);
-        self.urgent_headroom.headroom.observe(&demand, now);
-        let Some(slot) = self.urgent_headroom.headroom.typical_need() else {
+        self.urgent_headroom.demand_peak.observe(&demand, now);
+        let Some(slot) = self.urgent_headroom.demand_peak.typical_need()
+        else {
             return;
         };
         let usable = self.executors.values().filter(|e| e.usable());
@@ -87,11 +89,13 @@
             total_slots +=
                 u64::from(fit_count(&executor.info.capacity, &slot));
         }
-        let wanted =
-            self.urgent_headroom.headroom.wanted_tasks(&demand, total_slots);
+        let wanted = self
+            .urgent_headroom
+            .demand_peak
+            .wanted_tasks(&demand, total_slots);
         let wanted =
             wanted.min(self.wanted_within_shares(&demands, total_slots, now));
-        self.urgent_headroom.slot = slot;
+        self.urgent_headroom.slot_size = slot;
         self.urgent_headroom.available_slots =
             Some(free.saturating_sub(wanted));
     }
@@ -111,19 +115,22 @@
         now: Millis,
     ) -> u64 {
         for account in demands.keys() {
-            self.urgent_headroom.by_account.entry(*account).or_default();
+            self.urgent_headroom
+                .demand_peaks_by_account
+                .entry(*account)
+                .or_default();
         }
         let mut by_account =
-            std::mem::take(&mut self.urgent_headroom.by_account);
+            std::mem::take(&mut self.urgent_headroom.demand_peaks_by_account);
         let mut wanted = 0;
-        for (account, headroom) in &mut by_account {
+        for (account, peak) in &mut by_account {
             let demand = demands.get(account).copied().unwrap_or_default();
-            headroom.observe(&demand, now);
+            peak.observe(&demand, now);
             if self.is_entitled_to_headroom(*account) {
-                wanted += headroom.wanted_tasks(&demand, total_slots);
+                wanted += peak.wanted_tasks(&demand, total_slots);
             }
         }
-        self.urgent_headroom.by_account = by_account;
+        self.urgent_headroom.demand_peaks_by_account = by_account;
         wanted.min(total_slots / MAX_RESERVED_DIVISOR)
     }
 
@@ -142,7 +149,7 @@
     /// account's urgent work is within its shares.
     fn urgent_demands(
         &self,
-        order: &[(Rank, StepKey)],
+        waiting_steps: &[(Rank, StepKey)],
     ) -> BTreeMap<Option<AccountIndex>, Demand> {
         let mut demands: BTreeMap<_, Demand> = BTreeMap::new();
         let runs = self.executors.values().flat_map(|e| e.runs.values());
@@ -153,7 +160,7 @@
             let demand = demands.entry(run.charge.account).or_default();
             demand.add_running(&run.need);
         }
-        let waiting = order.iter().filter(|(rank, _)| {
+        let waiting = waiting_steps.iter().filter(|(rank, _)| {
             rank.class == PriorityClass::Urgent
                 && rank.timeliness < Timeliness::TooLate
         });
@@ -202,9 +209,9 @@
 
     fn slots_taken(&self, executor: &Executor, need: &Resources) -> u64 {
         let slots =
-            |room| u64::from(fit_count(room, &self.urgent_headroom.slot));
-        let left = executor.free.minus(need);
-        slots(&executor.free).saturating_sub(slots(&left))
+            |free| u64::from(fit_count(free, &self.urgent_headroom.slot_size));
+        let remaining = executor.free.minus(need);
+        slots(&executor.free).saturating_sub(slots(&remaining))
     }
 
     /// Deducts the slots that a task of a step takes on an executor. Urgent
@@ -234,7 +241,7 @@
 
     /// Records that a task of a step was not started because of the urgent
     /// slots.
-    pub(super) fn record_held_back(&mut self, key: StepKey) {
+    pub(super) fn record_deferral(&mut self, key: StepKey) {
         self.count("starts_held_back");
         let live = self.jobs.get_mut(&key.job);
         let state = live.and_then(|live| live.step_state(key.time, key.step));
@@ -244,16 +251,16 @@
         }
     }
 
-    pub(super) fn reset_victim_searches(&mut self) {
-        self.urgent_headroom.victim_searches = 0;
+    pub(super) fn reset_preemption_searches(&mut self) {
+        self.urgent_headroom.preemption_searches = 0;
     }
 
     /// Whether an urgent step may search for runs to preempt in this round.
     /// Counts the search if it may.
-    pub(super) fn may_search_victims(&mut self) -> bool {
+    pub(super) fn try_begin_preemption_search(&mut self) -> bool {
         let allowed =
-            self.urgent_headroom.victim_searches < MAX_VICTIM_SEARCHES;
-        self.urgent_headroom.victim_searches += u32::from(allowed);
+            self.urgent_headroom.preemption_searches < MAX_PREEMPTION_SEARCHES;
+        self.urgent_headroom.preemption_searches += u32::from(allowed);
         allowed
     }
 }
--- a/src/cell/leader/leader_key.rs
+++ b/src/cell/leader/leader_key.rs
@@ -86,7 +86,7 @@
             Reclaimed::No
         };
     }
-    let ttl = shared.settings.borrow().key_lease();
+    let ttl = shared.settings.borrow().leader_key_ttl();
     let Ok(new_lease) = store.grant(ttl).await else {
         return Reclaimed::Unknown;
     };
--- a/src/cell/link.rs
+++ b/src/cell/link.rs
@@ -367,7 +367,7 @@
             let shared = shared.clone();
             actix_rt::spawn(async move {
                 let id = relayed.id;
-                let answer = match shared.withholds(&relayed) {
+                let answer = match shared.refuses_start(&relayed) {
                     true => Err(OrderFailure::NotSent),
                     false => {
                         relay::carry_out(&*platform, &texts, relayed).await
@@ -468,7 +468,8 @@
                 let sure = reachability::is_confirmed(lead.confirmed_at());
                 let own_version = shared.policy().map(|policy| policy.version);
                 sender.send(&ToNode::Pong { sure, policy: own_version });
-                if version > own_version && shared.may_request_policy() {
+                if version > own_version && shared.take_policy_request_permit()
+                {
                     sender.send(&ToNode::PolicyWanted);
                 }
                 if version >= own_version {
--- a/src/cell/node.rs
+++ b/src/cell/node.rs
@@ -76,7 +76,7 @@
     /// The lease of the leader key, in milliseconds. On a narrow link,
     /// renewals queue behind the data that a takeover reads; with a shorter
     /// lease, the key would expire before the takeover is complete.
-    pub fn key_lease(&self) -> Millis {
+    pub fn leader_key_ttl(&self) -> Millis {
         self.leader_lease + store::takeover_time(self.link_bytes_per_ms)
     }
 }
@@ -326,7 +326,7 @@
     /// start a task if its data centre is cordoned and the cordons it knows
     /// are newer than those that the leader knew. The leader receives the
     /// cordons on the same channel before it receives the answer.
-    pub fn withholds(&self, relayed: &RelayedOrder) -> bool {
+    pub fn refuses_start(&self, relayed: &RelayedOrder) -> bool {
         let withholds = relayed.order.is_start()
             && self.cordons_since() > relayed.cordons_since
             && self.is_cordoned(&self.settings.borrow().dc);
@@ -429,7 +429,7 @@
     /// Whether this node may replace a leader whose lease has not expired. If
     /// so, it may not do so again for a while, since the address of the leader
     /// may refuse connections only on the path from this node.
-    pub fn may_replace_leader(&self) -> bool {
+    pub fn take_replacement_permit(&self) -> bool {
         let now = clock::mono();
         let allowed = now >= self.replacement_allowed_at.get()
             && self.is_enabled(Mechanism::ReplacedLeader);
@@ -442,7 +442,7 @@
     /// Whether this node may ask another one for its newer policy. If so, it
     /// may not ask again for a while: the answers of all nodes at once would
     /// fill a narrow link.
-    pub fn may_request_policy(&self) -> bool {
+    pub fn take_policy_request_permit(&self) -> bool {
         let now = clock::mono();
         let allowed = now >= self.policy_request_allowed_at.get();
         if allowed {
--- a/src/cell/store_watch.rs
+++ b/src/cell/store_watch.rs
@@ -323,7 +323,7 @@
     shared: Rc<Shared<P>>,
     expected: Revision,
 ) {
-    if !shared.may_replace_leader() {
+    if !shared.take_replacement_permit() {
         return;
     }
     let pause = claim_delay(&shared) + rand::random_range(0..MAX_CLAIM_JITTER);
@@ -356,7 +356,7 @@
     expected: Revision,
 ) -> Claimed {
     let store = shared.store.clone();
-    let ttl = shared.settings.borrow().key_lease();
+    let ttl = shared.settings.borrow().leader_key_ttl();
     let sent_at = crate::clock::mono();
     let Ok(lease) = store.grant(ttl).await else { return Claimed::Unknown };
     let transaction =
--- a/tests/jobs/account_shares.rs
+++ b/tests/jobs/account_shares.rs
@@ -40,8 +40,8 @@
 }
 
 /// A cell with accounts, an urgent queue and a normal queue.
-fn world(executors: usize, without: Mechanisms) -> World {
-    let mut world = World::without(executors, without);
+fn world(executors: usize, mechanisms: Mechanisms) -> World {
+    let mut world = World::with_mechanisms(executors, mechanisms);
     world.set_policy(|policy| {
         let urgent = Queue {
             priority: 0,
@@ -88,9 +88,9 @@
 }
 
 impl Simulation {
-    fn new(without: Mechanisms) -> Simulation {
+    fn new(mechanisms: Mechanisms) -> Simulation {
         Simulation {
-            world: world(EXECUTORS, without),
+            world: world(EXECUTORS, mechanisms),
             due: BTreeMap::new(),
             next: 1,
             waiting: BTreeMap::new(),
@@ -192,10 +192,10 @@
 
 #[test]
 fn a_flood_of_one_account_spares_the_others() {
-    for (without, protected) in
+    for (mechanisms, protected) in
         [(Mechanisms::default(), true), (unprotected(), false)]
     {
-        let mut simulation = Simulation::new(without);
+        let mut simulation = Simulation::new(mechanisms);
         simulation.simulate(8_000, 1.0);
         let baseline =
             (simulation.others_waited(true), simulation.others_waited(false));
@@ -327,10 +327,10 @@
 
 #[test]
 fn a_flood_of_urgent_work_goes_behind_what_may_wait_within_its_share() {
-    for (without, protected) in
+    for (mechanisms, protected) in
         [(Mechanisms::default(), true), (unprotected(), false)]
     {
-        let mut world = world(4, without);
+        let mut world = world(4, mechanisms);
         world.set_policy(|policy| {
             for at in 0..2 {
                 let account = account(&name(at), 0);
@@ -472,8 +472,8 @@
 /// before.
 #[test]
 fn shares_change_nothing_where_nothing_competes() {
-    let starts = |without: Mechanisms, owned: bool, jobs: u64| {
-        let mut world = world(10, without);
+    let starts = |mechanisms: Mechanisms, owned: bool, jobs: u64| {
+        let mut world = world(10, mechanisms);
         let mut starts = Vec::new();
         for id in 1..=jobs {
             let queue = match (owned, id % 3) {
--- a/tests/jobs/accounts.rs
+++ b/tests/jobs/accounts.rs
@@ -305,7 +305,7 @@
 /// objectives alone.
 #[test]
 fn what_exceeds_its_account_s_share_waits_for_others() {
-    for (without, first) in [
+    for (mechanisms, first) in [
         (Mechanisms::default(), true),
         (Mechanisms::all_except([Mechanism::CapacityShares]), true),
         (
@@ -316,7 +316,7 @@
             false,
         ),
     ] {
-        let mut world = World::without(2, without);
+        let mut world = World::with_mechanisms(2, mechanisms);
         world.run(50);
         // Its share is a job a second, and half of a full cell.
         for id in 1..=40 {
--- a/tests/jobs/admission.rs
+++ b/tests/jobs/admission.rs
@@ -168,13 +168,13 @@
     }
 }
 
-fn without(disabled: &[Mechanism]) -> Mechanisms {
+fn all_except(disabled: &[Mechanism]) -> Mechanisms {
     Mechanisms::all_except(disabled.iter().copied())
 }
 
 /// A cell with four accounts of equal weight, `a0` to `a3`.
 fn world(disabled: &[Mechanism]) -> World {
-    let mut world = World::without(EXECUTORS, without(disabled));
+    let mut world = World::with_mechanisms(EXECUTORS, all_except(disabled));
     world.set_policy(|policy| {
         for name in ACCOUNTS {
             let mut account = account(name, 0);
--- a/tests/jobs/departures.rs
+++ b/tests/jobs/departures.rs
@@ -31,9 +31,9 @@
 /// Makes the executor of a job leave. Returns how often the task of the job
 /// has started, and the state of the job some time later, long before any
 /// lease has expired.
-fn moved(without: Mechanisms, first: Step) -> (u32, Option<JobState>) {
+fn moved(mechanisms: Mechanisms, first: Step) -> (u32, Option<JobState>) {
     let work = first.estimate;
-    let mut world = World::without(3, without);
+    let mut world = World::with_mechanisms(3, mechanisms);
     world.run(50);
     world.submit(job(1, "batch", vec![first]));
     world.run(100);
@@ -98,9 +98,9 @@
 
 #[test]
 fn a_gang_is_moved_whole_and_nobody_waits_alone() {
-    for without in [Mechanisms::default(), without_departures()] {
-        let moves = without.enabled(Mechanism::Leaving);
-        let mut world = World::without(6, without);
+    for mechanisms in [Mechanisms::default(), without_departures()] {
+        let moves = mechanisms.enabled(Mechanism::Leaving);
+        let mut world = World::with_mechanisms(6, mechanisms);
         world.run(50);
         let mut gang = step(3, resources(3_000, 100));
         gang.gang = true;
@@ -125,9 +125,9 @@
 /// acts on notices, all jobs end within less than twice their run time.
 #[test]
 fn under_load_no_job_waits_for_an_executor_that_has_left() {
-    for without in [Mechanisms::default(), without_departures()] {
-        let moves = without.enabled(Mechanism::Leaving);
-        let mut world = World::without(12, without);
+    for mechanisms in [Mechanisms::default(), without_departures()] {
+        let moves = mechanisms.enabled(Mechanism::Leaving);
+        let mut world = World::with_mechanisms(12, mechanisms);
         world.run(50);
         let mut late = 0;
         for id in 1..=60 {
--- a/tests/jobs/faults.rs
+++ b/tests/jobs/faults.rs
@@ -316,8 +316,8 @@
 
 /// The number of jobs that still wait some time after a data centre was
 /// isolated.
-fn waiting_after_isolation(without: Mechanisms) -> usize {
-    let mut world = World::without(16, without);
+fn waiting_after_isolation(mechanisms: Mechanisms) -> usize {
+    let mut world = World::with_mechanisms(16, mechanisms);
     for executor in &mut world.executors[8..] {
         executor.info.dc = "e".into();
     }
@@ -448,8 +448,8 @@
 /// them on silent connections time out.
 #[test]
 fn unanswered_orders_to_several_executors_have_all_asked_at_once() {
-    let renewals = |without: Mechanisms| {
-        let mut world = World::without(6, without);
+    let renewals = |mechanisms: Mechanisms| {
+        let mut world = World::with_mechanisms(6, mechanisms);
         world.run(50);
         let long = |id| {
             let mut one = step(6, resources(2_000, 100));
--- a/tests/jobs/placement_rounds.rs
+++ b/tests/jobs/placement_rounds.rs
@@ -14,8 +14,8 @@
 
 /// A full cell, with hundreds of gangs that wait for half of it.
 fn full_cell() -> World {
-    let without = Mechanisms::all_except([Mechanism::Admission]);
-    let mut world = World::without(EXECUTORS, without);
+    let mechanisms = Mechanisms::all_except([Mechanism::Admission]);
+    let mut world = World::with_mechanisms(EXECUTORS, mechanisms);
     world.run(200);
     let mut wide = step(EXECUTORS as u32, resources(4_000, 100));
     wide.estimate = 100 * WORK;
--- a/tests/jobs/placement_stats.rs
+++ b/tests/jobs/placement_stats.rs
@@ -40,8 +40,8 @@
 
 fn full(executors: usize) -> World {
     // Jobs that wait for longer than they are useful have to be admitted.
-    let without = Mechanisms::all_except([Mechanism::Admission]);
-    let mut world = World::without(executors, without);
+    let mechanisms = Mechanisms::all_except([Mechanism::Admission]);
+    let mut world = World::with_mechanisms(executors, mechanisms);
     world.run(200);
     let mut wide = step(executors as u32, resources(4_000, 100));
     wide.estimate = 20 * WORK;
--- a/tests/jobs/preemption.rs
+++ b/tests/jobs/preemption.rs
@@ -5,11 +5,11 @@
 use super::world::{job, resources, step, World, WORK};
 
 /// A long task that fills an executor and writes checkpoints.
-fn long(id: u64) -> Job {
-    let mut one = step(1, resources(4_000, 100));
-    one.estimate = 20 * WORK;
-    one.checkpoints = true;
-    job(id, "background", vec![one])
+fn long_job(id: u64) -> Job {
+    let mut step = step(1, resources(4_000, 100));
+    step.estimate = 20 * WORK;
+    step.checkpoints = true;
+    job(id, "background", vec![step])
 }
 
 fn gang(count: u32) -> Step {
@@ -19,11 +19,14 @@
 }
 
 /// A cell whose executors are all occupied by long tasks when a gang arrives.
-fn full(without: Mechanisms, edit: impl Fn(&mut Job)) -> World {
-    let mut world = World::without(4, without);
+fn full_cell_with_gang(
+    mechanisms: Mechanisms,
+    edit: impl Fn(&mut Job),
+) -> World {
+    let mut world = World::with_mechanisms(4, mechanisms);
     world.run(50);
     for id in 1..=4 {
-        let mut job = long(id);
+        let mut job = long_job(id);
         edit(&mut job);
         world.submit(job);
     }
@@ -35,14 +38,14 @@
 
 #[test]
 fn a_gang_that_would_be_late_preempts_others() {
-    for (without, state) in [
+    for (mechanisms, state) in [
         (Mechanisms::default(), JobState::Succeeded),
         (
             Mechanisms::all_except([Mechanism::GangPreemption]),
             JobState::Queued,
         ),
     ] {
-        let mut world = full(without, |_| {});
+        let mut world = full_cell_with_gang(mechanisms, |_| {});
         world.run(1_500 + WORK);
         assert_eq!(world.state(9), Some(state));
         world.run(60 * WORK);
@@ -53,7 +56,7 @@
 
 #[test]
 fn no_more_are_preempted_than_the_gang_needs() {
-    let mut world = full(Mechanisms::default(), |_| {});
+    let mut world = full_cell_with_gang(Mechanisms::default(), |_| {});
     world.run(1_500 + WORK);
     world.run(60 * WORK);
     let again = world.starts.values().filter(|starts| **starts > 1);
@@ -63,12 +66,12 @@
 }
 
 #[test]
-fn what_saves_no_progress_or_is_as_urgent_stays() {
+fn tasks_without_checkpoints_or_of_equal_priority_are_not_preempted() {
     for edit in [
         |job: &mut Job| job.steps[0].checkpoints = false,
         |job: &mut Job| job.queue = "batch".into(),
     ] {
-        let mut world = full(Mechanisms::default(), edit);
+        let mut world = full_cell_with_gang(Mechanisms::default(), edit);
         world.run(1_500 + WORK);
         assert!(world.starts.values().all(|starts| *starts == 1));
         assert_eq!(world.state(9), Some(JobState::Queued));
@@ -78,8 +81,8 @@
 
 /// A preempted task is not preempted again, or it would never end.
 #[test]
-fn a_task_is_preempted_once() {
-    let mut world = full(Mechanisms::default(), |_| {});
+fn a_task_is_preempted_at_most_once() {
+    let mut world = full_cell_with_gang(Mechanisms::default(), |_| {});
     world.run(8 * WORK);
     for id in 10..=14 {
         world.submit(job(id, "batch", vec![gang(3)]));
--- a/tests/jobs/ranking.rs
+++ b/tests/jobs/ranking.rs
@@ -32,8 +32,8 @@
 
 /// Twice the cell's throughput for some seconds, from short jobs and from
 /// chains. Returns how many were done in time.
-fn in_time(queue: &str, without: Mechanisms) -> usize {
-    let mut world = World::without(EXECUTORS, without);
+fn in_time(queue: &str, mechanisms: Mechanisms) -> usize {
+    let mut world = World::with_mechanisms(EXECUTORS, mechanisms);
     world.run(100);
     let mut due: BTreeMap<Millis, Vec<u64>> = BTreeMap::new();
     let mut done = 0;
--- a/tests/jobs/renewals.rs
+++ b/tests/jobs/renewals.rs
@@ -13,7 +13,7 @@
 /// and again, and never with the others.
 #[test]
 fn no_executor_is_passed_over_while_the_turns_of_a_leader_are_long() {
-    let mut world = World::without(
+    let mut world = World::with_mechanisms(
         EXECUTORS,
         Mechanisms::all_except([Mechanism::Admission]),
     );
--- a/tests/jobs/rules.rs
+++ b/tests/jobs/rules.rs
@@ -164,8 +164,8 @@
 
 /// Whether a task that needs a whole executor ends while small tasks keep
 /// arriving.
-fn wide_task_ends(without: Mechanisms) -> bool {
-    let mut world = World::without(2, without);
+fn wide_task_ends(mechanisms: Mechanisms) -> bool {
+    let mut world = World::with_mechanisms(2, mechanisms);
     world.run(100);
     let mut wide = 0;
     for id in 1..=120 {
@@ -246,8 +246,8 @@
 /// obtain advice on all executors.
 #[test]
 fn long_calls_for_advice_are_made_in_parts_while_nodes_are_free() {
-    let asked = |without: Mechanisms| {
-        let mut world = World::without(40, without);
+    let asked = |mechanisms: Mechanisms| {
+        let mut world = World::with_mechanisms(40, mechanisms);
         let names = (0..8).map(|node| format!("n{node}")).collect();
         world.event(Event::Advisors(names));
         world.run(50);
--- a/tests/jobs/speeds.rs
+++ b/tests/jobs/speeds.rs
@@ -26,9 +26,9 @@
 fn with_quick_executors(
     executors: usize,
     quick: usize,
-    without: Mechanisms,
+    mechanisms: Mechanisms,
 ) -> World {
-    let mut world = World::without(executors, without);
+    let mut world = World::with_mechanisms(executors, mechanisms);
     for executor in &mut world.executors[executors - quick..] {
         executor.run_time_percent = QUICK_PERCENT;
     }
@@ -84,8 +84,8 @@
 
 #[test]
 fn executors_that_are_alike_are_decided_on_as_if_nothing_were_learnt() {
-    let play = |without: Mechanisms| {
-        let mut world = with_quick_executors(8, 0, without);
+    let play = |mechanisms: Mechanisms| {
+        let mut world = with_quick_executors(8, 0, mechanisms);
         let mut where_to = Vec::new();
         for id in 1..40 {
             let queue = ["urgent", "batch", "background"][id as usize % 3];
@@ -237,8 +237,8 @@
 /// Urgent jobs beside normal jobs, on executors of which a quarter are quick
 /// and the others slow. Returns how many urgent jobs were in time, and their
 /// total.
-fn urgent_in_time(without: Mechanisms, takeover: bool) -> (usize, usize) {
-    let mut world = with_quick_executors(8, 2, without);
+fn urgent_in_time(mechanisms: Mechanisms, takeover: bool) -> (usize, usize) {
+    let mut world = with_quick_executors(8, 2, mechanisms);
     tighten_objective(&mut world);
     for executor in &mut world.executors[..6] {
         executor.run_time_percent = 160;
--- a/tests/jobs/store_outage.rs
+++ b/tests/jobs/store_outage.rs
@@ -187,8 +187,8 @@
 
 /// Simulates an outage: the store declines every commit for four seconds, and
 /// a client arrives every `gap`. Returns the clients.
-fn outage(without: Mechanisms, gap: Millis) -> Vec<Client> {
-    let mut world = World::without(20, without);
+fn outage(mechanisms: Mechanisms, gap: Millis) -> Vec<Client> {
+    let mut world = World::with_mechanisms(20, mechanisms);
     world.run(100);
     let begin = world.now;
     let mut clients: Vec<Client> = Vec::new();
--- a/tests/jobs/urgent_tasks.rs
+++ b/tests/jobs/urgent_tasks.rs
@@ -5,7 +5,7 @@
 use puffinknot_core::config::Resources;
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::headroom::{
-    Demand, Headroom, MAX_RESERVED_DIVISOR,
+    Demand, DemandPeak, MAX_RESERVED_DIVISOR,
 };
 use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms};
 
@@ -86,8 +86,8 @@
 
 /// A cell whose executors are all occupied for long by tasks that write
 /// checkpoints.
-fn full(without: Mechanisms) -> World {
-    let mut world = World::without(EXECUTORS, without);
+fn full(mechanisms: Mechanisms) -> World {
+    let mut world = World::with_mechanisms(EXECUTORS, mechanisms);
     world.run(50);
     for id in 1..=EXECUTORS as u64 {
         world.submit(normal_job(id, 4, 16, true));
@@ -218,8 +218,8 @@
 
 /// Four bursts of small urgent jobs, beside a backlog that writes no
 /// checkpoints and has not waited for twice its objective at the end.
-fn waves(without: Mechanisms) -> (World, Waits) {
-    let mut world = World::without(EXECUTORS, without);
+fn waves(mechanisms: Mechanisms) -> (World, Waits) {
+    let mut world = World::with_mechanisms(EXECUTORS, mechanisms);
     world.run(50);
     let mut waits = Waits::default();
     let mut next = 1;
@@ -269,7 +269,7 @@
 #[test]
 fn nothing_that_waits_starves_by_urgent_work() {
     let mut world =
-        World::without(2, all_except(&[Mechanism::UrgentPreemption]));
+        World::with_mechanisms(2, all_except(&[Mechanism::UrgentPreemption]));
     world.run(50);
     let mut waits = Waits::default();
     world.submit(normal_job(1, 6, 100, false));
@@ -304,8 +304,8 @@
     ];
     for (number, load) in loads.into_iter().enumerate() {
         let mut counters = Vec::new();
-        for without in [Mechanisms::default(), all_except(&both)] {
-            let mut world = World::without(EXECUTORS, without);
+        for mechanisms in [Mechanisms::default(), all_except(&both)] {
+            let mut world = World::with_mechanisms(EXECUTORS, mechanisms);
             world.run(50);
             for id in 1..=40 {
                 world.submit(load(id));
@@ -331,7 +331,7 @@
 #[test]
 fn headroom_follows_the_recent_peaks() {
     let need = resources(1_000, 100);
-    let mut headroom = Headroom::default();
+    let mut headroom = DemandPeak::default();
     headroom.observe(&demand(60, 40, &need), 1_000);
     let low_demand = demand(20, 0, &need);
     headroom.observe(&low_demand, 1_000);
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -309,7 +309,7 @@
     /// The number of executors in each advice call.
     pub advice_sizes: Vec<usize>,
     submitted: BTreeMap<u64, JobId>,
-    without: Mechanisms,
+    mechanisms: Mechanisms,
     /// The account whose key each job was submitted with.
     owners: BTreeMap<JobId, String>,
     /// The limits that were in force, each with the time from which on.
@@ -407,7 +407,7 @@
     }
 }
 
-fn scheduler_config(token: u64, without: Mechanisms) -> SchedulerConfig {
+fn scheduler_config(token: u64, mechanisms: Mechanisms) -> SchedulerConfig {
     SchedulerConfig {
         token,
         lease: LEASE,
@@ -415,7 +415,7 @@
         inherited_order_lifetime: INHERITED_ORDER_LIFETIME,
         max_advice_batch: ADVICE_BATCH,
         min_commit_interval: 20,
-        mechanisms: without,
+        mechanisms,
     }
 }
 
@@ -438,17 +438,17 @@
 
 impl World {
     pub fn new(executors: usize) -> World {
-        World::without(executors, Mechanisms::default())
+        World::with_mechanisms(executors, Mechanisms::default())
     }
 
     /// A world whose leaders run without some mechanisms.
-    pub fn without(executors: usize, without: Mechanisms) -> World {
+    pub fn with_mechanisms(executors: usize, mechanisms: Mechanisms) -> World {
         let policy = Arc::new(policy());
-        let config = scheduler_config(1, without.clone());
+        let config = scheduler_config(1, mechanisms.clone());
         let mut world = World {
             now: 1_000,
             scheduler: Scheduler::new(config, policy.clone()),
-            without,
+            mechanisms,
             token: 1,
             event_lag: 0,
             delivered_until: 0,
@@ -967,7 +967,7 @@
                 revision: 0,
             })
             .collect();
-        let config = scheduler_config(self.token, self.without.clone());
+        let config = scheduler_config(self.token, self.mechanisms.clone());
         let policy = self.policy.clone();
         let restored = Scheduler::restore(config, policy, &kept, self.now);
         let restored = restored.expect("readable values");
