--- a/puffinknot-core/src/jobs/accounts.rs
+++ b/puffinknot-core/src/jobs/accounts.rs
@@ -120,7 +120,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
-pub struct Caller {
+pub struct CallCredentials {
     /// The digest of the key that came with the call.
     pub key: Option<KeyDigest>,
     /// The version of the policy in force at that node.
--- a/puffinknot-core/src/jobs/message.rs
+++ b/puffinknot-core/src/jobs/message.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Millis, Revision};
-use crate::jobs::accounts::Caller;
+use crate::jobs::accounts::CallCredentials;
 use crate::jobs::crash_evidence::RunLoss;
 use crate::jobs::executor::ExecutorInfo;
 use crate::jobs::model::{Job, JobId, JobState, StepKey, TaskKey};
@@ -295,7 +295,7 @@
         /// The number of the request.
         id: RequestId,
         /// The caller.
-        caller: Caller,
+        caller: CallCredentials,
         /// The request.
         request: Request,
     },
--- a/puffinknot-core/src/jobs/mod.rs
+++ b/puffinknot-core/src/jobs/mod.rs
@@ -42,7 +42,7 @@
 pub mod scheduler;
 pub mod speed;
 
-pub use self::accounts::{Account, Caller, KeyDigest, KeyRing};
+pub use self::accounts::{Account, CallCredentials, KeyDigest, KeyRing};
 pub use self::cordon::{Cordon, CordonSource, Cordons};
 pub use self::crash_evidence::RunLoss;
 pub use self::executor::ExecutorInfo;
--- a/puffinknot-core/src/jobs/scheduler/authorization.rs
+++ b/puffinknot-core/src/jobs/scheduler/authorization.rs
@@ -7,7 +7,7 @@
 one, and has the call retried until it has the newer policy.
 */
 
-use crate::jobs::accounts::Caller;
+use crate::jobs::accounts::CallCredentials;
 use crate::jobs::message::Outcome;
 use crate::jobs::model::JobId;
 use crate::jobs::scheduler::Scheduler;
@@ -52,7 +52,7 @@
     /// The reply to the caller if the call is not allowed.
     pub(super) fn authorize(
         &mut self,
-        caller: &Caller,
+        caller: &CallCredentials,
         queue: &str,
     ) -> Result<JobScope, Outcome> {
         if caller.policy > self.policy.version {
--- a/puffinknot-core/src/jobs/scheduler/requests.rs
+++ b/puffinknot-core/src/jobs/scheduler/requests.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use crate::ids::Millis;
-use crate::jobs::accounts::Caller;
+use crate::jobs::accounts::CallCredentials;
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{Outcome, Request, RequestId};
 use crate::jobs::model::{Job, JobId, JobState, StepKey};
@@ -31,7 +31,7 @@
     pub(super) fn request(
         &mut self,
         id: RequestId,
-        caller: &Caller,
+        caller: &CallCredentials,
         request: Request,
         now: Millis,
     ) {
--- a/puffinknot-measure/src/leader.rs
+++ b/puffinknot-measure/src/leader.rs
@@ -18,9 +18,9 @@
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::message::{ExecutorIndex, StoredValue};
 use puffinknot_core::jobs::{
-    Action, AdvisedExecutor, Caller, Change, EndKind, EndReport, Event,
-    ExecutorInfo, ExecutorReport, JobId, Mechanisms, OrderFailure, Outcome,
-    Policy, Request, RunReport, Scheduler, SchedulerConfig, TaskKey,
+    Action, AdvisedExecutor, CallCredentials, Change, EndKind, EndReport,
+    Event, ExecutorInfo, ExecutorReport, JobId, Mechanisms, OrderFailure,
+    Outcome, Policy, Request, RunReport, Scheduler, SchedulerConfig, TaskKey,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -399,7 +399,7 @@
         self.works.insert(job.id, works);
         let request = Request::Submit(job);
         let id = self.next_job;
-        Event::Request { id, caller: Caller::default(), request }
+        Event::Request { id, caller: CallCredentials::default(), request }
     }
 
     /// Lets time pass until then, with `per_second` jobs a second.
--- a/src/cell/ingress.rs
+++ b/src/cell/ingress.rs
@@ -17,12 +17,12 @@
 };
 use actix_http::{HttpMessage, HttpService, Request, Response, StatusCode};
 use actix_service::{Service, ServiceFactory};
-use puffinknot_core::jobs::{self, Caller, KeyDigest, Outcome};
+use puffinknot_core::jobs::{self, CallCredentials, KeyDigest, Outcome};
 use tokio::net::TcpListener;
 use tokio::runtime::Handle;
 use tracing::{info, warn};
 
-use crate::cell::node::Shared;
+use crate::cell::node::NodeState;
 use crate::cell::ports::{Call, ClientAnswer, Platform, Refusal};
 use crate::cell::reachability;
 use crate::clock::{self, Micros};
@@ -75,7 +75,7 @@
 /// Answers readiness checks.
 pub async fn serve_ready<P: Platform>(
     listener: TcpListener,
-    shared: Rc<Shared<P>>,
+    shared: Rc<NodeState<P>>,
 ) {
     serve(listener, move |request: Request| {
         let path_matches = request.path() == shared.platform.ready_path();
@@ -95,7 +95,7 @@
 /// Serves the metrics of this process.
 pub async fn serve_metrics<P: Platform>(
     listener: TcpListener,
-    shared: Rc<Shared<P>>,
+    shared: Rc<NodeState<P>>,
 ) {
     serve(listener, move |_| {
         // Everything but the writing of logs runs on this one thread.
@@ -115,7 +115,7 @@
 /// Serves client requests.
 pub async fn serve_front<P: Platform>(
     listener: TcpListener,
-    shared: Rc<Shared<P>>,
+    shared: Rc<NodeState<P>>,
 ) {
     serve(listener, move |request: Request| {
         let shared = shared.clone();
@@ -173,16 +173,16 @@
 /// Whether the key is missing, or certainly unknown. If the policy of this
 /// node may be outdated, the key may be a new one and the leader decides.
 fn is_certainly_unknown<P: Platform>(
-    shared: &Shared<P>,
+    shared: &NodeState<P>,
     key: &Option<KeyDigest>,
 ) -> bool {
-    let keys = shared.keys();
+    let keys = shared.key_ring();
     let known = key.as_ref().is_some_and(|key| keys.find(key).is_some());
     !known && reachability::knows_policy(shared)
 }
 
 async fn handle_request<P: Platform>(
-    shared: &Shared<P>,
+    shared: &NodeState<P>,
     mut request: Request,
 ) -> ClientAnswer {
     let platform = &shared.platform;
@@ -216,7 +216,7 @@
     let queue = queue.to_string();
     let open = policy.queues.get(&queue).is_some_and(|queue| queue.open);
     let key = key_digest(&**platform, &request);
-    let caller = Caller { key, policy: policy.version };
+    let caller = CallCredentials { key, policy: policy.version };
     if !open && is_certainly_unknown(shared, &key) {
         info!(job = job_of(&call), why = ?Outcome::NoSuchKey, "refused");
         return refuse(Refusal::NoKey, NO_KEY);
--- a/src/cell/leader.rs
+++ b/src/cell/leader.rs
@@ -17,8 +17,8 @@
     AdviceFailure, AdvisedExecutor, CallId, ExecutorIndex,
 };
 use puffinknot_core::jobs::{
-    Caller, Cordons, Event, ExecutorInfo, MaintenanceWave, Mechanism, Outcome,
-    Policy, Request, RequestId, Scheduler,
+    CallCredentials, Cordons, Event, ExecutorInfo, MaintenanceWave, Mechanism,
+    Outcome, Policy, Request, RequestId, Scheduler,
 };
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::yield_now;
@@ -39,7 +39,7 @@
 use crate::cell::decision_log;
 use crate::cell::iteration::{Clocks, InputKind, Iteration, SlowIterations};
 use crate::cell::journal::Journal;
-use crate::cell::node::{Shared, MAX_UNCONFIRMED_MS};
+use crate::cell::node::{NodeState, MAX_UNCONFIRMED_MS};
 use crate::cell::ports::Platform;
 use crate::cell::relay::{Relay, Relays};
 use crate::clock::{self, Micros};
@@ -69,7 +69,7 @@
 
 /// An input of the leader's event loop.
 enum Input {
-    Request(Caller, Request, Origin),
+    Request(CallCredentials, Request, Origin),
     Event(Event),
     PeerJoined(PeerId, Peer),
     /// For how long the store has not answered a peer.
@@ -133,7 +133,7 @@
     /// Submits a request of a client of this node.
     pub fn ask(
         &self,
-        caller: Caller,
+        caller: CallCredentials,
         request: Request,
         reply: oneshot::Sender<Outcome>,
     ) {
@@ -145,7 +145,7 @@
         &self,
         peer: PeerId,
         id: RequestId,
-        caller: Caller,
+        caller: CallCredentials,
         request: Request,
     ) {
         self.send(Input::Request(caller, request, Origin::Peer(peer, id)));
@@ -230,14 +230,14 @@
 }
 
 /// Reports that the leader's key was removed, perhaps by mistake.
-pub fn report_key_removed<P: Platform>(shared: &Shared<P>) {
+pub fn report_key_removed<P: Platform>(shared: &NodeState<P>) {
     if let Some(handle) = shared.lead.borrow().as_ref() {
         handle.send(Input::KeyRemoved);
     }
 }
 
 /// Ends the term before a planned stop, so that another node can lead.
-pub async fn hand_over<P: Platform>(shared: &Shared<P>) {
+pub async fn hand_over<P: Platform>(shared: &NodeState<P>) {
     let handle = shared.lead.borrow().as_ref().map(LeaderHandle::clone);
     let Some(handle) = handle else { return };
     let (done, ended) = oneshot::channel();
@@ -248,7 +248,7 @@
 /// Starts to lead. The claim was written at revision `token` under `lease`,
 /// and the lease was requested at the time `confirmed`.
 pub fn start_term<P: Platform>(
-    shared: &Rc<Shared<P>>,
+    shared: &Rc<NodeState<P>>,
     token: Revision,
     lease: u64,
     confirmed: Millis,
@@ -323,7 +323,7 @@
 
 /// A leader term: the time during which this node leads.
 struct LeaderTerm<P> {
-    shared: Rc<Shared<P>>,
+    shared: Rc<NodeState<P>>,
     handle: LeaderHandle,
     journal: Rc<Journal<P>>,
     token: u64,
--- a/src/cell/leader/executor_watch.rs
+++ b/src/cell/leader/executor_watch.rs
@@ -17,7 +17,7 @@
 use tracing::warn;
 
 use super::{Input, LeaderHandle, LeaderTerm, RETRY_PAUSE};
-use crate::cell::node::Shared;
+use crate::cell::node::NodeState;
 use crate::cell::ports::{Item, Platform};
 use crate::cell::watch_limit::WatchLimit;
 use crate::clock;
@@ -115,7 +115,7 @@
 
 /// Reads the executors' entries and watches their changes until a call fails.
 async fn watch_executors<P: Platform>(
-    shared: &Shared<P>,
+    shared: &NodeState<P>,
     handle: &LeaderHandle,
     reported: &mut ReportedEntries,
 ) {
--- a/src/cell/leader/leader_key.rs
+++ b/src/cell/leader/leader_key.rs
@@ -10,7 +10,7 @@
 
 use super::{Input, LeaderTerm, RETRY_PAUSE};
 use crate::cell::journal::{head_key, head_value, Journal};
-use crate::cell::node::Shared;
+use crate::cell::node::NodeState;
 use crate::cell::ports::{Leader, Platform, WriteError};
 use crate::cell::store_watch;
 use crate::clock;
@@ -50,7 +50,7 @@
 /// Returns whether the leader's key exists under this lease, or `None` if the
 /// store does not answer.
 pub(super) async fn holds_key<P: Platform>(
-    shared: &Shared<P>,
+    shared: &NodeState<P>,
     lease: u64,
 ) -> Option<bool> {
     let key = shared.platform.leader_key();
@@ -66,7 +66,7 @@
 }
 
 async fn reclaim<P: Platform>(
-    shared: &Shared<P>,
+    shared: &NodeState<P>,
     journal: &Journal<P>,
     token: u64,
     lease: &Cell<u64>,
--- a/src/cell/leader/routes.rs
+++ b/src/cell/leader/routes.rs
@@ -13,7 +13,7 @@
 use puffinknot_core::jobs::{ExecutorInfo, Mechanism, OrderFailure};
 use tokio::time::timeout;
 
-use crate::cell::node::Shared;
+use crate::cell::node::NodeState;
 use crate::cell::order::{certain_answer, Answer, Order};
 use crate::cell::ports::Platform;
 use crate::cell::relay::{Relay, Relays};
@@ -36,7 +36,7 @@
 
 /// The routes of the orders of one leader term.
 pub(super) struct Routes<P> {
-    shared: Rc<Shared<P>>,
+    shared: Rc<NodeState<P>>,
     relays: Rc<Relays>,
     token: u64,
     started_at: Millis,
@@ -52,7 +52,7 @@
 
 impl<P: Platform> Routes<P> {
     pub fn new(
-        shared: Rc<Shared<P>>,
+        shared: Rc<NodeState<P>>,
         relays: Rc<Relays>,
         token: u64,
     ) -> Routes<P> {
--- a/src/cell/link.rs
+++ b/src/cell/link.rs
@@ -18,7 +18,7 @@
 use puffinknot_core::jobs::message::{AdviceFailure, AdvisedExecutor, CallId};
 use puffinknot_core::jobs::model::StepKey;
 use puffinknot_core::jobs::{
-    Caller, Cordons, JobId, OrderFailure, Outcome, Request, RequestId,
+    CallCredentials, Cordons, JobId, OrderFailure, Outcome, Request, RequestId,
 };
 use serde::{Deserialize, Serialize};
 use tokio::net::{TcpListener, TcpStream};
@@ -30,7 +30,7 @@
 use crate::cell::channel::{self, OpenError, Receiver, Sender};
 use crate::cell::leader::LeaderHandle;
 use crate::cell::leader_search::LeaderSearch;
-use crate::cell::node::Shared;
+use crate::cell::node::NodeState;
 use crate::cell::order::Answer;
 use crate::cell::ports::{Leader, Platform};
 use crate::cell::reachability;
@@ -70,7 +70,7 @@
         cpu_millis: u32,
     },
     /// A client request.
-    Ask(RequestId, Caller, Request),
+    Ask(RequestId, CallCredentials, Request),
     /// The encoded policy, as it is in the store.
     Policy(Vec<u8>),
     /// The cordons that the node knows.
@@ -144,7 +144,7 @@
     /// Sends a request to the leader.
     pub fn ask(
         &self,
-        caller: Caller,
+        caller: CallCredentials,
         request: Request,
         reply: oneshot::Sender<Outcome>,
     ) {
@@ -181,7 +181,7 @@
 }
 
 /// Maintains a channel to the leader while another node leads. Never returns.
-pub async fn maintain<P: Platform>(shared: Rc<Shared<P>>) {
+pub async fn maintain<P: Platform>(shared: Rc<NodeState<P>>) {
     let mut search = LeaderSearch::default();
     loop {
         if shared.lead.borrow().is_some() {
@@ -198,7 +198,7 @@
 
 /// The address of the node to try next to find the leader.
 fn next_address<P: Platform>(
-    shared: &Shared<P>,
+    shared: &NodeState<P>,
     search: &mut LeaderSearch,
 ) -> Option<SocketAddr> {
     let own = shared.settings.borrow().control;
@@ -210,7 +210,10 @@
 }
 
 /// Waits until a different leader is known, at an address other than this one.
-async fn leader_moved<P: Platform>(shared: &Shared<P>, address: SocketAddr) {
+async fn leader_moved<P: Platform>(
+    shared: &NodeState<P>,
+    address: SocketAddr,
+) {
     let known = shared.leader();
     loop {
         let changed = shared.leader_changed.notified();
@@ -225,7 +228,10 @@
 
 /// Handles a refused connection. If the address is the leader's, its process
 /// is gone while its lease has not expired, and this node may replace it.
-fn handle_refused<P: Platform>(shared: &Rc<Shared<P>>, address: SocketAddr) {
+fn handle_refused<P: Platform>(
+    shared: &Rc<NodeState<P>>,
+    address: SocketAddr,
+) {
     let Some(leader) = shared.leader() else { return };
     if leader.address == address {
         actix_rt::spawn(replace_leader(shared.clone(), leader.revision));
@@ -233,7 +239,7 @@
 }
 
 /// Connects to a node, and serves the channel if that node leads.
-async fn connect<P: Platform>(shared: &Rc<Shared<P>>, address: SocketAddr) {
+async fn connect<P: Platform>(shared: &Rc<NodeState<P>>, address: SocketAddr) {
     let opened = tokio::select! {
         opened = channel::open(address) => opened,
         // Another node leads: an address that does not answer must not delay
@@ -298,7 +304,7 @@
 /// Serves the channel to the leader until it ends, a newer leader is known, or
 /// this node leads.
 async fn serve_link<P: Platform>(
-    shared: &Rc<Shared<P>>,
+    shared: &Rc<NodeState<P>>,
     link: &LinkHandle,
     mut receiver: Receiver,
 ) {
@@ -338,7 +344,7 @@
 
 /// Handles a message from the leader.
 fn handle_message<P: Platform>(
-    shared: &Rc<Shared<P>>,
+    shared: &Rc<NodeState<P>>,
     link: &LinkHandle,
     texts: &Rc<JobSpecs>,
     message: ToNode,
@@ -398,7 +404,10 @@
 }
 
 /// Accepts channels from other nodes. Never returns.
-pub async fn serve<P: Platform>(listener: TcpListener, shared: Rc<Shared<P>>) {
+pub async fn serve<P: Platform>(
+    listener: TcpListener,
+    shared: Rc<NodeState<P>>,
+) {
     loop {
         match listener.accept().await {
             Ok((tcp, _)) => {
@@ -413,7 +422,7 @@
     }
 }
 
-async fn accept_peer<P: Platform>(tcp: TcpStream, shared: Rc<Shared<P>>) {
+async fn accept_peer<P: Platform>(tcp: TcpStream, shared: Rc<NodeState<P>>) {
     channel::accept(tcp, |sender, receiver| async move {
         serve_peer(shared, &sender, receiver).await;
         sender.close();
@@ -424,7 +433,7 @@
 /// Serves the channel of another node while this node leads. Otherwise tells
 /// the other node which leader is known.
 async fn serve_peer<P: Platform>(
-    shared: Rc<Shared<P>>,
+    shared: Rc<NodeState<P>>,
     sender: &Sender,
     mut receiver: Receiver,
 ) {
--- a/src/cell/node.rs
+++ b/src/cell/node.rs
@@ -16,8 +16,8 @@
 use puffinknot_core::ids::{Millis, Revision};
 use puffinknot_core::jobs::policy::Router;
 use puffinknot_core::jobs::{
-    Caller, Cordon, Cordons, KeyRing, MaintenanceWave, Mechanism, Mechanisms,
-    Outcome, Policy, Request,
+    CallCredentials, Cordon, Cordons, KeyRing, MaintenanceWave, Mechanism,
+    Mechanisms, Outcome, Policy, Request,
 };
 use tokio::net::TcpListener;
 use tokio::sync::{oneshot, Notify};
@@ -101,7 +101,7 @@
 const POLICY_REQUEST_INTERVAL_MS: Millis = 500;
 
 /// The state that the parts of a node share.
-pub struct Shared<P> {
+pub struct NodeState<P> {
     /// The platform of the cell.
     pub platform: Rc<P>,
     /// The store of the platform.
@@ -144,10 +144,10 @@
     pub stats: Stats,
 }
 
-impl<P: Platform> Shared<P> {
-    fn new(platform: P, settings: NodeSettings) -> Shared<P> {
+impl<P: Platform> NodeState<P> {
+    fn new(platform: P, settings: NodeSettings) -> NodeState<P> {
         let platform = Rc::new(platform);
-        Shared {
+        NodeState {
             store: Rc::new(Store::new(
                 platform.clone(),
                 &settings.mechanisms,
@@ -204,7 +204,7 @@
     }
 
     /// The keys of the policy in effect.
-    pub fn keys(&self) -> Rc<KeyRing> {
+    pub fn key_ring(&self) -> Rc<KeyRing> {
         self.keys.borrow().clone()
     }
 
@@ -364,7 +364,11 @@
     /// is lost before it answers, the request is sent again to the next
     /// leader, which is safe because requests are idempotent. If the node is
     /// isolated or closing, or becomes so, the request is given up at once.
-    pub async fn ask(&self, caller: Caller, request: Request) -> Outcome {
+    pub async fn ask(
+        &self,
+        caller: CallCredentials,
+        request: Request,
+    ) -> Outcome {
         if self.reachability.is_isolated() {
             self.count("refused_cut_off");
             return Outcome::Refused(NO_LEADER_RETRY_AFTER_MS);
@@ -392,7 +396,7 @@
     /// leader may have accepted the request.
     async fn ask_leader(
         &self,
-        caller: Caller,
+        caller: CallCredentials,
         request: Request,
         sent: &Cell<bool>,
     ) -> Outcome {
@@ -491,7 +495,7 @@
     /// Returns `false` if there is neither.
     fn forward(
         &self,
-        caller: Caller,
+        caller: CallCredentials,
         request: Request,
         reply: oneshot::Sender<Outcome>,
     ) -> bool {
@@ -533,7 +537,10 @@
 /// Applies new settings whenever it is told to. Never returns. The name, the
 /// data centre, the addresses and the mechanisms of the node don't change
 /// before the node is restarted.
-async fn reload<P: Platform>(shared: Rc<Shared<P>>, signals: Rc<NodeSignals>) {
+async fn reload<P: Platform>(
+    shared: Rc<NodeState<P>>,
+    signals: Rc<NodeSignals>,
+) {
     loop {
         signals.reload.notified().await;
         let Some(new_settings) = signals.settings.borrow_mut().take() else {
@@ -569,7 +576,7 @@
         Some(address) => Some(listen("metrics", address).await?),
         None => None,
     };
-    let shared = Rc::new(Shared::new(platform, settings));
+    let shared = Rc::new(NodeState::new(platform, settings));
     info!(
         node = shared.settings.borrow().node,
         life = shared.incarnation,
--- a/src/cell/reachability.rs
+++ b/src/cell/reachability.rs
@@ -19,7 +19,7 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-use crate::cell::node::Shared;
+use crate::cell::node::NodeState;
 use crate::cell::ports::Platform;
 use crate::clock;
 
@@ -123,13 +123,13 @@
 
 /// Whether the reachability of the leader lets the node report that it is
 /// ready. Always true if [`Mechanism::Readiness`] is disabled.
-pub fn is_ready<P: Platform>(shared: &Shared<P>) -> bool {
+pub fn is_ready<P: Platform>(shared: &NodeState<P>) -> bool {
     can_serve(shared) || !shared.is_enabled(Mechanism::Readiness)
 }
 
 /// Whether the policy of this node is at least as new as the leader's. If it
 /// is not, a key that the node does not know may be a new one.
-pub fn knows_policy<P: Platform>(shared: &Shared<P>) -> bool {
+pub fn knows_policy<P: Platform>(shared: &NodeState<P>) -> bool {
     let Some(policy) = shared.policy() else { return false };
     let leader = shared.reachability.leader_policy.get();
     let up_to_date = leader.is_some_and(|leader| leader <= policy.version);
@@ -137,7 +137,7 @@
 }
 
 /// Whether this node can serve client requests.
-fn can_serve<P: Platform>(shared: &Shared<P>) -> bool {
+fn can_serve<P: Platform>(shared: &NodeState<P>) -> bool {
     match shared.lead.borrow().as_ref() {
         Some(lead) => is_confirmed(lead.confirmed_at()),
         None => shared.reachability.heard_recently(),
@@ -148,7 +148,7 @@
 /// serve clients, each check probes the store, whether or not earlier probes
 /// were answered, so that the recovery of the store is noticed at once. It is
 /// noticed, too, if another call of this node is answered first.
-pub async fn watch<P: Platform>(shared: Rc<Shared<P>>) {
+pub async fn watch<P: Platform>(shared: Rc<NodeState<P>>) {
     let notices_recovery = shared.is_enabled(Mechanism::AfterOutage);
     loop {
         tokio::select! {
@@ -171,7 +171,7 @@
     }
 }
 
-async fn probe_store<P: Platform>(shared: Rc<Shared<P>>) {
+async fn probe_store<P: Platform>(shared: Rc<NodeState<P>>) {
     let sent_at = clock::mono();
     let answer = shared.store.get(shared.platform.leader_key()).await;
     let answered = answer.is_ok() || shared.store.last_answered_at() > sent_at;
--- a/src/cell/shutdown.rs
+++ b/src/cell/shutdown.rs
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::cell::node::Shared;
+use crate::cell::node::NodeState;
 use crate::cell::ports::Platform;
 
 /// The node accepts requests for at least this part of the shutdown timeout.
@@ -61,7 +61,10 @@
 /// Waits until clients have had time to switch to other nodes and no request
 /// is open, or until the shutdown timeout, counted from `started`, is nearly
 /// over.
-pub(super) async fn drain<P: Platform>(shared: &Shared<P>, started: Instant) {
+pub(super) async fn drain<P: Platform>(
+    shared: &NodeState<P>,
+    started: Instant,
+) {
     let shutdown_timeout = shared.settings.borrow().shutdown_timeout;
     let min = Duration::from_millis(
         (shutdown_timeout as f64 * MIN_DRAIN_FRACTION) as u64,
--- a/src/cell/store_watch.rs
+++ b/src/cell/store_watch.rs
@@ -19,7 +19,7 @@
 
 use crate::cell::journal::{head_key, head_value};
 use crate::cell::leader;
-use crate::cell::node::Shared;
+use crate::cell::node::NodeState;
 use crate::cell::ports::{
     Changes, Item, Leader, Listing, Platform, ReadError, Transaction,
     WriteError,
@@ -67,12 +67,12 @@
 
 /// Watches the keys that all nodes follow.
 struct Watcher<P> {
-    shared: Rc<Shared<P>>,
+    shared: Rc<NodeState<P>>,
     key_state: KeyState,
 }
 
 /// Watches the store for as long as the node runs.
-pub async fn run<P: Platform>(shared: Rc<Shared<P>>) {
+pub async fn run<P: Platform>(shared: Rc<NodeState<P>>) {
     let mut watcher = Watcher { shared, key_state: KeyState::Unknown };
     let mut reachable = true;
     loop {
@@ -245,7 +245,7 @@
 }
 
 /// Applies an item if it is the policy or a maintenance wave.
-fn apply_operator_request<P: Platform>(shared: &Shared<P>, item: &Item) {
+fn apply_operator_request<P: Platform>(shared: &NodeState<P>, item: &Item) {
     let platform = &shared.platform;
     if item.key == platform.policy_key() {
         shared.learn_policy(&item.value);
@@ -261,7 +261,7 @@
 ///
 /// Fails if there is no usable answer.
 pub async fn read_operator_requests<P: Platform>(
-    shared: &Shared<P>,
+    shared: &NodeState<P>,
 ) -> Result<Listing, ReadError> {
     let platform = &shared.platform;
     let listing = shared.store.read(platform.watched_prefix()).await?;
@@ -280,7 +280,7 @@
 
 /// Returns how much longer than others this node waits before it claims the
 /// leadership.
-fn claim_delay<P: Platform>(shared: &Shared<P>) -> Millis {
+fn claim_delay<P: Platform>(shared: &NodeState<P>) -> Millis {
     let cpu = shared.settings.borrow().cpu_millis;
     if cpu < MIN_LEADER_CPU_MILLIS
         && shared.is_enabled(Mechanism::LargerLeader)
@@ -305,7 +305,7 @@
 /// Claims the leadership that the leader has offered to this node. The
 /// leader's key is at revision `expected`.
 pub async fn accept_leadership<P: Platform>(
-    shared: Rc<Shared<P>>,
+    shared: Rc<NodeState<P>>,
     expected: Revision,
 ) {
     let leads = shared.lead.borrow().is_some();
@@ -320,7 +320,7 @@
 /// not expired, unless another node does so first. The leader's key is at
 /// revision `expected`.
 pub async fn replace_leader<P: Platform>(
-    shared: Rc<Shared<P>>,
+    shared: Rc<NodeState<P>>,
     expected: Revision,
 ) {
     if !shared.take_replacement_permit() {
@@ -340,7 +340,7 @@
 /// Claims the leadership, and starts to lead if the claim succeeds. The
 /// leader's key must be at revision `expected`, or absent if this is zero.
 async fn claim<P: Platform>(
-    shared: &Rc<Shared<P>>,
+    shared: &Rc<NodeState<P>>,
     expected: Revision,
 ) -> Claimed {
     if shared.claiming.replace(true) {
@@ -352,7 +352,7 @@
 }
 
 async fn try_claim<P: Platform>(
-    shared: &Rc<Shared<P>>,
+    shared: &Rc<NodeState<P>>,
     expected: Revision,
 ) -> Claimed {
     let store = shared.store.clone();
@@ -387,7 +387,7 @@
 /// Returns the entry of this node as the leader whose key was written at
 /// `revision`.
 pub fn own_leader_entry<P: Platform>(
-    shared: &Shared<P>,
+    shared: &NodeState<P>,
     revision: Revision,
 ) -> Leader {
     let settings = shared.settings.borrow();
@@ -402,7 +402,7 @@
 /// Returns the transaction by which this node claims the leadership. The
 /// leader's key must be at revision `expected`, or absent if this is zero.
 pub fn claim_transaction<P: Platform>(
-    shared: &Shared<P>,
+    shared: &NodeState<P>,
     expected: Revision,
     lease: u64,
     head: Vec<u8>,
--- a/tests/jobs/accounts.rs
+++ b/tests/jobs/accounts.rs
@@ -2,8 +2,8 @@
 //! account may run.
 
 use puffinknot_core::jobs::{
-    Caller, Event, JobId, JobState, KeyDigest, Mechanism, Mechanisms, Outcome,
-    Request,
+    CallCredentials, Event, JobId, JobState, KeyDigest, Mechanism, Mechanisms,
+    Outcome, Request,
 };
 
 use super::world::{
@@ -23,8 +23,8 @@
     let mut world = World::new(2);
     world.run(50);
     for caller in [
-        Caller::default(),
-        Caller { key: Some(KeyDigest::of(b"guessed")), policy: 1 },
+        CallCredentials::default(),
+        CallCredentials { key: Some(KeyDigest::of(b"guessed")), policy: 1 },
     ] {
         let submit = job(1, "owned", vec![step(1, resources(500, 100))]);
         let id = world.call(caller, Request::Submit(submit));
@@ -106,7 +106,7 @@
     let newer = world.scheduler_policy() + 1;
     for key in [LIMITED, "new"] {
         let key = Some(KeyDigest::of(key.as_bytes()));
-        let caller = Caller { key, policy: newer };
+        let caller = CallCredentials { key, policy: newer };
         let submit = job(1, "owned", vec![step(1, resources(500, 100))]);
         let id = world.call(caller, Request::Submit(submit));
         assert_eq!(world.answer_to(id), Outcome::Refused(0));
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -13,12 +13,12 @@
 };
 use puffinknot_core::jobs::model::StepKey;
 use puffinknot_core::jobs::{
-    Account, Action, AdviceCost, Caller, Change, Cordon, CordonSource,
-    Cordons, EndKind, EndReport, Event, ExecutorInfo, ExecutorReport,
-    IncarnationEnd, Job, JobId, JobState, KeyDigest, MachineInfo,
-    MachineState, MaintenanceFailure, MaintenanceWave, Mechanisms,
-    OrderFailure, Outcome, Policy, Queue, Request, RunReport, Scheduler,
-    SchedulerConfig, Step, TaskKey,
+    Account, Action, AdviceCost, CallCredentials, Change, Cordon,
+    CordonSource, Cordons, EndKind, EndReport, Event, ExecutorInfo,
+    ExecutorReport, IncarnationEnd, Job, JobId, JobState, KeyDigest,
+    MachineInfo, MachineState, MaintenanceFailure, MaintenanceWave,
+    Mechanisms, OrderFailure, Outcome, Policy, Queue, Request, RunReport,
+    Scheduler, SchedulerConfig, Step, TaskKey,
 };
 
 mod cordons;
@@ -590,7 +590,7 @@
     }
 
     pub fn request(&mut self, request: Request) -> u64 {
-        self.call(Caller::default(), request)
+        self.call(CallCredentials::default(), request)
     }
 
     /// Makes a request with the key of an account, through a node that has the
@@ -598,10 +598,10 @@
     pub fn request_as(&mut self, account: &str, request: Request) -> u64 {
         let key = Some(KeyDigest::of(account.as_bytes()));
         let policy = self.policy.version;
-        self.call(Caller { key, policy }, request)
+        self.call(CallCredentials { key, policy }, request)
     }
 
-    pub fn call(&mut self, caller: Caller, request: Request) -> u64 {
+    pub fn call(&mut self, caller: CallCredentials, request: Request) -> u64 {
         self.requests += 1;
         let id = self.requests;
         self.event(Event::Request { id, caller, request });
