--- a/tests/jobs/displacing.rs
+++ b/tests/jobs/preemption.rs
@@ -1,24 +1,24 @@
-//! Tasks that save their progress give way to gangs that would be late.
+//! Tasks with checkpoints are preempted for gangs that would be late.
 
 use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms, Step};
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
-/// A task that fills an executor for long, and saves its progress.
+/// A long task that fills an executor and writes checkpoints.
 fn long(id: u64) -> Job {
-    let mut one = step(1, room(4_000, 100));
+    let mut one = step(1, resources(4_000, 100));
     one.estimate = 20 * WORK;
     one.checkpoints = true;
     job(id, "background", vec![one])
 }
 
 fn gang(count: u32) -> Step {
-    let mut gang = step(count, room(3_000, 100));
+    let mut gang = step(count, resources(3_000, 100));
     gang.gang = true;
     gang
 }
 
-/// A world whose executors are all taken by long tasks; then a gang comes.
+/// A cell whose executors are all occupied by long tasks when a gang arrives.
 fn full(without: Mechanisms, edit: impl Fn(&mut Job)) -> World {
     let mut world = World::without(4, without);
     world.run(50);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_gang_that_would_be_late_has_others_give_way() {
+fn a_gang_that_would_be_late_preempts_others() {
     for (without, state) in [
         (Mechanisms::default(), JobState::Succeeded),
         (
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn only_as_many_give_way_as_the_gang_needs() {
+fn no_more_are_preempted_than_the_gang_needs() {
     let mut world = full(Mechanisms::default(), |_| {});
     world.run(1_500 + WORK);
     world.run(60 * WORK);
@@ -76,9 +76,9 @@
     }
 }
 
-/// What gave way is not asked again, or it would never end.
+/// A preempted task is not preempted again, or it would never end.
 #[test]
-fn a_task_gives_way_once() {
+fn a_task_is_preempted_once() {
     let mut world = full(Mechanisms::default(), |_| {});
     world.run(8 * WORK);
     for id in 10..=14 {
--- a/tests/jobs/speeds.rs
+++ b/tests/jobs/speeds.rs
@@ -1,4 +1,5 @@
-//! How fast executors are is learnt from runs, and what callers get by it.
+//! The speeds of executors are learnt from runs, and callers benefit from
+//! that.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +8,10 @@
 use puffinknot_core::jobs::speed::{compare, EstimateError, Speed, StepTimes};
 use puffinknot_core::jobs::{Job, JobId, JobState, Mechanism, Mechanisms};
 
-use super::world::{job, room, step, World, LEASE, WORK};
+use super::world::{job, resources, step, World, LEASE, WORK};
 
-/// An executor that takes as long as this, in percent, counts as quick.
-const QUICK: u64 = 50;
+/// The run times on a quick executor, in percent of normal.
+const QUICK_PERCENT: u64 = 50;
 
 fn without_speeds() -> Mechanisms {
     Mechanisms::all_except([Mechanism::Speeds])
@@ -18,21 +19,25 @@
 
 /// A job of single tasks that fill an executor each.
 fn wide(id: u64, queue: &str, tasks: u32) -> Job {
-    job(id, queue, vec![step(tasks, room(4_000, 100))])
+    job(id, queue, vec![step(tasks, resources(4_000, 100))])
 }
 
-/// A world whose last executors are quick.
-fn uneven(executors: usize, quick: usize, without: Mechanisms) -> World {
+/// A cell whose last executors are quick.
+fn with_quick_executors(
+    executors: usize,
+    quick: usize,
+    without: Mechanisms,
+) -> World {
     let mut world = World::without(executors, without);
     for executor in &mut world.executors[executors - quick..] {
-        executor.takes = QUICK;
+        executor.run_time_percent = QUICK_PERCENT;
     }
     world.run(50);
     world
 }
 
-/// Runs jobs that take all executors, so often.
-fn teach(world: &mut World, first: u64, rounds: u64) {
+/// Runs jobs that occupy all executors, this many times.
+fn run_rounds(world: &mut World, first: u64, rounds: u64) {
     let all = world.executors.len() as u32;
     for id in first..first + rounds {
         world.submit(wide(id, "batch", all));
@@ -40,8 +45,8 @@
     }
 }
 
-/// Leaves urgent work a fifth of its time, and a little.
-fn tighten(world: &mut World) {
+/// Reduces the slack of urgent jobs to a fifth of their run time plus 100 ms.
+fn tighten_objective(world: &mut World) {
     world.set_policy(|policy| {
         let queue = policy.queues.get_mut("urgent").expect("a queue");
         (queue.stretch, queue.target) = (1.2, 100);
@@ -50,9 +55,11 @@
 
 fn percent(world: &World, at: usize) -> u64 {
     let id = &world.executors[at].info.id;
-    let lives = (0..1_000).filter_map(|index| world.scheduler.executor(index));
-    let mut lives = lives.filter(|executor| executor.info.id == *id);
-    let newest = lives.next_back();
+    let incarnations =
+        (0..1_000).filter_map(|index| world.scheduler.executor(index));
+    let mut incarnations =
+        incarnations.filter(|executor| executor.info.id == *id);
+    let newest = incarnations.next_back();
     let slowness = newest.expect("a known executor").speed.slowness();
     (slowness.exp() * 100.0).round() as u64
 }
@@ -63,8 +70,8 @@
 
 #[test]
 fn two_groups_of_executors_are_found_within_a_few_runs() {
-    let mut world = uneven(8, 2, Mechanisms::default());
-    teach(&mut world, 1, 8);
+    let mut world = with_quick_executors(8, 2, Mechanisms::default());
+    run_rounds(&mut world, 1, 8);
     for at in 6..8 {
         assert!(percent(&world, at) < 70, "{at}: {}", percent(&world, at));
     }
@@ -78,11 +85,11 @@
 #[test]
 fn executors_that_are_alike_are_decided_on_as_if_nothing_were_learnt() {
     let play = |without: Mechanisms| {
-        let mut world = uneven(8, 0, without);
+        let mut world = with_quick_executors(8, 0, without);
         let mut where_to = Vec::new();
         for id in 1..40 {
             let queue = ["urgent", "batch", "background"][id as usize % 3];
-            let mut work = step(3, room(1_000 + 70 * id as u32, 100));
+            let mut work = step(3, resources(1_000 + 70 * id as u32, 100));
             work.gang = id % 5 == 0;
             world.submit(job(id, queue, vec![work]));
             world.run(100);
@@ -97,13 +104,13 @@
 
 #[test]
 fn one_that_turns_slow_is_noticed_within_a_few_runs() {
-    let mut world = uneven(8, 0, Mechanisms::default());
-    teach(&mut world, 1, 10);
+    let mut world = with_quick_executors(8, 0, Mechanisms::default());
+    run_rounds(&mut world, 1, 10);
     for slow in [4, 8] {
         let at = slow as usize;
-        world.executors[at - 1].takes = 100 * slow;
+        world.executors[at - 1].run_time_percent = 100 * slow;
     }
-    // Three runs of it each, which go on for longer than their steps.
+    // Three runs on each, which last longer than their steps should.
     for id in 20..23 {
         world.submit(wide(id, "batch", 8));
         world.run(8 * WORK);
@@ -111,7 +118,7 @@
     for at in [3, 7] {
         assert!(percent(&world, at) > 200, "{at}: {}", percent(&world, at));
     }
-    // Urgent work goes elsewhere while others have room.
+    // Urgent tasks go elsewhere while others have capacity.
     for id in 30..40 {
         world.submit(wide(id, "urgent", 1));
         world.run(20);
@@ -124,36 +131,38 @@
 
 #[test]
 fn one_that_recovers_is_tried_again() {
-    let mut world = uneven(4, 0, Mechanisms::default());
-    teach(&mut world, 1, 6);
-    world.executors[0].takes = 800;
+    let mut world = with_quick_executors(4, 0, Mechanisms::default());
+    run_rounds(&mut world, 1, 6);
+    world.executors[0].run_time_percent = 800;
     for id in 20..24 {
         world.submit(wide(id, "batch", 4));
         world.run(8 * WORK);
     }
     assert!(percent(&world, 0) > 200);
-    world.executors[0].takes = 100;
-    // Nothing needs it, and evidence fades.
+    world.executors[0].run_time_percent = 100;
+    // No job needs the executor, and the evidence fades.
     world.run(60_000);
     assert_eq!(percent(&world, 0), 100);
-    teach(&mut world, 30, 4);
+    run_rounds(&mut world, 30, 4);
     assert_eq!(percent(&world, 0), 100);
     world.check();
 }
 
-/// An executor that gets hard work over and over is no slow one: all tasks of
-/// a step are as hard, wherever they run.
+/// An executor that receives hard tasks over and over is not slow: all tasks
+/// of a step are equally hard, wherever they run.
 #[test]
 fn hard_work_is_not_slowness() {
-    let mut world = uneven(4, 0, Mechanisms::default());
-    teach(&mut world, 1, 6);
+    let mut world = with_quick_executors(4, 0, Mechanisms::default());
+    run_rounds(&mut world, 1, 6);
     for id in 20..30 {
         let hard = id % 2 == 0;
         let work = wide(id, "batch", 4);
         for index in 0..4 {
             let task = format!("{id:016x}.0.0.{index}");
             let takes = if hard { 400 } else { 100 };
-            world.takes.insert(task.parse().expect("a task"), takes);
+            world
+                .run_time_percents
+                .insert(task.parse().expect("a task"), takes);
         }
         world.submit(work);
         world.run(5 * WORK);
@@ -165,9 +174,9 @@
 }
 
 #[test]
-fn a_new_life_is_known_by_nothing() {
-    let mut world = uneven(6, 1, Mechanisms::default());
-    teach(&mut world, 1, 8);
+fn a_new_incarnation_is_known_by_nothing() {
+    let mut world = with_quick_executors(6, 1, Mechanisms::default());
+    run_rounds(&mut world, 1, 8);
     assert!(percent(&world, 5) < 70);
     world.keep_names = true;
     world.restart(5, 1);
@@ -176,12 +185,12 @@
     world.check();
 }
 
-/// A successor places by what its predecessor has learnt, and its predecessor
-/// has written it a few times only.
+/// A successor places tasks by what its predecessor has learnt, which the
+/// predecessor writes only a few times.
 #[test]
 fn a_successor_knows_the_speeds() {
-    let mut world = uneven(8, 2, Mechanisms::default());
-    teach(&mut world, 1, 16);
+    let mut world = with_quick_executors(8, 2, Mechanisms::default());
+    run_rounds(&mut world, 1, 16);
     assert!(counted(&world, "speeds_kept") <= 4);
     world.replace_leader();
     world.run(500);
@@ -189,9 +198,9 @@
     for at in 0..6 {
         assert!(percent(&world, at) > 90);
     }
-    tighten(&mut world);
+    tighten_objective(&mut world);
     let quick = urgent_tasks_on_quick(&mut world, 100);
-    assert_eq!(quick, 2, "both of the quick are used");
+    assert_eq!(quick, 2, "both quick executors are used");
     world.check();
 }
 
@@ -200,19 +209,21 @@
     world.run(20);
     let at = world.executors_with(id);
     world.run(4 * WORK);
-    at.into_iter().filter(|at| world.executors[*at].takes == QUICK).count()
+    at.into_iter()
+        .filter(|at| world.executors[*at].run_time_percent == QUICK_PERCENT)
+        .count()
 }
 
 #[test]
 fn a_shard_of_an_earlier_version_can_be_read() {
-    let mut world = uneven(4, 1, Mechanisms::default());
-    teach(&mut world, 1, 8);
+    let mut world = with_quick_executors(4, 1, Mechanisms::default());
+    run_rounds(&mut world, 1, 8);
     let names =
         world.store.keys().filter(|n| n.starts_with(record::SHARD_PREFIX));
     let names: Vec<String> = names.cloned().collect();
     for name in names {
         let shard = Shard::read(&world.store[&name]).expect("a shard");
-        // It held the executors only.
+        // An earlier version wrote the executors only.
         let former = record::encode(&shard.executors);
         let read = Shard::read(&former).expect("a former shard");
         assert_eq!(read.executors, shard.executors);
@@ -223,16 +234,16 @@
     assert_eq!(world.scheduler.executor_count(), 4);
 }
 
-/// What callers get: urgent work beside patient work on executors of which a
-/// quarter is quick and the rest is slow. Returns how many urgent jobs were in
-/// time, of how many.
+/// Urgent jobs beside normal jobs, on executors of which a quarter are quick
+/// and the others slow. Returns how many urgent jobs were in time, and their
+/// total.
 fn urgent_in_time(without: Mechanisms, takeover: bool) -> (usize, usize) {
-    let mut world = uneven(8, 2, without);
-    tighten(&mut world);
+    let mut world = with_quick_executors(8, 2, without);
+    tighten_objective(&mut world);
     for executor in &mut world.executors[..6] {
-        executor.takes = 160;
+        executor.run_time_percent = 160;
     }
-    teach(&mut world, 1, 10);
+    run_rounds(&mut world, 1, 10);
     let mut due: BTreeMap<u64, u64> = BTreeMap::new();
     let mut in_time = 0;
     for round in 0..60 {
@@ -240,10 +251,14 @@
             world.replace_leader();
         }
         let (batch, urgent) = (100 + round, 1_000 + round);
-        let tasks = step(4, room(2_000, 100));
+        let tasks = step(4, resources(2_000, 100));
         world.submit(job(batch, "batch", vec![tasks]));
         world.run(50);
-        world.submit(job(urgent, "urgent", vec![step(1, room(2_000, 100))]));
+        world.submit(job(
+            urgent,
+            "urgent",
+            vec![step(1, resources(2_000, 100))],
+        ));
         due.insert(urgent, world.now + WORK * 6 / 5 + 100);
         for _ in 0..45 {
             world.run(10);
@@ -260,7 +275,7 @@
         }
     }
     world.run(20 * WORK);
-    assert!(world.unfinished().is_empty(), "patient work is done as well");
+    assert!(world.unfinished().is_empty(), "normal jobs are done, too");
     world.check();
     (in_time, 60)
 }
@@ -279,13 +294,13 @@
     assert!(with >= all * 9 / 10, "{with} of {all} in time");
 }
 
-/// The members of a gang end with the slowest: patient ones leave the quick
-/// alone where others have room for all.
+/// The members of a gang end with the slowest one: normal gangs avoid the
+/// quick executors where others have capacity for all members.
 #[test]
 fn members_of_a_gang_are_alike() {
-    let mut world = uneven(8, 2, Mechanisms::default());
-    teach(&mut world, 1, 10);
-    let mut members = step(4, room(3_000, 100));
+    let mut world = with_quick_executors(8, 2, Mechanisms::default());
+    run_rounds(&mut world, 1, 10);
+    let mut members = step(4, resources(3_000, 100));
     members.gang = true;
     world.submit(job(50, "background", vec![members.clone()]));
     world.run(100);
@@ -293,7 +308,8 @@
     assert_eq!(at.len(), 4);
     assert!(at.iter().all(|at| *at < 6), "{at:?}");
     world.run(4 * WORK);
-    // There is no room for all on executors that are alike.
+    // There is not enough capacity for all of them on executors of equal
+    // speed.
     members.count = 8;
     world.submit(job(51, "background", vec![members]));
     world.run(4 * WORK);
@@ -301,8 +317,8 @@
     world.check();
 }
 
-/// Guesses that are all too small by the same factor are corrected, and the
-/// tasks that are left of a step are reckoned by those that have ended.
+/// Estimates that are all too low by the same factor are corrected, and the
+/// remaining tasks of a step are estimated from those that have ended.
 #[test]
 fn the_error_of_guesses_is_learnt() {
     let mut error = EstimateError::default();
@@ -320,13 +336,14 @@
     }
     let corrected = error.run_time(1_000, &none);
     assert!((1_800..2_100).contains(&corrected), "{corrected}");
-    // Nearer to what was seen than to the guess.
+    // Closer to the observed run time than to the estimate.
     let seen = error.run_time(1_000, &alike(4_000));
     assert!((2_829..4_000).contains(&seen), "{seen}");
     assert_eq!(EstimateError::default().run_time(1_000, &none), 1_000);
 }
 
-/// Runs of one step differ by chance; no executor differs by that.
+/// The run times within one step vary at random; that must not make executors
+/// differ.
 #[test]
 fn chance_makes_no_executor_differ() {
     let mut speeds = [Speed::default(); 20];
@@ -337,11 +354,11 @@
         (random >> 33) as f64 / f64::from(1_u32 << 31)
     };
     let error = EstimateError::default();
-    // The mean of what the work below is.
+    // The mean of the run times below.
     let expected = 1_000_f64.ln() + 1.0;
     let mut differ = 0;
     for round in 0..200 {
-        // The guess is off by a factor of its own each time.
+        // The estimate is off by a different factor each time.
         let work = 1_000.0 * (draw() * 2.0).exp();
         let mut times = StepTimes::default();
         for (at, speed) in speeds.iter().enumerate() {
@@ -357,7 +374,7 @@
             differ += usize::from(speed.slowness() != 0.0);
         }
     }
-    // One in a hundred of 4,000.
+    // One percent of 4,000.
     assert!(differ <= 40, "{differ}");
 }
 
@@ -369,27 +386,28 @@
     assert_eq!(Speed::from_stored(0, 0), Speed::default());
 }
 
-/// All members of a gang take the same time, and tell of one guess.
+/// All members of a gang take the same time, and count as one sample of the
+/// estimate's error.
 #[test]
 fn a_gang_tells_once_how_far_its_guess_is_off() {
-    let mut world = uneven(8, 0, Mechanisms::default());
+    let mut world = with_quick_executors(8, 0, Mechanisms::default());
     let expected = |world: &mut World, id: u64| {
-        let mut gang = step(32, room(1_000, 100));
+        let mut gang = step(32, resources(1_000, 100));
         gang.gang = true;
         world.submit(job(id, "batch", vec![gang]));
         for index in 0..32 {
             let step = StepKey { job: JobId(id), time: 0, step: 0 };
-            world.takes.insert(step.task(index), 200);
+            world.run_time_percents.insert(step.task(index), 200);
         }
         world.run(100);
         let known = world.scheduler.executor(0).expect("a known executor");
         let run = known.runs.values().next().expect("a run");
-        let should = run.expected_end - run.placed_at;
+        let run_time = run.expected_end - run.placed_at;
         world.run(4 * WORK);
-        should
+        run_time
     };
     assert_eq!(expected(&mut world, 1), WORK);
-    assert_eq!(expected(&mut world, 2), WORK, "one gang is no habit");
+    assert_eq!(expected(&mut world, 2), WORK, "one gang is a single sample");
     for id in 3..12 {
         expected(&mut world, id);
     }
--- a/tests/jobs/world/orders.rs
+++ b/tests/jobs/world/orders.rs
@@ -1,9 +1,9 @@
-//! Orders that arrive at executors, and what they answer.
+//! Orders that arrive at executors, and their answers.
 
 use super::*;
 
 impl World {
-    /// An order arrives at an executor.
+    /// Handles an order that arrives at an executor.
     pub(super) fn order(
         &mut self,
         at: usize,
@@ -11,48 +11,50 @@
         token: u64,
         answer_to: Option<u64>,
     ) {
-        // An order to a former life is answered by the one that lives.
-        if let Some(life) = self.life_in_place_of(at) {
-            let silent = self.executors[life].silent_to(token);
+        // An order to a former incarnation is answered by the present one.
+        if let Some(replacement) = self.replacement_of(at) {
+            let silent = self.executors[replacement].is_silent_to(token);
             return match answer_to {
-                Some(_) if silent => self.unanswered(&action, token),
+                Some(_) if silent => self.leave_unanswered(&action, token),
                 Some(_) => self.refuse(action, token, OrderFailure::Gone),
                 None => {}
             };
         }
-        let there = &mut self.executors[at];
-        if there.resets && answer_to.is_some() {
+        let receiver = &mut self.executors[at];
+        if receiver.resets_connections && answer_to.is_some() {
             return self.refuse(action, token, OrderFailure::NotSent);
         }
-        if there.unhealthy && matches!(action, Action::RenewLease { .. }) {
+        if receiver.unhealthy && matches!(action, Action::RenewLease { .. }) {
             return self.refuse(action, token, OrderFailure::Unhealthy);
         }
-        let silent = there.silent_to(token);
-        if let (Some(late), false) = (there.late, silent) {
+        let silent = receiver.is_silent_to(token);
+        if let (Some(delay), false) = (receiver.order_delay, silent) {
             if answer_to.is_some()
                 && !matches!(action, Action::RenewLease { .. })
             {
-                let life = there.lives;
-                self.unanswered(&action, token);
+                let restarts = receiver.restarts;
+                self.leave_unanswered(&action, token);
                 let action = Box::new(action);
-                let order = Pending::LateOrder(at, action, token, life);
-                return self.later(late, order);
+                let order = Pending::DelayedOrder(at, action, token, restarts);
+                return self.schedule(delay, order);
             }
         }
         if silent {
             if answer_to.is_some() {
-                self.unanswered(&action, token);
+                self.leave_unanswered(&action, token);
             }
             return;
         }
-        let fenced = token < there.token;
-        there.token = there.token.max(token);
-        let held_up = there.held_up.filter(|_| answer_to.is_some());
-        if held_up.is_some() {
-            self.unanswered(&action, token);
+        let fenced = token < receiver.token;
+        receiver.token = receiver.token.max(token);
+        let answer_delay =
+            receiver.answer_delay.filter(|_| answer_to.is_some());
+        if answer_delay.is_some() {
+            self.leave_unanswered(&action, token);
         }
-        let way = held_up.map_or(WAY, |late| ORDER_TIMEOUT + late);
-        let there = &mut self.executors[at];
+        let delay =
+            answer_delay.map_or(LATENCY, |delay| ORDER_TIMEOUT + delay);
+        let receiver = &mut self.executors[at];
         match action {
             Action::RenewLease {
                 executor,
@@ -64,7 +66,7 @@
             } => {
                 if fenced {
                     return self.answer(
-                        way,
+                        delay,
                         token,
                         Event::RenewalAnswered {
                             executor,
@@ -73,38 +75,42 @@
                         },
                     );
                 }
-                there.due = there.due.max(due.unwrap_or(0));
+                receiver.due = receiver.due.max(due.unwrap_or(0));
                 self.acknowledge(at, last_seen);
                 let any = !self.executors[at].ended.is_empty();
                 let after = if any { 0 } else { wait };
-                let pending =
-                    Pending::HoldDue(at, executor, sent_at, last_seen, token);
-                self.later(after, pending);
+                let pending = Pending::RenewalDue(
+                    at, executor, sent_at, last_seen, token,
+                );
+                self.schedule(after, pending);
             }
             Action::Start { executor, task, run, due, .. } => {
-                let there = self.executors[at].runs(&task);
+                let already_running = self.executors[at].runs(&task);
                 let answer = if fenced {
                     Err(OrderFailure::Fenced)
                 } else {
                     self.start(at, task, run, due)
                 };
-                if answer.is_ok() && !there && answer_to.is_some() {
+                if answer.is_ok() && !already_running && answer_to.is_some() {
                     self.check_cordon(at, task, run);
                 }
                 let clock = self.executors[at].clock(self.now);
                 let answer = answer.map(|()| Some(clock));
-                if self.muted(at, answer_to) {
+                if self.loses_answer(at, answer_to) {
                     let event = Event::StartAnswered {
                         executor,
                         task,
                         run,
                         answer: Err(OrderFailure::Unknown),
                     };
-                    self.later(ORDER_TIMEOUT, Pending::Tell(token, event));
+                    self.schedule(
+                        ORDER_TIMEOUT,
+                        Pending::Deliver(token, event),
+                    );
                 } else if answer_to.is_some() {
                     let event =
                         Event::StartAnswered { executor, task, run, answer };
-                    self.answer(way, token, event);
+                    self.answer(delay, token, event);
                 }
             }
             Action::Stop { executor, task, run } => {
@@ -117,25 +123,29 @@
                 if answer_to.is_some() {
                     let event =
                         Event::StopAnswered { executor, task, run, answer };
-                    self.answer(way, token, event);
+                    self.answer(delay, token, event);
                 }
             }
             _ => {}
         }
     }
 
-    pub(super) fn muted(&mut self, at: usize, answer_to: Option<u64>) -> bool {
-        let there = &mut self.executors[at];
-        let muted = answer_to.is_some() && there.mute > 0;
-        there.mute -= u32::from(muted);
-        muted
+    pub(super) fn loses_answer(
+        &mut self,
+        at: usize,
+        answer_to: Option<u64>,
+    ) -> bool {
+        let receiver = &mut self.executors[at];
+        let loses_answer = answer_to.is_some() && receiver.lost_answers > 0;
+        receiver.lost_answers -= u32::from(loses_answer);
+        loses_answer
     }
 
-    pub(super) fn answer(&mut self, way: Millis, token: u64, event: Event) {
-        self.later(way, Pending::Tell(token, event));
+    pub(super) fn answer(&mut self, delay: Millis, token: u64, event: Event) {
+        self.schedule(delay, Pending::Deliver(token, event));
     }
 
-    /// An order is answered with a failure.
+    /// Answers an order with a failure.
     pub(super) fn refuse(
         &mut self,
         action: Action,
@@ -143,38 +153,39 @@
         why: OrderFailure,
     ) {
         if let Some(event) = failed(&action, why) {
-            self.answer(WAY, token, event);
+            self.answer(LATENCY, token, event);
         }
     }
 
-    /// Nobody answers an order.
-    pub(super) fn unanswered(&mut self, action: &Action, token: u64) {
+    /// Reports the timeout of an order that nobody answers.
+    pub(super) fn leave_unanswered(&mut self, action: &Action, token: u64) {
         let after = match action {
-            Action::RenewLease { wait, .. } => wait + HOLD_SLACK,
+            Action::RenewLease { wait, .. } => wait + RENEWAL_GRACE,
             _ => ORDER_TIMEOUT,
         };
         if let Some(event) = failed(action, OrderFailure::Unknown) {
-            self.later(after, Pending::Tell(token, event));
+            self.schedule(after, Pending::Deliver(token, event));
         }
     }
 
     pub(super) fn acknowledge(&mut self, at: usize, last_seen: u64) {
-        let there = &mut self.executors[at];
-        let (gone, kept) = std::mem::take(&mut there.ended)
+        let receiver = &mut self.executors[at];
+        let (acknowledged, kept) = std::mem::take(&mut receiver.ended)
             .into_iter()
             .partition(|end| end.number <= last_seen);
-        there.ended = kept;
-        let gone: Vec<EndReport> = gone;
-        for end in gone {
-            self.noted.insert((end.task, end.run));
+        receiver.ended = kept;
+        let acknowledged: Vec<EndReport> = acknowledged;
+        for end in acknowledged {
+            self.acknowledged_ends.insert((end.task, end.run));
             if end.how == EndKind::Failed {
-                let runs = self.noted_failures.entry(end.task).or_default();
+                let runs =
+                    self.acknowledged_failures.entry(end.task).or_default();
                 runs.insert(end.run);
             }
         }
     }
 
-    pub(super) fn answer_hold(
+    pub(super) fn answer_renewal(
         &mut self,
         at: usize,
         executor: ExecutorIndex,
@@ -182,33 +193,41 @@
         _last_seen: u64,
         token: u64,
     ) {
-        let there = &self.executors[at];
-        let clock = there.clock(self.now);
-        if there.silent_to(token) {
+        let receiver = &self.executors[at];
+        let clock = receiver.clock(self.now);
+        if receiver.is_silent_to(token) {
             let event = Event::RenewalAnswered {
                 executor,
                 sent_at,
                 answer: Err(OrderFailure::Unknown),
             };
-            return self.later(HOLD_SLACK, Pending::Tell(token, event));
+            return self
+                .schedule(RENEWAL_GRACE, Pending::Deliver(token, event));
         }
-        let running = there.running.iter().map(|(task, run)| RunReport {
+        let running = receiver.running.iter().map(|(task, run)| RunReport {
             task: *task,
             run: run.run,
             checkpoint: String::new(),
-            percent: self.percents.get(task).copied().unwrap_or(100),
+            percent: self.share_percents.get(task).copied().unwrap_or(100),
             usage: self.usages.get(task).copied().unwrap_or(0),
         });
         let answer = Ok(ExecutorReport {
-            born: there.info.born,
+            born: receiver.info.born,
             clock,
             running: running.collect(),
-            ended: there.ended.iter().take(ENDS_AT_ONCE).cloned().collect(),
-            more_ended: there.ended.len() >= ENDS_AT_ONCE,
+            ended: receiver
+                .ended
+                .iter()
+                .take(MAX_REPORTED_ENDS)
+                .cloned()
+                .collect(),
+            more_ended: receiver.ended.len() >= MAX_REPORTED_ENDS,
         });
-        let way = there.held_up.map_or(WAY, |late| HOLD_SLACK + late);
+        let delay = receiver
+            .answer_delay
+            .map_or(LATENCY, |delay| RENEWAL_GRACE + delay);
         self.answer(
-            way,
+            delay,
             token,
             Event::RenewalAnswered { executor, sent_at, answer },
         );
@@ -224,46 +243,39 @@
         let now = self.now;
         let step = &self.jobs[&task.step.job].steps[task.step.step as usize];
         let (need, gang) = (step.footprint(), step.gang);
-        let takes = self.takes.get(&task).copied().unwrap_or(100);
+        let takes = self.run_time_percents.get(&task).copied().unwrap_or(100);
         let work = step.estimate * takes / 100;
         let lasting = step.lasting;
         let (after, step_count) = (step.after.clone(), step.count);
-        let there = &mut self.executors[at];
-        let work = work * there.takes / 100;
-        if there.running.get(&task).is_some_and(|r| r.run == run) {
+        let receiver = &mut self.executors[at];
+        let work = work * receiver.run_time_percent / 100;
+        if receiver.running.get(&task).is_some_and(|r| r.run == run) {
             return Ok(());
         }
-        if there.sealed.get(&task).is_some_and(|sealed| run <= *sealed) {
+        if receiver.sealed.get(&task).is_some_and(|sealed| run <= *sealed) {
             return Err(OrderFailure::Old);
         }
-        if due <= there.clock(now) {
+        if due <= receiver.clock(now) {
             return Err(OrderFailure::Late);
         }
-        there.due = there.due.max(due);
+        receiver.due = receiver.due.max(due);
         let failing = self.failing.get_mut(&task);
         let fails = failing.is_some_and(|left| {
             let fails = *left > 0;
             *left -= u32::from(fails);
             fails
         });
-        let fails = fails || there.fails;
+        let fails = fails || receiver.fails_all;
         let how = if fails { EndKind::Failed } else { EndKind::Done };
-        let work = if there.fails { FAILS_AFTER } else { work };
-        // A gang works once all are there.
+        let work = if receiver.fails_all { FAILURE_DELAY } else { work };
+        // A gang works once all its members are there.
         let forever = gang || lasting;
         let ends_at = if forever { Millis::MAX } else { now + work };
         let count = step_count;
         let gang_of = gang.then_some(count);
-        let there_now = RunThere {
-            run,
-            gang: gang_of,
-            work,
-            since: now,
-            ends_at,
-            how,
-            need,
-        };
-        there.running.insert(task, there_now);
+        let started =
+            Run { run, gang: gang_of, work, since: now, ends_at, how, need };
+        receiver.running.insert(task, started);
         *self.starts.entry(task).or_default() += 1;
         self.check_start(at, task, run, gang, &after);
         Ok(())
@@ -271,13 +283,13 @@
 
     pub(super) fn stop(&mut self, at: usize, task: TaskKey, run: u64) {
         let now = self.now;
-        let there = &mut self.executors[at];
-        let sealed = there.sealed.entry(task).or_default();
+        let receiver = &mut self.executors[at];
+        let sealed = receiver.sealed.entry(task).or_default();
         *sealed = (*sealed).max(run);
-        if let Some(on) = there.running.get_mut(&task) {
-            if on.run <= run {
-                on.how = EndKind::Stopped;
-                on.ends_at = on.ends_at.min(now + STOP);
+        if let Some(run_there) = receiver.running.get_mut(&task) {
+            if run_there.run <= run {
+                run_there.how = EndKind::Stopped;
+                run_there.ends_at = run_there.ends_at.min(now + STOP_DURATION);
             }
         }
     }
