--- a/puffinknot-measure/src/processes.rs
+++ b/puffinknot-measure/src/processes.rs
@@ -159,7 +159,7 @@
         let mut times = vec![None; self.daemons.len()];
         while times.iter().any(Option::is_none) && start.elapsed() < WAIT {
             for (daemon, time) in self.daemons.iter().zip(&mut times) {
-                let shared = daemon.control().shared().revision;
+                let shared = daemon.control().traffic_config().revision;
                 if time.is_none() && shared >= revision {
                     *time = Some(start.elapsed());
                 }
@@ -316,7 +316,7 @@
         let client = local();
         for n in 0..calls {
             let one = Instant::now();
-            let out = puffinknot::target::Outgoing {
+            let out = puffinknot::target::ExecutorCall {
                 epoch: puffinknot_core::ids::Epoch {
                     number: u64::MAX,
                     holder: "measure".into(),
--- a/puffinknot-standin/src/main.rs
+++ b/puffinknot-standin/src/main.rs
@@ -7,7 +7,7 @@
 use awc::Client;
 use clap::{Args, Parser, Subcommand};
 use eyre::{eyre, WrapErr};
-use puffinknot::vmlist::VmList;
+use puffinknot::vm_list::VmList;
 use puffinknot_core::config::Resources;
 use puffinknot_core::node::TargetKind;
 use puffinknot_core::tasks::WorkerInfo;
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -31,7 +31,7 @@
 }
 
 async fn status(control: &Control) -> Reply {
-    match control.ask(Input::Status).await {
+    match control.query(Input::Status).await {
         Ok(status) => json(StatusCode::OK, &status),
         Err(_) => text(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
     }
--- a/src/control.rs
+++ b/src/control.rs
@@ -3,7 +3,7 @@
 
 Traffic threads send it events and wait for steps; they never share its
 state. What they need for every request, the callers and their tokens, they
-read from an immutable [`Shared`] that is replaced as a whole when a new
+read from an immutable [`TrafficConfig`] that is replaced as a whole when a new
 revision of the operators' file comes into force.
 */
 
@@ -74,12 +74,12 @@
     /// Stop at once, as if the process had been killed.
     Halt,
     /// Where targets and entry VMs listen.
-    Addrs(crate::vmlist::VmList),
+    VmList(crate::vm_list::VmList),
 }
 
 /// What traffic threads read for every request.
 #[derive(Debug, Default)]
-pub struct Shared {
+pub struct TrafficConfig {
     /// The revision in force; zero without one.
     pub revision: Revision,
     /// The operators' file in force.
@@ -88,14 +88,14 @@
     callers: HashMap<String, CallerId>,
 }
 
-impl Shared {
+impl TrafficConfig {
     /// What a revision of the operators' file means for traffic threads.
-    pub fn new(revision: Revision, config: Config) -> Shared {
+    pub fn new(revision: Revision, config: Config) -> TrafficConfig {
         let by_token = |caller: &puffinknot_core::config::Caller| {
             (caller.token_sha256.to_lowercase(), caller.name.clone())
         };
         let callers = config.callers.iter().map(by_token).collect();
-        Shared { revision, config, callers }
+        TrafficConfig { revision, config, callers }
     }
 
     /// The caller with this hash of its token.
@@ -108,7 +108,7 @@
 #[derive(Clone)]
 pub struct Control {
     inputs: mpsc::UnboundedSender<Input>,
-    shared: Arc<ArcSwap<Shared>>,
+    shared: Arc<ArcSwap<TrafficConfig>>,
     next_call: Arc<AtomicU64>,
     in_progress: Arc<AtomicUsize>,
     max_calls: usize,
@@ -116,7 +116,7 @@
 
 /// The control thread has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ended;
+pub struct ControlStopped;
 
 impl Control {
     /// A way to a control thread that reads from the receiver.
@@ -133,12 +133,12 @@
     }
 
     /// What traffic threads read for every request.
-    pub fn shared(&self) -> arc_swap::Guard<Arc<Shared>> {
+    pub fn traffic_config(&self) -> arc_swap::Guard<Arc<TrafficConfig>> {
         self.shared.load()
     }
 
     /// Puts a revision of the operators' file into force for traffic.
-    pub fn publish(&self, shared: Shared) {
+    pub fn publish(&self, shared: TrafficConfig) {
         self.shared.store(Arc::new(shared));
     }
 
@@ -159,17 +159,17 @@
     /// # Errors
     ///
     /// If it has ended.
-    pub async fn ask<T>(
+    pub async fn query<T>(
         &self,
         input: impl FnOnce(oneshot::Sender<T>) -> Input,
-    ) -> Result<T, Ended> {
+    ) -> Result<T, ControlStopped> {
         let (tx, rx) = oneshot::channel();
         self.send(input(tx));
-        rx.await.map_err(|_| Ended)
+        rx.await.map_err(|_| ControlStopped)
     }
 
     /// Begins a call, unless too many are in progress.
-    pub fn begin(&self, origin: Origin, call: Call) -> Option<Begun> {
+    pub fn begin(&self, origin: Origin, call: Call) -> Option<PendingCall> {
         let before = self.in_progress.fetch_add(1, Ordering::Relaxed);
         let place = InProgress(self.in_progress.clone());
         if before >= self.max_calls {
@@ -179,7 +179,7 @@
         let (tx, steps) = mpsc::unbounded_channel();
         self.send(Input::Call(id, origin, call, tx));
         let control = self.clone();
-        Some(Begun { id, steps, control, ended: false, _place: place })
+        Some(PendingCall { id, steps, control, ended: false, _place: place })
     }
 
     /// The number of calls in progress.
@@ -198,7 +198,7 @@
 
 /// A call in progress. Dropped before its end, it counts as abandoned by
 /// its caller.
-pub struct Begun {
+pub struct PendingCall {
     id: CallId,
     steps: mpsc::UnboundedReceiver<Step>,
     control: Control,
@@ -206,7 +206,7 @@
     _place: InProgress,
 }
 
-impl Begun {
+impl PendingCall {
     /// The number of the call.
     pub fn id(&self) -> CallId {
         self.id
@@ -223,7 +223,7 @@
     }
 }
 
-impl Drop for Begun {
+impl Drop for PendingCall {
     fn drop(&mut self) {
         if !self.ended {
             self.control.event(Event::Abandoned(self.id));
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -23,16 +23,16 @@
 use tokio::time::sleep;
 
 use crate::clock;
-use crate::control::{Control, Input, Origin, Shared, Step};
+use crate::control::{Control, Input, Origin, Step, TrafficConfig};
 use crate::error::{Error, ErrorKind, Result};
-use crate::follow::{read_until_done, watch_for_ever, LeaseKeeper};
 use crate::link::Links;
+use crate::link_server::{accept, Credentials};
 use crate::metrics::Metrics;
-use crate::peers::{accept, Door};
 use crate::platform::{http_client, Platform};
+use crate::platform_watch::{read_with_retries, watch_forever, LeaseKeeper};
 use crate::settings::Settings;
 use crate::traffic::Traffic;
-use crate::vmlist::VmList;
+use crate::vm_list::VmList;
 use crate::wire::{self, Bequest, Hello, Request, Response};
 use crate::{admin, entry, http, target};
 
@@ -168,7 +168,7 @@
     steps: HashMap<CallId, mpsc::UnboundedSender<Step>>,
     targets: HashMap<TargetId, SocketAddr>,
     /// The entries of the VM list that could not be read last time.
-    unread: Unread,
+    unreadable: Unread,
     /// Where links of entry VMs listen, to start from without the platform.
     entries: Vec<SocketAddr>,
     /// Tells the keeper of the lease to write this VM's entry anew.
@@ -218,7 +218,7 @@
             admin_addr: self.admin_addr,
             steps: HashMap::new(),
             targets: HashMap::new(),
-            unread: Unread::default(),
+            unreadable: Unread::default(),
             entries: settings.peers.clone(),
             register,
             registrations: Some(registrations),
@@ -317,8 +317,10 @@
     }
 
     fn serve_links(&self, listener: TcpListener) -> actix_rt::Arbiter {
-        let door =
-            Door { cell: self.hello.cell.clone(), proof: self.hello.proof };
+        let credentials = Credentials {
+            cell: self.hello.cell.clone(),
+            proof: self.hello.proof,
+        };
         let ip = self.settings.ip();
         let (control, hello) = (self.control.clone(), self.hello.clone());
         let arbiter = actix_rt::Arbiter::new();
@@ -327,7 +329,7 @@
             match tokio::net::TcpListener::from_std(listener) {
                 Ok(listener) => {
                     let traffic = Traffic::new(control, hello, ip);
-                    actix_rt::spawn(accept(listener, door, traffic));
+                    actix_rt::spawn(accept(listener, credentials, traffic));
                 }
                 Err(err) => warn!("link: can't listen: {err}."),
             }
@@ -357,24 +359,24 @@
             }
             Input::Drain => self.drain(),
             Input::Halt => self.halted = true,
-            Input::Addrs(list) => self.listed(list),
+            Input::VmList(list) => self.listed(list),
         }
     }
 
     fn listed(&mut self, list: VmList) {
-        let unread = list.unread;
-        if unread != self.unread {
-            let (named, nameless) = (&unread.named, unread.nameless);
+        let unreadable = list.unreadable;
+        if unreadable != self.unreadable {
+            let (named, nameless) = (&unreadable.named, unreadable.nameless);
             warn!("list: can't be read: {named:?}, {nameless} without name.");
         }
         // A target whose entry can't be read stays where it was.
-        self.targets.retain(|target, _| unread.may_be(target));
+        self.targets.retain(|target, _| unreadable.may_be(target));
         self.targets.extend(list.addrs);
         let mut entries = self.settings.peers.clone();
         entries.extend(list.entries);
         self.entries = entries;
-        self.unread = unread.clone();
-        self.event(Event::ListedInPart(list.targets, unread));
+        self.unreadable = unreadable.clone();
+        self.event(Event::ListedInPart(list.targets, unreadable));
     }
 
     fn drain(&mut self) {
@@ -414,13 +416,13 @@
             Action::Read => {
                 let (platform, control) = self.platform();
                 actix_rt::spawn(async move {
-                    read_until_done(&platform, &control).await;
+                    read_with_retries(&platform, &control).await;
                 });
             }
             Action::Register { draining } => {
                 let _ = self.register.send(draining);
             }
-            Action::Ask { target, epoch } => self.ask(target, epoch),
+            Action::Ask { target, epoch } => self.probe(target, epoch),
             Action::Sync { target, request } => self.sync(target, request),
             Action::Dispatch { id, target, epoch } => {
                 let request = self.node.request_id(id);
@@ -452,7 +454,8 @@
             Action::InForce(revision) => {
                 info!("config: revision {revision} is in force.");
                 let config = self.node.view().config().cloned();
-                let shared = Shared::new(revision, config.unwrap_or_default());
+                let shared =
+                    TrafficConfig::new(revision, config.unwrap_or_default());
                 self.control.publish(shared);
             }
         }
@@ -484,12 +487,12 @@
         self.node.view().members().get(vm)?.addr.parse().ok()
     }
 
-    fn ask(&self, target: TargetId, epoch: puffinknot_core::ids::Epoch) {
+    fn probe(&self, target: TargetId, epoch: puffinknot_core::ids::Epoch) {
         let addr = self.targets.get(&target).copied();
         let (client, control) = (self.client.clone(), self.control.clone());
         actix_rt::spawn(async move {
             let result = match addr {
-                Some(addr) => target::ask(&client, addr, &epoch).await,
+                Some(addr) => target::probe(&client, addr, &epoch).await,
                 None => Err(TargetError::Unreachable),
             };
             control.event(Event::Executor { target, epoch, result });
@@ -528,7 +531,7 @@
         };
         actix_rt::spawn(async move {
             let request = Request::Bequest(bequest);
-            let answer = links.ask(addr, &request, PEER_TIMEOUT).await;
+            let answer = links.request(addr, &request, PEER_TIMEOUT).await;
             let taken = matches!(answer, Ok(Response::Noted));
             control.event(Event::BequestEnded { scope, taken });
         });
@@ -577,7 +580,7 @@
         let request = Request::Summary(summary.clone());
         let (links, control) = (self.links.clone(), self.control.clone());
         actix_rt::spawn(async move {
-            let answer = links.ask(peer, &request, PEER_TIMEOUT).await;
+            let answer = links.request(peer, &request, PEER_TIMEOUT).await;
             if let Ok(Response::Summary(theirs)) = answer {
                 control.event(Event::Heard(theirs));
                 if fetch {
@@ -593,7 +596,7 @@
         actix_rt::spawn(async move {
             loop {
                 match VmList::fetch(&client, &url).await {
-                    Ok(list) => control.send(Input::Addrs(list)),
+                    Ok(list) => control.send(Input::VmList(list)),
                     Err(err) => log::debug!("list: {err}."),
                 }
                 sleep(LIST_EVERY).await;
@@ -603,7 +606,7 @@
 
     fn start_platform(&mut self) {
         let (platform, control) = self.platform();
-        actix_rt::spawn(watch_for_ever(platform, control));
+        actix_rt::spawn(watch_forever(platform, control));
         let Some(registrations) = self.registrations.take() else { return };
         let keeper = LeaseKeeper {
             platform: self.platform.clone(),
@@ -623,7 +626,7 @@
 
 fn fetch_from(links: Links, control: Control, peer: SocketAddr) {
     actix_rt::spawn(async move {
-        let answer = links.ask(peer, &Request::Fetch, PEER_TIMEOUT).await;
+        let answer = links.request(peer, &Request::Fetch, PEER_TIMEOUT).await;
         if let Ok(Response::Stored(stored)) = answer {
             control.event(Event::Learned(stored));
         }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -129,14 +129,14 @@
     if request.method() != Method::POST {
         return text(StatusCode::METHOD_NOT_ALLOWED, "use POST");
     }
-    if traffic.control().shared().revision == 0 {
+    if traffic.control().traffic_config().revision == 0 {
         return no_config(request.headers());
     }
     let call = match admit(&traffic, class, request.headers()) {
         Ok(call) => call,
         Err(invalid) => return invalid.reply(),
     };
-    let limit = traffic.control().shared().config.policy.body_bytes;
+    let limit = traffic.control().traffic_config().config.policy.body_bytes;
     let payload = request.take_payload();
     let body = match read_body(payload, limit, BODY_TIMEOUT).await {
         Ok(body) => body,
@@ -151,7 +151,7 @@
     if draining {
         return text(StatusCode::SERVICE_UNAVAILABLE, "draining");
     }
-    if traffic.control().shared().revision == 0 {
+    if traffic.control().traffic_config().revision == 0 {
         return text(StatusCode::SERVICE_UNAVAILABLE, "no configuration");
     }
     text(StatusCode::OK, "ready")
@@ -160,7 +160,7 @@
 fn no_config(headers: &HeaderMap) -> Reply {
     let keyed = headers.contains_key(crate::target::KEY);
     let outcome = Outcome::not_run(Reason::NoConfig, 1_000);
-    reply(crate::traffic::unless_keyed(keyed, outcome), None)
+    reply(crate::traffic::unknown_if_keyed(keyed, outcome), None)
 }
 
 async fn run(traffic: &Traffic, call: Call, body: Bytes) -> Reply {
@@ -174,7 +174,7 @@
     class: &str,
     headers: &HeaderMap,
 ) -> Result<Call, Invalid> {
-    let shared = traffic.control().shared();
+    let shared = traffic.control().traffic_config();
     let token = header(headers, "authorization").ok_or(Invalid::NoToken)?;
     let token = token.strip_prefix("Bearer ").ok_or(Invalid::NoToken)?;
     let caller =
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,11 +14,11 @@
 wanted, and [`traffic`] leads the call to its end. What to do is decided on
 the [`control`] thread, which alone owns the state: run the call at an
 executor ([`target`]), send it on to the entry VM that holds a free slot
-([`link`], [`wire`]), or answer it. On the other side, [`peers`] takes calls
+([`link`], [`wire`]), or answer it. On the other side, [`link_server`] takes calls
 that were sent on.
 
 Behind that, [`daemon`] keeps the state up to date: from the platform's
-key-value service ([`platform`]), from the VM list ([`vmlist`]), and from
+key-value service ([`platform`]), from the VM list ([`vm_list`]), and from
 other entry VMs.
 
 Operators talk to the daemon through [`admin`], mostly by the commands in
@@ -68,16 +68,16 @@
 pub mod daemon;
 pub mod entry;
 pub mod error;
-mod follow;
 pub mod http;
 pub mod link;
+pub mod link_server;
 pub mod metrics;
-pub mod peers;
 pub mod platform;
+mod platform_watch;
 pub mod settings;
 pub mod target;
 pub mod traffic;
-pub mod vmlist;
+pub mod vm_list;
 pub mod wire;
 
 pub use puffinknot_core as core;
--- a/src/link.rs
+++ b/src/link.rs
@@ -74,7 +74,7 @@
     /// # Errors
     ///
     /// If there is no answer within `within`, or the peer refuses us.
-    pub async fn ask(
+    pub async fn request(
         &self,
         peer: SocketAddr,
         request: &Request,
--- a/src/peers.rs
+++ b/src/link_server.rs
@@ -31,7 +31,7 @@
 
 /// Who may connect.
 #[derive(Clone, Debug)]
-pub struct Door {
+pub struct Credentials {
     /// The cell.
     pub cell: String,
     /// The proof of its secret.
@@ -39,13 +39,17 @@
 }
 
 /// Accepts links for ever.
-pub async fn accept(listener: TcpListener, door: Door, traffic: Traffic) {
-    let door = Rc::new(door);
+pub async fn accept(
+    listener: TcpListener,
+    credentials: Credentials,
+    traffic: Traffic,
+) {
+    let credentials = Rc::new(credentials);
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
                 let peer = Peer {
-                    door: door.clone(),
+                    credentials: credentials.clone(),
                     traffic: traffic.clone(),
                     from,
                 };
@@ -61,7 +65,7 @@
 
 #[derive(Clone)]
 struct Peer {
-    door: Rc<Door>,
+    credentials: Rc<Credentials>,
     traffic: Traffic,
     from: SocketAddr,
 }
@@ -128,7 +132,7 @@
 
     fn check(&self, bytes: Result<Bytes, String>) -> Result<(), String> {
         let hello = wire::decode_hello(&bytes?)?;
-        hello.check(&self.door.cell, &self.door.proof)
+        hello.check(&self.credentials.cell, &self.credentials.proof)
     }
 
     async fn exchanges(self, mut connection: Connection<TcpStream, Bytes>) {
@@ -168,12 +172,12 @@
         match request {
             Request::Summary(theirs) => {
                 let ask = |tx| Input::Summary(theirs, tx);
-                match control.ask(ask).await {
+                match control.query(ask).await {
                     Ok(ours) => Response::Summary(ours),
                     Err(_) => stopping(),
                 }
             }
-            Request::Fetch => match control.ask(Input::Export).await {
+            Request::Fetch => match control.query(Input::Export).await {
                 Ok(stored) => Response::Stored(stored),
                 Err(_) => stopping(),
             },
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -69,7 +69,7 @@
 
 /// What a watch has seen.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct WatchUpdate {
     /// The revision of the last change.
     pub revision: Revision,
     /// Values that were put.
@@ -347,7 +347,7 @@
     pub async fn watch(
         &self,
         from: Revision,
-        mut seen: impl FnMut(Seen),
+        mut seen: impl FnMut(WatchUpdate),
     ) -> Result<()> {
         let (first, end) = self.range();
         let body = json!({ "create_request": {
@@ -372,7 +372,7 @@
         Err(failed("the watch has ended"))
     }
 
-    fn watch_line(&self, line: &[u8]) -> Result<Seen> {
+    fn watch_line(&self, line: &[u8]) -> Result<WatchUpdate> {
         let parsed: WatchJson =
             serde_json::from_slice(line).map_err(failed)?;
         let result = parsed.result;
@@ -382,10 +382,10 @@
         if result.created {
             // Its revision is that of the service, and changes up to it
             // may still be on their way.
-            return Ok(Seen::default());
+            return Ok(WatchUpdate::default());
         }
         let revision = number(&result.header.revision);
-        let mut seen = Seen { revision, ..Seen::default() };
+        let mut seen = WatchUpdate { revision, ..WatchUpdate::default() };
         for event in &result.events {
             if event.kind == "DELETE" {
                 seen.deleted.extend(self.key(&event.kv));
@@ -428,7 +428,7 @@
     /// # Errors
     ///
     /// If the service gives no usable answer.
-    pub async fn take(
+    pub async fn acquire(
         platform: &Platform,
         ttl: u64,
         key: &Key,
--- a/src/follow.rs
+++ b/src/platform_watch.rs
@@ -46,7 +46,7 @@
 
 /// Reads everything, however long it takes until the platform answers, and
 /// returns the revision of the read.
-pub(crate) async fn read_until_done(
+pub(crate) async fn read_with_retries(
     platform: &Platform,
     control: &Control,
 ) -> Revision {
@@ -68,9 +68,9 @@
 }
 
 /// Reads everything, then watches; begins anew when the watch ends.
-pub(crate) async fn watch_for_ever(platform: Platform, control: Control) {
+pub(crate) async fn watch_forever(platform: Platform, control: Control) {
     loop {
-        let revision = read_until_done(&platform, &control).await;
+        let revision = read_with_retries(&platform, &control).await;
         let ended = watch_from(&platform, &control, revision).await;
         debug!("platform: {ended}");
         BackOff::new().wait().await;
@@ -131,7 +131,7 @@
         mut wishes: mpsc::UnboundedReceiver<bool>,
     ) {
         let every = Duration::from_millis(self.ttl * 1_000 / 3);
-        let mut lease = self.take().await;
+        let mut lease = self.acquire().await;
         loop {
             tokio::select! {
                 wish = wishes.recv() => {
@@ -149,12 +149,13 @@
         (key, Value::Member(self.member.clone()))
     }
 
-    async fn take(&self) -> Lease {
+    async fn acquire(&self) -> Lease {
         let (key, value) = self.entry();
         let mut back_off = BackOff::new();
         loop {
-            let taken = Lease::take(&self.platform, self.ttl, &key, &value);
-            match taken.await {
+            let acquired =
+                Lease::acquire(&self.platform, self.ttl, &key, &value);
+            match acquired.await {
                 Ok(lease) => {
                     let sent_at = lease.sent_at;
                     self.control.event(Event::Renewed { sent_at });
@@ -184,7 +185,7 @@
             Ok(false) => {
                 warn!("lease: it has lapsed; taking out another.");
                 self.control.event(Event::LeaseLost);
-                *lease = self.take().await;
+                *lease = self.acquire().await;
             }
             Err(err) => debug!("lease: {err}."),
         }
--- a/src/target.rs
+++ b/src/target.rs
@@ -30,7 +30,7 @@
 
 /// A call to send to an executor.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
+pub struct ExecutorCall {
     /// The epoch to send it under.
     pub epoch: Epoch,
     /// The id of this request.
@@ -47,7 +47,7 @@
 pub async fn call(
     client: &Client,
     addr: SocketAddr,
-    call: Outgoing,
+    call: ExecutorCall,
 ) -> (Attempt, Option<Answer>) {
     let mut request = client
         .post(format!("http://{addr}/call"))
@@ -92,7 +92,7 @@
 /// # Errors
 ///
 /// If it has seen a higher epoch or gives no usable answer.
-pub async fn ask(
+pub async fn probe(
     client: &Client,
     addr: SocketAddr,
     epoch: &Epoch,
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -23,7 +23,7 @@
 use crate::control::{Control, Origin, Step};
 use crate::link::Links;
 use crate::platform::http_client;
-use crate::target::{self, Outgoing};
+use crate::target::{self, ExecutorCall};
 use crate::wire::{Answer, Hello, Hop, Request, Response};
 
 /// A hop gets this much longer than the call's deadline, so that the peer
@@ -61,19 +61,20 @@
         body: Bytes,
     ) -> (Outcome, Option<Answer>) {
         let key = call.key.clone();
-        let Some(mut begun) = self.control.begin(origin, call) else {
+        let Some(mut pending) = self.control.begin(origin, call) else {
             let outcome = Outcome::not_run(Reason::QueueFull, 1_000);
-            return (unless_keyed(key.is_some(), outcome), None);
+            return (unknown_if_keyed(key.is_some(), outcome), None);
         };
-        let id = begun.id();
+        let id = pending.id();
         let slot = Slot::default();
-        while let Some(step) = begun.step().await {
+        while let Some(step) = pending.step().await {
             match step {
                 Step::Dispatch { addr, epoch, request } => {
                     let key = key.as_ref().map(key_text);
                     let limit = self.body_limit();
                     let body = body.clone();
-                    let out = Outgoing { epoch, request, key, body, limit };
+                    let out =
+                        ExecutorCall { epoch, request, key, body, limit };
                     self.attempt(id, addr, out, slot.clone());
                 }
                 Step::Forward { addr, scope, call } => {
@@ -90,14 +91,14 @@
     }
 
     fn body_limit(&self) -> usize {
-        self.control.shared().config.policy.body_bytes
+        self.control.traffic_config().config.policy.body_bytes
     }
 
     fn attempt(
         &self,
         id: CallId,
         addr: SocketAddr,
-        out: Outgoing,
+        out: ExecutorCall,
         slot: Slot,
     ) {
         let client = self.client.clone();
@@ -115,7 +116,7 @@
         let within = Duration::from_millis(hop.call.remaining) + HOP_GRACE;
         actix_rt::spawn(async move {
             let request = Request::Hop(hop);
-            let event = match links.ask(addr, &request, within).await {
+            let event = match links.request(addr, &request, within).await {
                 Ok(Response::Ended(outcome, answer)) => {
                     *slot.borrow_mut() = answer;
                     Event::HopEnded(id, outcome)
@@ -130,7 +131,7 @@
 
 /// A refusal of this VM says nothing about earlier attempts of a call with
 /// a key.
-pub fn unless_keyed(keyed: bool, outcome: Outcome) -> Outcome {
+pub fn unknown_if_keyed(keyed: bool, outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::NotRun { reason, retry_after } if keyed => {
             Outcome::unknown(reason, retry_after)
--- a/src/vmlist.rs
+++ b/src/vm_list.rs
@@ -30,7 +30,7 @@
     /// Where the links of entry VMs listen.
     pub entries: Vec<SocketAddr>,
     /// The entries that could not be read.
-    pub unread: Unread,
+    pub unreadable: Unread,
 }
 
 #[derive(Deserialize)]
@@ -74,9 +74,9 @@
         }
         match label("vm").filter(|vm| !vm.is_empty()) {
             Some(vm) => {
-                self.unread.named.insert(TargetId(vm.clone()));
+                self.unreadable.named.insert(TargetId(vm.clone()));
             }
-            None => self.unread.nameless += 1,
+            None => self.unreadable.nameless += 1,
         }
     }
 
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -9,7 +9,7 @@
 };
 use puffinknot::client::{run, Cli};
 use puffinknot::settings::Settings;
-use puffinknot::vmlist::VmList;
+use puffinknot::vm_list::VmList;
 use puffinknot::wire;
 use puffinknot_core::config::Config;
 use puffinknot_core::store::{Key, Value};
@@ -148,11 +148,11 @@
         list.targets.iter().map(|listed| listed.id.as_str()).collect();
     assert_eq!(read, ["whole"]);
     let named: Vec<&str> =
-        list.unread.named.iter().map(|id| id.as_str()).collect();
+        list.unreadable.named.iter().map(|id| id.as_str()).collect();
     let expected =
         ["no-address", "no-data-centre", "no-kind", "no-target", "other-kind"];
     assert_eq!(named, expected);
-    assert_eq!(list.unread.nameless, 3);
+    assert_eq!(list.unreadable.nameless, 3);
     assert_eq!(list.entries.len(), 1);
 }
 
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -511,7 +511,7 @@
         let ip = std::net::Ipv4Addr::LOCALHOST.into();
         let links = puffinknot::link::Links::new(hello, ip);
         let request = puffinknot::wire::Request::Fetch;
-        links.ask(addr, &request, Duration::from_secs(5)).await
+        links.request(addr, &request, Duration::from_secs(5)).await
     });
     let refusal = refusal.expect_err("a stranger is refused");
     assert!(!refusal.sent);
