--- a/src/control.rs
+++ b/src/control.rs
@@ -1,10 +1,10 @@
 /*!
-The control thread: it alone owns the state of the VM.
+The interface of the control thread, the only owner of the VM's state.
 
-Traffic threads send it events and wait for steps; they never share its
-state. What they need for every request, the callers and their tokens, they
-read from an immutable [`TrafficConfig`] that is replaced as a whole when a new
-revision of the operators' file comes into force.
+Traffic threads send events to the control thread and wait for steps; they
+never access its state. The callers and tokens that every request needs are
+in an immutable [`TrafficConfig`], which is replaced as a whole when a new
+revision of the operators' file becomes active.
 */
 
 use std::collections::HashMap;
@@ -22,74 +22,74 @@
 use puffinknot_core::store::Stored;
 use tokio::sync::{mpsc, oneshot};
 
-/// What a traffic thread is to do for a call.
+/// An instruction to a traffic thread about a call.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Send it to an executor.
+    /// Send the call to an executor.
     Dispatch {
-        /// Where the executor listens.
+        /// The address of the executor.
         addr: SocketAddr,
         /// The epoch to send it under.
         epoch: Epoch,
         /// The id of the request.
         request: String,
     },
-    /// Send it to another entry VM.
+    /// Forward the call to another entry VM.
     Forward {
-        /// Where the links of that VM listen.
+        /// The link address of that VM.
         addr: SocketAddr,
         /// The contract to run it under.
         scope: Scope,
-        /// What to send.
+        /// The call to send.
         call: Call,
     },
-    /// Answer it.
+    /// Return this outcome to the origin of the call.
     Answer(Outcome),
 }
 
-/// Where a call came from.
+/// The origin of a call.
 #[derive(Clone, Copy, Debug)]
 pub enum Origin {
     /// A caller.
     Caller,
-    /// A peer that wants it run under this contract.
+    /// A peer that forwarded the call, to run it under this contract.
     Hop(Scope),
 }
 
-/// What reaches the control thread.
+/// An input of the control thread.
 #[derive(Debug)]
 pub enum Input {
-    /// Something happened.
+    /// An event for the core.
     Event(Event),
-    /// A call has come; its steps go to the sender.
+    /// A call has arrived; its steps go to this sender.
     Call(CallId, Origin, Call, mpsc::UnboundedSender<Step>),
-    /// An operator asks how the VM is doing.
+    /// An operator requests the status of the VM.
     Status(oneshot::Sender<NodeStatus>),
-    /// A peer has sent its summary and wants this VM's.
+    /// A peer has sent its summary and requests this VM's summary.
     Summary(Summary, oneshot::Sender<Summary>),
-    /// A peer asks for what this VM knows of the platform's values.
+    /// A peer requests the platform values that this VM knows.
     Export(oneshot::Sender<Vec<Stored>>),
-    /// Begin a planned stop.
+    /// Start a planned shutdown.
     Drain,
     /// Stop at once, as if the process had been killed.
     Halt,
-    /// Where targets and entry VMs listen.
+    /// A new VM list.
     VmList(crate::vm_list::VmList),
 }
 
-/// What traffic threads read for every request.
+/// The configuration that traffic threads read for every request.
 #[derive(Debug, Default)]
 pub struct TrafficConfig {
-    /// The revision in force; zero without one.
+    /// The active revision; zero if there is none.
     pub revision: Revision,
-    /// The operators' file in force.
+    /// The active operators' file.
     pub config: Config,
     /// Callers by the SHA-256 of their token, in lower-case hexadecimal.
     callers: HashMap<String, CallerId>,
 }
 
 impl TrafficConfig {
-    /// What a revision of the operators' file means for traffic threads.
+    /// The configuration from a revision of the operators' file.
     pub fn new(revision: Revision, config: Config) -> TrafficConfig {
         let by_token = |caller: &puffinknot_core::config::Caller| {
             (caller.token_sha256.to_lowercase(), caller.name.clone())
@@ -98,13 +98,13 @@
         TrafficConfig { revision, config, callers }
     }
 
-    /// The caller with this hash of its token.
+    /// The caller whose token has this hash.
     pub fn caller(&self, token_sha256: &str) -> Option<&CallerId> {
         self.callers.get(token_sha256)
     }
 }
 
-/// A way to the control thread, for every other thread.
+/// A handle of the control thread, for use by all other threads.
 #[derive(Clone)]
 pub struct Control {
     inputs: mpsc::UnboundedSender<Input>,
@@ -119,7 +119,8 @@
 pub struct ControlStopped;
 
 impl Control {
-    /// A way to a control thread that reads from the receiver.
+    /// Creates a handle, and the receiver that the control thread reads. At
+    /// most `max_calls` calls are in progress at a time.
     pub fn new(max_calls: usize) -> (Control, mpsc::UnboundedReceiver<Input>) {
         let (inputs, receiver) = mpsc::unbounded_channel();
         let control = Control {
@@ -132,33 +133,33 @@
         (control, receiver)
     }
 
-    /// What traffic threads read for every request.
+    /// The configuration for traffic threads.
     pub fn traffic_config(&self) -> arc_swap::Guard<Arc<TrafficConfig>> {
         self.shared.load()
     }
 
-    /// Puts a revision of the operators' file into force for traffic.
+    /// Replaces the configuration for traffic threads.
     pub fn publish(&self, shared: TrafficConfig) {
         self.shared.store(Arc::new(shared));
     }
 
-    /// Tells the control thread something.
+    /// Sends an input to the control thread.
     pub fn send(&self, input: Input) {
-        // An error means that the control thread has ended, and with it
-        // the process is about to.
+        // An error means that the control thread has ended; the process is
+        // about to exit.
         let _ = self.inputs.send(input);
     }
 
-    /// Tells the control thread what happened.
+    /// Sends an event to the core.
     pub fn event(&self, event: Event) {
         self.send(Input::Event(event));
     }
 
-    /// Asks the control thread something.
+    /// Sends an input that has a reply, and waits for the reply.
     ///
     /// # Errors
     ///
-    /// If it has ended.
+    /// If the control thread has ended.
     pub async fn query<T>(
         &self,
         input: impl FnOnce(oneshot::Sender<T>) -> Input,
@@ -168,10 +169,10 @@
         rx.await.map_err(|_| ControlStopped)
     }
 
-    /// Begins a call, unless too many are in progress.
+    /// Starts a call. Returns `None` if the maximum is already in progress.
     pub fn begin(&self, origin: Origin, call: Call) -> Option<PendingCall> {
         let before = self.in_progress.fetch_add(1, Ordering::Relaxed);
-        let place = InProgress(self.in_progress.clone());
+        let guard = InProgress(self.in_progress.clone());
         if before >= self.max_calls {
             return None;
         }
@@ -179,7 +180,7 @@
         let (tx, steps) = mpsc::unbounded_channel();
         self.send(Input::Call(id, origin, call, tx));
         let control = self.clone();
-        Some(PendingCall { id, steps, control, ended: false, _place: place })
+        Some(PendingCall { id, steps, control, ended: false, _guard: guard })
     }
 
     /// The number of calls in progress.
@@ -188,6 +189,7 @@
     }
 }
 
+/// Counts one call as in progress until it is dropped.
 struct InProgress(Arc<AtomicUsize>);
 
 impl Drop for InProgress {
@@ -196,23 +198,23 @@
     }
 }
 
-/// A call in progress. Dropped before its end, it counts as abandoned by
-/// its caller.
+/// A call in progress. If it is dropped before its end, the core treats the
+/// call as abandoned by its caller.
 pub struct PendingCall {
     id: CallId,
     steps: mpsc::UnboundedReceiver<Step>,
     control: Control,
     ended: bool,
-    _place: InProgress,
+    _guard: InProgress,
 }
 
 impl PendingCall {
-    /// The number of the call.
+    /// The id of the call.
     pub fn id(&self) -> CallId {
         self.id
     }
 
-    /// The next thing to do; `None` if the control thread has ended.
+    /// Waits for the next step; `None` if the control thread has ended.
     pub async fn step(&mut self) -> Option<Step> {
         let step = self.steps.recv().await;
         self.ended = !matches!(
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,9 +1,9 @@
 /*!
-The daemon: it joins the core, its clocks and its connections.
+The daemon, which connects the decision core to clocks and the network.
 
-The control thread runs [`Node`] and everything that is not on the way of a
-call: the platform, the VM list, summaries to peers, and the epochs and syncs
-for targets. Callers are served by threads of their own, links by another.
+The control thread runs [`Node`] and all I/O that is not part of a call: the
+platform, the VM list, summaries to peers, and epochs and syncs for targets.
+Separate threads serve callers, operators and links.
 */
 
 use std::collections::{HashMap, HashSet};
@@ -36,18 +36,18 @@
 use crate::wire::{self, Bequest, Hello, Request, Response};
 use crate::{admin, entry, http, target};
 
-/// How often the core is told that time has passed.
-const TICK: Duration = Duration::from_millis(50);
-/// How often the VM list is read.
-const LIST_EVERY: Duration = Duration::from_millis(1_000);
-/// How often summaries go to the peers of the data centre.
-const SUMMARY_EVERY: Duration = Duration::from_millis(1_000);
-/// A peer must answer a summary or a fetch within this time.
+/// The interval between the core's [`Event::Tick`]s.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The interval between reads of the VM list.
+const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
+/// The interval between summaries to the peers in this data centre.
+const SUMMARY_INTERVAL: Duration = Duration::from_millis(1_000);
+/// The timeout of a summary, a fetch or a handover.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How often metrics are sent.
-const METRICS_EVERY: Duration = Duration::from_secs(1);
+/// The interval between transmissions of metrics.
+const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A daemon that runs on threads of its own.
+/// A running daemon. It has its own threads.
 pub struct Daemon {
     vm: VmId,
     listen: SocketAddr,
@@ -62,7 +62,8 @@
     ///
     /// # Errors
     ///
-    /// If a setting is wrong or an address can't be listened on.
+    /// If a setting is invalid, an address can't be bound or the control
+    /// thread can't be started.
     pub fn start(settings: Settings) -> Result<Daemon> {
         settings.validate()?;
         let entry = listen("--listen", settings.listen)?;
@@ -71,24 +72,24 @@
         let addr = |l: &TcpListener| l.local_addr();
         let addrs = (addr(&entry), addr(&links), addr(&admin));
         let (Ok(listen), Ok(link), Ok(admin_addr)) = addrs else {
-            let problem = "an address can't be found out";
+            let problem = "the address of a listener can't be read";
             let remedy = "try again";
             return Err(Error::new(ErrorKind::Listen, problem, remedy));
         };
-        let run = format!("{:08x}", rand::rng().random::<u32>());
-        let vm = VmId(format!("{}.{run}", settings.vm));
+        let incarnation = format!("{:08x}", rand::rng().random::<u32>());
+        let vm = VmId(format!("{}.{incarnation}", settings.vm));
         let (control, inputs) = Control::new(settings.max_calls);
-        let seed = Seed {
+        let setup = ControlSetup {
             settings,
-            run,
+            incarnation,
             control: control.clone(),
             link_addr: link,
             admin_addr,
         };
-        let sockets = Sockets { entry, links, admin };
+        let listeners = Listeners { entry, links, admin };
         let thread = std::thread::Builder::new()
             .name("control".into())
-            .spawn(move || seed.run(sockets, inputs))
+            .spawn(move || setup.run(listeners, inputs))
             .map_err(|err| {
                 Error::new(ErrorKind::Listen, err.to_string(), "try again")
             })?;
@@ -96,27 +97,27 @@
         Ok(Daemon { vm, listen, link, admin, control, thread })
     }
 
-    /// The name of this run of the daemon.
+    /// The name of this incarnation of the VM.
     pub fn vm(&self) -> &VmId {
         &self.vm
     }
 
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub fn listen(&self) -> SocketAddr {
         self.listen
     }
 
-    /// Where other entry VMs connect.
+    /// The address that other entry VMs connect to.
     pub fn link(&self) -> SocketAddr {
         self.link
     }
 
-    /// Where operators connect.
+    /// The address that operators connect to.
     pub fn admin(&self) -> SocketAddr {
         self.admin
     }
 
-    /// Begins a planned stop.
+    /// Starts a planned shutdown.
     pub fn drain(&self) {
         self.control.send(Input::Drain);
     }
@@ -127,7 +128,7 @@
         self.join();
     }
 
-    /// The way to the control thread.
+    /// The handle of the control thread.
     pub fn control(&self) -> &Control {
         &self.control
     }
@@ -142,20 +143,20 @@
     TcpListener::bind(addr).map_err(|err| {
         Error::new(
             ErrorKind::Listen,
-            format!("{flag} {addr} can't be listened on: {err}"),
-            "choose an address of this VM and a port that is free",
+            format!("can't listen on {flag} {addr}: {err}"),
+            "choose an address of this VM and a free port",
         )
     })
 }
 
-struct Sockets {
+struct Listeners {
     entry: TcpListener,
     links: TcpListener,
     admin: TcpListener,
 }
 
-/// The control thread's state beside the core.
-struct Runner {
+/// The control thread: the core, and the I/O that it asks for.
+struct ControlThread {
     settings: Settings,
     control: Control,
     node: Node,
@@ -165,35 +166,37 @@
     hello: Hello,
     link_addr: SocketAddr,
     admin_addr: SocketAddr,
-    steps: HashMap<CallId, mpsc::UnboundedSender<Step>>,
+    step_senders: HashMap<CallId, mpsc::UnboundedSender<Step>>,
     targets: HashMap<TargetId, SocketAddr>,
-    /// The entries of the VM list that could not be read last time.
+    /// The unreadable entries of the last VM list.
     unreadable: Unread,
-    /// Where links of entry VMs listen, to start from without the platform.
-    entries: Vec<SocketAddr>,
-    /// Tells the keeper of the lease to write this VM's entry anew.
-    register: mpsc::UnboundedSender<bool>,
-    registrations: Option<mpsc::UnboundedReceiver<bool>>,
+    /// Link addresses from the settings and the VM list. Summaries go there
+    /// while no member is known from the platform or from peers.
+    seed_peers: Vec<SocketAddr>,
+    /// Tells the [`LeaseKeeper`] to rewrite this VM's member entry with this
+    /// value of `draining`.
+    draining_updates: mpsc::UnboundedSender<bool>,
+    draining_receiver: Option<mpsc::UnboundedReceiver<bool>>,
     draining: Arc<AtomicBool>,
     metrics: Metrics,
     halted: bool,
-    round: usize,
+    summary_round: usize,
 }
 
-/// What a [`Runner`] is built from, on the thread that it stays on: clients
-/// of `awc` can't move to another.
-struct Seed {
+/// What a [`ControlThread`] is built from. It is built on the control thread
+/// itself because `awc` clients can't move between threads.
+struct ControlSetup {
     settings: Settings,
-    run: String,
+    incarnation: String,
     control: Control,
     link_addr: SocketAddr,
     admin_addr: SocketAddr,
 }
 
-impl Seed {
-    fn build(self) -> Runner {
+impl ControlSetup {
+    fn build(self) -> ControlThread {
         let settings = self.settings;
-        let config = settings.node(&self.run);
+        let config = settings.node_config(&self.incarnation);
         let client = http_client(settings.ip());
         let hello = Hello {
             magic: wire::MAGIC,
@@ -205,8 +208,8 @@
         };
         let platform =
             Platform::new(client.clone(), &settings.platform, &settings.cell);
-        let (register, registrations) = mpsc::unbounded_channel();
-        Runner {
+        let (draining_updates, draining_receiver) = mpsc::unbounded_channel();
+        ControlThread {
             metrics: Metrics::new(&settings),
             node: Node::new(config),
             links: Links::new(hello.clone(), settings.ip()),
@@ -216,56 +219,60 @@
             control: self.control,
             link_addr: self.link_addr,
             admin_addr: self.admin_addr,
-            steps: HashMap::new(),
+            step_senders: HashMap::new(),
             targets: HashMap::new(),
             unreadable: Unread::default(),
-            entries: settings.peers.clone(),
-            register,
-            registrations: Some(registrations),
+            seed_peers: settings.peers.clone(),
+            draining_updates,
+            draining_receiver: Some(draining_receiver),
             draining: Arc::default(),
             halted: false,
-            round: 0,
+            summary_round: 0,
             settings,
         }
     }
 
-    fn run(self, sockets: Sockets, inputs: mpsc::UnboundedReceiver<Input>) {
+    fn run(
+        self,
+        listeners: Listeners,
+        inputs: mpsc::UnboundedReceiver<Input>,
+    ) {
         actix_rt::System::new().block_on(async move {
-            self.build().main(sockets, inputs).await;
+            self.build().main(listeners, inputs).await;
         });
     }
 }
 
-impl Runner {
+impl ControlThread {
     async fn main(
         mut self,
-        sockets: Sockets,
+        listeners: Listeners,
         mut inputs: mpsc::UnboundedReceiver<Input>,
     ) {
-        info!("control: {} starts.", self.node.vm());
-        let links = self.serve_links(sockets.links);
-        let servers = self.serve(sockets.entry, sockets.admin);
+        info!("control: {} started.", self.node.vm());
+        let links = self.serve_links(listeners.links);
+        let servers = self.serve(listeners.entry, listeners.admin);
         self.start_platform();
         self.start_list();
-        let mut tick = tokio::time::interval(TICK);
-        let mut gossip = tokio::time::interval(SUMMARY_EVERY);
-        let mut metrics = tokio::time::interval(METRICS_EVERY);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
+        let mut summaries = tokio::time::interval(SUMMARY_INTERVAL);
+        let mut metrics = tokio::time::interval(METRICS_INTERVAL);
         loop {
             tokio::select! {
-                Some(input) = inputs.recv() => self.input(input),
+                Some(input) = inputs.recv() => self.handle_input(input),
                 _ = tick.tick() => {
-                    self.event(Event::Tick);
+                    self.handle_event(Event::Tick);
                     if self.halted || self.stopped() {
                         break;
                     }
                 }
-                _ = gossip.tick() => self.send_summaries(),
+                _ = summaries.tick() => self.send_summaries(),
                 _ = metrics.tick() => {
                     self.metrics.send(self.node.counters());
                 }
             }
         }
-        info!("control: {} stops.", self.node.vm());
+        info!("control: {} is stopping.", self.node.vm());
         for server in servers {
             server.stop(!self.halted).await;
         }
@@ -273,14 +280,14 @@
         self.metrics.send(self.node.counters());
     }
 
-    /// Whether a planned stop has come to its end.
+    /// Whether a planned shutdown is complete.
     fn stopped(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
             && self.node.drained()
             && self.control.in_progress() == 0
     }
 
-    /// Starts the threads that serve callers and operators.
+    /// Starts the HTTP servers for callers and operators.
     fn serve(
         &self,
         callers: TcpListener,
@@ -331,18 +338,18 @@
                     let traffic = Traffic::new(control, hello, ip);
                     actix_rt::spawn(accept(listener, credentials, traffic));
                 }
-                Err(err) => warn!("link: can't listen: {err}."),
+                Err(err) => warn!("link: can't use the listener: {err}."),
             }
         });
         arbiter
     }
 
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Event(event) => self.event(event),
-            Input::Call(id, origin, call, steps) => {
-                self.steps.insert(id, steps);
-                self.event(match origin {
+            Input::Event(event) => self.handle_event(event),
+            Input::Call(id, origin, call, sender) => {
+                self.step_senders.insert(id, sender);
+                self.handle_event(match origin {
                     Origin::Caller => Event::Call(id, call),
                     Origin::Hop(scope) => Event::Hop(id, scope, call),
                 });
@@ -351,7 +358,7 @@
                 let _ = reply.send(self.node.status(clock::now()));
             }
             Input::Summary(theirs, reply) => {
-                self.event(Event::Heard(theirs));
+                self.handle_event(Event::Heard(theirs));
                 let _ = reply.send(self.node.summary(clock::now()));
             }
             Input::Export(reply) => {
@@ -359,51 +366,55 @@
             }
             Input::Drain => self.drain(),
             Input::Halt => self.halted = true,
-            Input::VmList(list) => self.listed(list),
+            Input::VmList(list) => self.apply_vm_list(list),
         }
     }
 
-    fn listed(&mut self, list: VmList) {
+    fn apply_vm_list(&mut self, list: VmList) {
         let unreadable = list.unreadable;
         if unreadable != self.unreadable {
             let (named, nameless) = (&unreadable.named, unreadable.nameless);
-            warn!("list: can't be read: {named:?}, {nameless} without name.");
+            warn!(
+                "list: unreadable entries: {named:?}, \
+                 {nameless} without a name."
+            );
         }
-        // A target whose entry can't be read stays where it was.
+        // A target whose entry may be among the unreadable ones keeps its
+        // last known address.
         self.targets.retain(|target, _| unreadable.may_be(target));
         self.targets.extend(list.addrs);
-        let mut entries = self.settings.peers.clone();
-        entries.extend(list.entries);
-        self.entries = entries;
+        let mut seed_peers = self.settings.peers.clone();
+        seed_peers.extend(list.entries);
+        self.seed_peers = seed_peers;
         self.unreadable = unreadable.clone();
-        self.event(Event::ListedInPart(list.targets, unreadable));
+        self.handle_event(Event::ListedInPart(list.targets, unreadable));
     }
 
     fn drain(&mut self) {
         if self.draining.swap(true, Ordering::Relaxed) {
             return;
         }
-        info!("control: planned stop begins.");
+        info!("control: planned shutdown started.");
         let control = self.control.clone();
         let wait = Duration::from_millis(self.settings.drain_ms);
-        // The balancer needs a moment to see that this VM is not ready.
+        // The load balancer needs time to notice that this VM is not ready.
         actix_rt::spawn(async move {
             sleep(wait).await;
             control.event(Event::Drain);
         });
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         if let Event::Abandoned(id) = &event {
-            self.steps.remove(id);
+            self.step_senders.remove(id);
         }
         let actions = self.node.handle(clock::now(), event);
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Write(write) => {
                 let (platform, control) = self.platform();
@@ -420,23 +431,27 @@
                 });
             }
             Action::Register { draining } => {
-                let _ = self.register.send(draining);
+                let _ = self.draining_updates.send(draining);
             }
             Action::Ask { target, epoch } => self.probe(target, epoch),
             Action::Sync { target, request } => self.sync(target, request),
             Action::Dispatch { id, target, epoch } => {
                 let request = self.node.request_id(id);
                 match self.targets.get(&target) {
-                    Some(&addr) => {
-                        self.step(id, Step::Dispatch { addr, epoch, request })
-                    }
-                    None => self.not_dispatched(id),
+                    Some(&addr) => self.send_step(
+                        id,
+                        Step::Dispatch { addr, epoch, request },
+                    ),
+                    None => self.report_not_sent(id),
                 }
             }
             Action::Forward { id, vm, scope, call } => {
-                match self.link_of(&vm) {
+                match self.link_addr_of(&vm) {
                     Some(addr) => {
-                        self.step(id, Step::Forward { addr, scope, call });
+                        self.send_step(
+                            id,
+                            Step::Forward { addr, scope, call },
+                        );
                     }
                     None => self
                         .control
@@ -444,15 +459,15 @@
                 }
             }
             Action::Answer { id, outcome } => {
-                self.step(id, Step::Answer(outcome));
-                self.steps.remove(&id);
+                self.send_step(id, Step::Answer(outcome));
+                self.step_senders.remove(&id);
             }
             Action::Fetch { vm } => self.fetch(&vm),
             Action::Bequeath { vm, scope, epoch, memory } => {
                 self.bequeath(&vm, Bequest { scope, epoch, memory });
             }
             Action::InForce(revision) => {
-                info!("config: revision {revision} is in force.");
+                info!("config: revision {revision} is active.");
                 let config = self.node.view().config().cloned();
                 let shared =
                     TrafficConfig::new(revision, config.unwrap_or_default());
@@ -465,25 +480,25 @@
         (self.platform.clone(), self.control.clone())
     }
 
-    /// Passes a step on to the call's traffic thread. If its caller has
-    /// gone, a call that was to be sent is not.
-    fn step(&mut self, id: CallId, step: Step) {
+    /// Passes a step to the traffic thread of a call. If the caller has
+    /// disconnected, a dispatch is reported to the core as not sent.
+    fn send_step(&mut self, id: CallId, step: Step) {
         let dispatch = matches!(step, Step::Dispatch { .. });
-        let gone = match self.steps.get(&id) {
-            Some(steps) => steps.send(step).is_err(),
+        let disconnected = match self.step_senders.get(&id) {
+            Some(sender) => sender.send(step).is_err(),
             None => true,
         };
-        if gone && dispatch {
-            self.not_dispatched(id);
+        if disconnected && dispatch {
+            self.report_not_sent(id);
         }
     }
 
-    fn not_dispatched(&self, id: CallId) {
+    fn report_not_sent(&self, id: CallId) {
         let attempt = puffinknot_core::node::Attempt::NotSent;
         self.control.event(Event::Attempted(id, attempt));
     }
 
-    fn link_of(&self, vm: &VmId) -> Option<SocketAddr> {
+    fn link_addr_of(&self, vm: &VmId) -> Option<SocketAddr> {
         self.node.view().members().get(vm)?.addr.parse().ok()
     }
 
@@ -517,14 +532,14 @@
     }
 
     fn fetch(&self, vm: &VmId) {
-        let Some(addr) = self.link_of(vm) else { return };
+        let Some(addr) = self.link_addr_of(vm) else { return };
         fetch_from(self.links.clone(), self.control.clone(), addr);
     }
 
     fn bequeath(&self, vm: &VmId, bequest: Bequest) {
         let scope = bequest.scope;
         let (links, control) = (self.links.clone(), self.control.clone());
-        let Some(addr) = self.link_of(vm) else {
+        let Some(addr) = self.link_addr_of(vm) else {
             let taken = false;
             control.event(Event::BequestEnded { scope, taken });
             return;
@@ -537,8 +552,8 @@
         });
     }
 
-    /// Sends a summary to every peer of the data centre and to one other,
-    /// so that news gets everywhere in a few rounds.
+    /// Sends a summary to every peer in this data centre and to one outside
+    /// it, so that changes reach all VMs within a few rounds.
     fn send_summaries(&mut self) {
         let summary = self.node.summary(clock::now());
         let me = self.node.vm().clone();
@@ -557,13 +572,14 @@
             }
         }
         if members.is_empty() {
-            // Nothing is known yet: somebody on the list may know more.
-            let seeds = self.entries.iter().copied();
+            // No member is known, so the peers from the settings and the VM
+            // list are asked, and their platform values are fetched.
+            let seeds = self.seed_peers.iter().copied();
             far.extend(seeds.filter(|addr| *addr != self.link_addr));
         }
-        self.round += 1;
+        self.summary_round += 1;
         if !far.is_empty() {
-            near.insert(far[self.round % far.len()]);
+            near.insert(far[self.summary_round % far.len()]);
         }
         for peer in near {
             let unknown = members.is_empty();
@@ -599,7 +615,7 @@
                     Ok(list) => control.send(Input::VmList(list)),
                     Err(err) => log::debug!("list: {err}."),
                 }
-                sleep(LIST_EVERY).await;
+                sleep(LIST_INTERVAL).await;
             }
         });
     }
@@ -607,7 +623,9 @@
     fn start_platform(&mut self) {
         let (platform, control) = self.platform();
         actix_rt::spawn(watch_forever(platform, control));
-        let Some(registrations) = self.registrations.take() else { return };
+        let Some(draining_receiver) = self.draining_receiver.take() else {
+            return;
+        };
         let keeper = LeaseKeeper {
             platform: self.platform.clone(),
             control: self.control.clone(),
@@ -620,7 +638,7 @@
                 draining: false,
             },
         };
-        actix_rt::spawn(keeper.run(registrations));
+        actix_rt::spawn(keeper.run(draining_receiver));
     }
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -113,9 +113,10 @@
         self.link.ip()
     }
 
-    /// What the core is told, for a run of the daemon with this suffix.
-    pub fn node(&self, run: &str) -> NodeConfig {
-        let vm = VmId(format!("{}.{run}", self.vm));
+    /// The settings of the core, for the incarnation of this VM with this
+    /// suffix.
+    pub fn node_config(&self, incarnation: &str) -> NodeConfig {
+        let vm = VmId(format!("{}.{incarnation}", self.vm));
         let mut config = NodeConfig::new(vm, DcName(self.dc.clone()));
         config.call_scopes = self.call_scopes;
         config.member_ttl = self.ttl * 1_000;
