--- a/src/link_server.rs
+++ b/src/link_server.rs
@@ -1,8 +1,8 @@
 /*!
-The receiving side of links: other entry VMs connect here.
+The server side of links, which accepts connections from other entry VMs.
 
-A connection that does not begin with a proper hello is told why and closed.
-Nothing that a peer sends can end anything but its own connection.
+A connection that does not start with a valid hello is refused with a reason
+and closed. Nothing that a peer sends can affect any connection but its own.
 */
 
 use std::net::SocketAddr;
@@ -22,23 +22,23 @@
 use crate::traffic::Traffic;
 use crate::wire::{self, Bequest, Hop, Request, Response};
 
-/// A peer must say hello within this time.
+/// The timeout of the handshake, including the hello.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(3);
-/// The number of exchanges that one connection may have under way.
+/// The maximum number of concurrent exchanges on one connection.
 const MAX_STREAMS: u32 = 4_096;
 /// The flow-control window of a stream and of a connection, in bytes.
 const WINDOW: u32 = 4 << 20;
 
-/// Who may connect.
+/// What the hello of a peer must match.
 #[derive(Clone, Debug)]
 pub struct Credentials {
-    /// The cell.
+    /// The cell that the peer must belong to.
     pub cell: String,
-    /// The proof of its secret.
+    /// The proof that the peer knows the cell's secret.
     pub proof: [u8; 32],
 }
 
-/// Accepts links for ever.
+/// Accepts links forever.
 pub async fn accept(
     listener: TcpListener,
     credentials: Credentials,
@@ -48,7 +48,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
-                let peer = Peer {
+                let peer = PeerConnection {
                     credentials: credentials.clone(),
                     traffic: traffic.clone(),
                     from,
@@ -56,7 +56,7 @@
                 actix_rt::spawn(peer.serve(stream));
             }
             Err(err) => {
-                warn!("link: accept failed: {err}.");
+                warn!("link: can't accept a connection: {err}.");
                 actix_rt::time::sleep(Duration::from_millis(100)).await;
             }
         }
@@ -64,28 +64,30 @@
 }
 
 #[derive(Clone)]
-struct Peer {
+struct PeerConnection {
     credentials: Rc<Credentials>,
     traffic: Traffic,
     from: SocketAddr,
 }
 
-impl Peer {
+impl PeerConnection {
     async fn serve(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let from = self.from;
-        let opened = timeout(HELLO_TIMEOUT, self.open(stream)).await;
-        match opened {
-            Ok(Ok(connection)) => self.exchanges(connection).await,
+        let handshake = timeout(HELLO_TIMEOUT, self.handshake(stream)).await;
+        match handshake {
+            Ok(Ok(connection)) => self.serve_exchanges(connection).await,
             Ok(Err(problem)) => {
                 warn!("link: refused {from}: {problem}.");
             }
-            Err(_) => warn!("link: refused {from}: no hello in time."),
+            Err(_) => {
+                warn!("link: refused {from}: no hello before the timeout.")
+            }
         }
     }
 
-    /// Reads the hello and answers it.
-    async fn open(
+    /// Completes the handshake: reads the hello and responds to it.
+    async fn handshake(
         &self,
         stream: TcpStream,
     ) -> Result<Connection<TcpStream, Bytes>, String> {
@@ -98,19 +100,19 @@
             .map_err(|err| err.to_string())?;
         let first = connection.accept().await;
         let (request, respond) = first
-            .ok_or("closed without a hello")?
+            .ok_or("connection closed before the hello")?
             .map_err(|err| err.to_string())?;
         let body = request.into_body();
         let checked = {
             let hello = read(body, wire::MAX_HELLO);
             tokio::pin!(hello);
-            // The connection has to be driven while its stream is read.
+            // A stream makes progress only while its connection is polled.
             loop {
                 tokio::select! {
-                    bytes = &mut hello => break self.check(bytes),
+                    bytes = &mut hello => break self.check_hello(bytes),
                     more = connection.accept() => {
                         if more.is_none() {
-                            return Err("closed within the hello".into());
+                            return Err("connection closed during the hello".into());
                         }
                     }
                 }
@@ -130,28 +132,38 @@
         }
     }
 
-    fn check(&self, bytes: Result<Bytes, String>) -> Result<(), String> {
+    fn check_hello(&self, bytes: Result<Bytes, String>) -> Result<(), String> {
         let hello = wire::decode_hello(&bytes?)?;
         hello.check(&self.credentials.cell, &self.credentials.proof)
     }
 
-    async fn exchanges(self, mut connection: Connection<TcpStream, Bytes>) {
+    async fn serve_exchanges(
+        self,
+        mut connection: Connection<TcpStream, Bytes>,
+    ) {
         while let Some(accepted) = connection.accept().await {
             match accepted {
                 Ok((request, respond)) => {
                     let peer = self.clone();
                     let body = request.into_body();
-                    actix_rt::spawn(peer.exchange(body, respond));
+                    actix_rt::spawn(peer.serve_exchange(body, respond));
                 }
                 Err(err) => {
-                    debug!("link: {} ended: {err}.", self.from);
+                    debug!(
+                        "link: connection from {} ended: {err}.",
+                        self.from
+                    );
                     return;
                 }
             }
         }
     }
 
-    async fn exchange(self, body: RecvStream, respond: SendResponse<Bytes>) {
+    async fn serve_exchange(
+        self,
+        body: RecvStream,
+        respond: SendResponse<Bytes>,
+    ) {
         let request = match read(body, wire::MAX_MESSAGE).await {
             Ok(bytes) => wire::decode::<Request>(&bytes),
             Err(problem) => Err(problem),
@@ -159,7 +171,7 @@
         let response = match request {
             Ok(request) => self.answer(request).await,
             Err(problem) => {
-                warn!("link: {} sent nonsense: {problem}.", self.from);
+                warn!("link: invalid request from {}: {problem}.", self.from);
                 Response::Refused(problem)
             }
         };
@@ -199,7 +211,7 @@
     let bytes = wire::encode(response).unwrap_or_default();
     let head = http::Response::new(());
     if let Ok(mut stream) = respond.send_response(head, false) {
-        // An error means that the peer is gone.
+        // An error means that the peer has disconnected.
         let _ = stream.send_data(bytes.into(), true);
     }
 }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,9 +1,9 @@
 /*!
-The client of the platform's key-value service.
+A client of the platform's key-value service.
 
-It speaks the JSON form of etcd's version 3 interface: compare-and-swap over
-several keys in one transaction, leases, and a watch that waits on one
-connection. docs/DESIGN.md says why this one was chosen.
+It uses the JSON form of the etcd v3 API: transactions that compare and swap
+several keys, leases, and a watch that streams changes over one connection.
+docs/DESIGN.md explains the choice of this API.
 */
 
 use std::net::IpAddr;
@@ -21,12 +21,13 @@
 use crate::clock;
 use crate::error::{Error, ErrorKind, Result};
 
-/// A call to the platform must be answered within this time.
-const TIMEOUT: Duration = Duration::from_secs(3);
-/// A watch may wait as long as this without any change.
+/// The timeout of a request to the platform, except for a watch.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// The timeout of a watch. It is long because a watch receives nothing
+/// while there are no changes.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(24 * 3_600);
-/// The largest answer, in bytes: some values of up to a megabyte each.
-const MAX_ANSWER: usize = 32 << 20;
+/// The largest response, in bytes: some values of up to a megabyte each.
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
 
 pub use awc::Client as HttpClient;
 
@@ -34,10 +35,10 @@
 pub fn http_client(ip: IpAddr) -> Client {
     let connector =
         Connector::new().timeout(Duration::from_secs(1)).local_address(ip);
-    Client::builder().connector(connector).timeout(TIMEOUT).finish()
+    Client::builder().connector(connector).timeout(REQUEST_TIMEOUT).finish()
 }
 
-/// Whether a request failed before any byte of it can have left.
+/// Whether a request failed before any byte of it can have been sent.
 pub fn not_sent(error: &SendRequestError) -> bool {
     match error {
         SendRequestError::Connect(error) => {
@@ -56,18 +57,18 @@
     cell: String,
 }
 
-/// What was read at one moment.
+/// The values of a cell at one revision.
 #[derive(Clone, Debug, Default)]
 pub struct Read {
-    /// The revision of the service.
+    /// The revision of the service at the time of the read.
     pub revision: Revision,
     /// The values.
     pub stored: Vec<Stored>,
-    /// Values that could not be read, with the reason.
-    pub unusable: Vec<String>,
+    /// The reasons for values that could not be decoded, each with its key.
+    pub undecodable: Vec<String>,
 }
 
-/// What a watch has seen.
+/// Changes that a watch has received.
 #[derive(Clone, Debug, Default)]
 pub struct WatchUpdate {
     /// The revision of the last change.
@@ -144,24 +145,27 @@
     kv: KvJson,
 }
 
-fn number(text: &str) -> u64 {
+fn parse_number(text: &str) -> u64 {
     text.parse().unwrap_or(0)
 }
 
-fn encoded(bytes: impl AsRef<[u8]>) -> String {
+fn base64(bytes: impl AsRef<[u8]>) -> String {
     BASE64_STANDARD.encode(bytes)
 }
 
 fn failed(problem: impl ToString) -> Error {
     Error::new(
         ErrorKind::Platform,
-        format!("the key-value service failed: {}", problem.to_string()),
-        "check --platform and the service; the call is tried again",
+        format!(
+            "the key-value service request failed: {}",
+            problem.to_string()
+        ),
+        "check --platform and the service; the request is retried",
     )
 }
 
 impl Platform {
-    /// A client of the service at `base` for one cell.
+    /// Creates a client for one cell of the service at the URL `base`.
     pub fn new(client: Client, base: &str, cell: &str) -> Platform {
         let base = base.trim_end_matches('/').to_string();
         Platform { client, base, cell: cell.to_string() }
@@ -175,153 +179,161 @@
         let url = format!("{}{path}", self.base);
         let sent = self.client.post(url).send_json(body).await;
         let mut response = sent.map_err(|err| PostError {
-            made: !not_sent(&err),
+            may_have_applied: !not_sent(&err),
             problem: err.to_string(),
         })?;
-        let bytes = response.body().limit(MAX_ANSWER).await;
+        let bytes = response.body().limit(MAX_RESPONSE_BYTES).await;
         let bytes = bytes.map_err(|err| PostError {
-            made: true,
+            may_have_applied: true,
             problem: err.to_string(),
         })?;
         if !response.status().is_success() {
             let text = String::from_utf8_lossy(&bytes).into_owned();
-            let made = response.status().is_server_error();
-            return Err(PostError { made, problem: text });
+            let may_have_applied = response.status().is_server_error();
+            return Err(PostError { may_have_applied, problem: text });
         }
-        serde_json::from_slice(&bytes)
-            .map_err(|err| PostError { made: true, problem: err.to_string() })
+        serde_json::from_slice(&bytes).map_err(|err| PostError {
+            may_have_applied: true,
+            problem: err.to_string(),
+        })
     }
 
-    /// Reads everything of the cell, or only what has been changed at
-    /// `since` or later.
+    /// Reads the values of the cell that were changed at revision `since` or
+    /// later; all of them for zero.
     ///
     /// # Errors
     ///
-    /// If the service gives no usable answer.
+    /// If the service gives no usable response.
     pub async fn read(&self, since: Revision) -> Result<Read> {
-        let (first, end) = self.range();
+        let (first, end) = self.key_range();
         let body = json!({
-            "key": encoded(first),
-            "range_end": encoded(end),
+            "key": base64(first),
+            "range_end": base64(end),
             "min_mod_revision": since.to_string(),
         });
-        let answer: RangeJson =
+        let response: RangeJson =
             self.post("/v3/kv/range", &body).await.map_err(failed)?;
         let mut read = Read {
-            revision: number(&answer.header.revision),
+            revision: parse_number(&response.header.revision),
             ..Read::default()
         };
-        for kv in &answer.kvs {
-            match self.stored(kv) {
+        for kv in &response.kvs {
+            match self.decode_stored(kv) {
                 Ok(Some(stored)) => read.stored.push(stored),
                 Ok(None) => {}
-                Err(problem) => read.unusable.push(problem),
+                Err(problem) => read.undecodable.push(problem),
             }
         }
         Ok(read)
     }
 
-    /// The keys of the cell: the first, and the end of the range.
-    fn range(&self) -> (String, String) {
+    /// The key range of the cell: its start, and its exclusive end.
+    fn key_range(&self) -> (String, String) {
         let first = Key::prefix(&self.cell);
-        // The prefix ends with a slash, and zero follows a slash.
+        // The prefix ends with a slash, and `0` is the next ASCII character
+        // after `/`.
         let end = format!("{}0", first.trim_end_matches('/'));
         (first, end)
     }
 
-    fn key(&self, kv: &KvJson) -> Option<Key> {
+    fn decode_key(&self, kv: &KvJson) -> Option<Key> {
         let bytes = BASE64_STANDARD.decode(&kv.key).ok()?;
         Key::parse(&self.cell, std::str::from_utf8(&bytes).ok()?)
     }
 
-    fn stored(
+    fn decode_stored(
         &self,
         kv: &KvJson,
     ) -> std::result::Result<Option<Stored>, String> {
-        let Some(key) = self.key(kv) else { return Ok(None) };
+        let Some(key) = self.decode_key(kv) else { return Ok(None) };
         let bytes = BASE64_STANDARD
             .decode(&kv.value)
             .map_err(|err| format!("{key:?}: {err}"))?;
         let value = Value::parse(&key, &bytes)
             .map_err(|err| format!("{key:?}: {err}"))?;
-        let revision = number(&kv.mod_revision);
+        let revision = parse_number(&kv.mod_revision);
         Ok(Some(Stored { key, value, revision }))
     }
 
-    /// Makes a compare-and-swap.
+    /// Writes a value if its key, and the configuration if `expect_config`
+    /// is set, are still at the expected revisions.
     pub async fn write(&self, write: &Write) -> WriteResult {
-        let mut compare = vec![self.compare(&write.key, write.expect)];
+        let mut compare = vec![self.revision_equals(&write.key, write.expect)];
         if let Some(revision) = write.expect_config {
-            compare.push(self.compare(&Key::Config, revision));
+            compare.push(self.revision_equals(&Key::Config, revision));
         }
         let put = json!({
-            "key": encoded(write.key.path(&self.cell)),
-            "value": encoded(write.value.to_bytes()),
+            "key": base64(write.key.path(&self.cell)),
+            "value": base64(write.value.to_bytes()),
         });
         let body = json!({
             "compare": compare,
             "success": [{ "request_put": put }],
         });
         match self.post::<TxnJson>("/v3/kv/txn", &body).await {
-            Ok(answer) if answer.succeeded => {
-                WriteResult::Won(number(&answer.header.revision))
+            Ok(response) if response.succeeded => {
+                WriteResult::Won(parse_number(&response.header.revision))
             }
             Ok(_) => WriteResult::Lost,
-            Err(err) if err.made => WriteResult::Unknown,
+            Err(err) if err.may_have_applied => WriteResult::Unknown,
             Err(_) => WriteResult::NotMade,
         }
     }
 
-    fn compare(&self, key: &Key, revision: Revision) -> serde_json::Value {
+    fn revision_equals(
+        &self,
+        key: &Key,
+        revision: Revision,
+    ) -> serde_json::Value {
         json!({
             "target": "MOD",
             "result": "EQUAL",
-            "key": encoded(key.path(&self.cell)),
+            "key": base64(key.path(&self.cell)),
             "mod_revision": revision.to_string(),
         })
     }
 
-    /// Takes out a lease of this many seconds and returns its id.
+    /// Creates a lease with a TTL in seconds and returns its id.
     ///
     /// # Errors
     ///
-    /// If the service gives no usable answer.
+    /// If the service gives no usable response.
     pub async fn grant(&self, ttl: u64) -> Result<u64> {
         let body = json!({ "TTL": ttl.to_string() });
-        let answer: LeaseJson =
+        let response: LeaseJson =
             self.post("/v3/lease/grant", &body).await.map_err(failed)?;
-        Ok(number(&answer.id))
+        Ok(parse_number(&response.id))
     }
 
-    /// Renews a lease. Returns whether it still stood.
+    /// Renews a lease. Returns whether it was still valid.
     ///
     /// # Errors
     ///
-    /// If the service gives no usable answer.
+    /// If the service gives no usable response.
     pub async fn keep_alive(&self, lease: u64) -> Result<bool> {
         let body = json!({ "ID": lease.to_string() });
-        let answer: KeepAliveJson =
+        let response: KeepAliveJson =
             self.post("/v3/lease/keepalive", &body).await.map_err(failed)?;
-        Ok(number(&answer.result.ttl) > 0)
+        Ok(parse_number(&response.result.ttl) > 0)
     }
 
-    /// Gives a lease up, and with it every key under it.
+    /// Revokes a lease, which deletes every key attached to it.
     ///
     /// # Errors
     ///
-    /// If the service gives no usable answer.
+    /// If the service gives no usable response.
     pub async fn revoke(&self, lease: u64) -> Result<()> {
         let body = json!({ "ID": lease.to_string() });
-        let answer: std::result::Result<serde_json::Value, _> =
+        let response: std::result::Result<serde_json::Value, _> =
             self.post("/v3/lease/revoke", &body).await;
-        answer.map(|_| ()).map_err(failed)
+        response.map(|_| ()).map_err(failed)
     }
 
-    /// Puts a value under a lease.
+    /// Writes a value and attaches its key to a lease.
     ///
     /// # Errors
     ///
-    /// If the service gives no usable answer, or the lease has lapsed.
+    /// If the service gives no usable response, or the lease has expired.
     pub async fn put(
         &self,
         key: &Key,
@@ -329,30 +341,31 @@
         lease: u64,
     ) -> Result<()> {
         let body = json!({
-            "key": encoded(key.path(&self.cell)),
-            "value": encoded(value.to_bytes()),
+            "key": base64(key.path(&self.cell)),
+            "value": base64(value.to_bytes()),
             "lease": lease.to_string(),
         });
-        let answer: std::result::Result<serde_json::Value, _> =
+        let response: std::result::Result<serde_json::Value, _> =
             self.post("/v3/kv/put", &body).await;
-        answer.map(|_| ()).map_err(failed)
+        response.map(|_| ()).map_err(failed)
     }
 
-    /// Waits for changes from a revision on and hands each to `seen`, until
-    /// the connection ends.
+    /// Passes all changes from revision `from` on to `on_update`, until the
+    /// connection ends.
     ///
     /// # Errors
     ///
-    /// Why the watch has ended. What happened since has to be read.
+    /// Why the watch ended; it always ends with an error. Later changes have
+    /// to be read.
     pub async fn watch(
         &self,
         from: Revision,
-        mut seen: impl FnMut(WatchUpdate),
+        mut on_update: impl FnMut(WatchUpdate),
     ) -> Result<()> {
-        let (first, end) = self.range();
+        let (first, end) = self.key_range();
         let body = json!({ "create_request": {
-            "key": encoded(first),
-            "range_end": encoded(end),
+            "key": base64(first),
+            "range_end": base64(end),
             "start_revision": from.to_string(),
         }});
         let url = format!("{}/v3/watch", self.base);
@@ -363,16 +376,16 @@
             buffer.extend_from_slice(&chunk.map_err(failed)?);
             while let Some(end) = buffer.iter().position(|b| *b == b'\n') {
                 let line: Vec<u8> = buffer.drain(..=end).collect();
-                seen(self.watch_line(&line)?);
+                on_update(self.parse_watch_line(&line)?);
             }
-            if buffer.len() > MAX_ANSWER {
+            if buffer.len() > MAX_RESPONSE_BYTES {
                 return Err(failed("a watch event is too large"));
             }
         }
-        Err(failed("the watch has ended"))
+        Err(failed("the watch connection ended"))
     }
 
-    fn watch_line(&self, line: &[u8]) -> Result<WatchUpdate> {
+    fn parse_watch_line(&self, line: &[u8]) -> Result<WatchUpdate> {
         let parsed: WatchJson =
             serde_json::from_slice(line).map_err(failed)?;
         let result = parsed.result;
@@ -380,30 +393,30 @@
             return Err(failed("the watch was cancelled"));
         }
         if result.created {
-            // Its revision is that of the service, and changes up to it
-            // may still be on their way.
+            // The revision in this line is that of the service; changes up
+            // to it may still be in transit, so it must not be reported.
             return Ok(WatchUpdate::default());
         }
-        let revision = number(&result.header.revision);
-        let mut seen = WatchUpdate { revision, ..WatchUpdate::default() };
+        let revision = parse_number(&result.header.revision);
+        let mut update = WatchUpdate { revision, ..WatchUpdate::default() };
         for event in &result.events {
             if event.kind == "DELETE" {
-                seen.deleted.extend(self.key(&event.kv));
+                update.deleted.extend(self.decode_key(&event.kv));
                 continue;
             }
-            // A value that can't be read is passed over; the read at the
-            // start of the next watch reports it.
-            seen.stored.extend(self.stored(&event.kv).ok().flatten());
+            // A value that can't be decoded is skipped; the read before the
+            // next watch reports it.
+            update.stored.extend(self.decode_stored(&event.kv).ok().flatten());
         }
-        Ok(seen)
+        Ok(update)
     }
 }
 
-/// A call that failed.
+/// A failed request.
 #[derive(Debug)]
 struct PostError {
-    /// Whether the call may have had its effect.
-    made: bool,
+    /// Whether the request may have taken effect.
+    may_have_applied: bool,
     problem: String,
 }
 
@@ -413,21 +426,22 @@
     }
 }
 
-/// A lease of this VM with the platform.
+/// A lease that this VM has from the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
-    /// The id.
+    /// The id of the lease.
     pub id: u64,
-    /// When the request for it, or for its last renewal, was sent.
+    /// When the request for the lease or its last renewal was sent, by the
+    /// monotonic clock.
     pub sent_at: Millis,
 }
 
 impl Lease {
-    /// Takes out a lease and puts this VM's entry under it.
+    /// Creates a lease of `ttl` seconds and attaches this VM's entry to it.
     ///
     /// # Errors
     ///
-    /// If the service gives no usable answer.
+    /// If the service gives no usable response.
     pub async fn acquire(
         platform: &Platform,
         ttl: u64,
--- a/src/platform_watch.rs
+++ b/src/platform_watch.rs
@@ -1,9 +1,9 @@
 /*!
-What a daemon does with the platform's service all the time: it follows the
-changes of the cell's values, and keeps this VM's lease.
+Background tasks that use the platform's key-value service: watching the
+cell's values for changes, and keeping this VM's lease alive.
 
-Every wait after a failure doubles, with jitter, so that the VMs of a cell
-don't return all at once from an outage.
+Retries use exponential backoff with jitter, so that the VMs of a cell don't
+all reconnect at the same moment after an outage.
 */
 
 use std::cell::Cell;
@@ -21,15 +21,15 @@
 use crate::control::Control;
 use crate::platform::{Lease, Platform};
 
-/// The first and the longest wait before the platform is tried again.
+/// The shortest and the longest delay before a retry, without jitter.
 const BACK_OFF: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(2_000));
-/// How often it is checked that the watch has missed nothing.
-const CHECK_WATCH: Duration = Duration::from_secs(8);
-/// The watch gets this long to bring what the check has found.
+/// The interval between checks for changes that the watch has missed.
+const WATCH_CHECK_INTERVAL: Duration = Duration::from_secs(8);
+/// How long the watch may take to deliver a change that a check has found.
 const WATCH_GRACE: Duration = Duration::from_millis(1_000);
 
-/// A wait that doubles, with jitter, so that VMs don't try in step.
+/// An exponential backoff with jitter, so that VMs don't retry in step.
 struct BackOff(Duration);
 
 impl BackOff {
@@ -44,8 +44,8 @@
     }
 }
 
-/// Reads everything, however long it takes until the platform answers, and
-/// returns the revision of the read.
+/// Reads all values of the cell, with retries until the platform responds,
+/// and returns the revision of the read.
 pub(crate) async fn read_with_retries(
     platform: &Platform,
     control: &Control,
@@ -54,8 +54,8 @@
     loop {
         match platform.read(0).await {
             Ok(read) => {
-                for problem in &read.unusable {
-                    warn!("platform: passed over {problem}.");
+                for problem in &read.undecodable {
+                    warn!("platform: skipped an unreadable value, {problem}.");
                 }
                 let (revision, stored) = (read.revision, read.stored);
                 control.event(Event::Snapshot { revision, stored });
@@ -67,54 +67,56 @@
     }
 }
 
-/// Reads everything, then watches; begins anew when the watch ends.
+/// Reads all values, then watches for changes; starts over when the watch
+/// ends.
 pub(crate) async fn watch_forever(platform: Platform, control: Control) {
     loop {
         let revision = read_with_retries(&platform, &control).await;
-        let ended = watch_from(&platform, &control, revision).await;
-        debug!("platform: {ended}");
+        let reason = watch_from(&platform, &control, revision).await;
+        debug!("platform: {reason}");
         BackOff::new().wait().await;
     }
 }
 
-/// Watches until the connection ends or is found to miss changes.
+/// Watches until the connection ends or a check finds a change that the
+/// watch has missed. Returns the reason.
 async fn watch_from(
     platform: &Platform,
     control: &Control,
     revision: Revision,
 ) -> String {
-    let newest = Cell::new(revision);
-    let watch = platform.watch(revision + 1, |seen| {
-        newest.set(newest.get().max(seen.revision));
+    let newest_seen = Cell::new(revision);
+    let watch = platform.watch(revision + 1, |update| {
+        newest_seen.set(newest_seen.get().max(update.revision));
         control.event(Event::Changed {
-            revision: seen.revision,
-            stored: seen.stored,
-            deleted: seen.deleted,
+            revision: update.revision,
+            stored: update.stored,
+            deleted: update.deleted,
         });
     });
     let check = async {
         loop {
-            sleep(CHECK_WATCH).await;
-            let Ok(read) = platform.read(newest.get() + 1).await else {
+            sleep(WATCH_CHECK_INTERVAL).await;
+            let Ok(read) = platform.read(newest_seen.get() + 1).await else {
                 continue;
             };
             let changed = read.stored.iter().map(|s| s.revision).max();
             sleep(WATCH_GRACE).await;
-            if changed.is_some_and(|changed| changed > newest.get()) {
+            if changed.is_some_and(|changed| changed > newest_seen.get()) {
                 return;
             }
         }
     };
     tokio::select! {
         ended = watch => match ended {
-            Ok(()) => "the watch has ended".into(),
+            Ok(()) => "the watch ended".into(),
             Err(err) => err.to_string(),
         },
-        () = check => "the watch has missed a change".into(),
+        () = check => "the watch missed a change".into(),
     }
 }
 
-/// Keeps this VM's lease and entry with the platform.
+/// Keeps this VM's lease alive and its member entry up to date.
 pub(crate) struct LeaseKeeper {
     pub(crate) platform: Platform,
     pub(crate) control: Control,
@@ -124,22 +126,22 @@
 }
 
 impl LeaseKeeper {
-    /// Keeps the lease for ever. A wish says whether the VM is about to
-    /// stop, which its entry then tells.
+    /// Renews the lease until the channel is closed. Each message is the new
+    /// value of `draining` in the entry: whether the VM is about to stop.
     pub(crate) async fn run(
         mut self,
-        mut wishes: mpsc::UnboundedReceiver<bool>,
+        mut draining_updates: mpsc::UnboundedReceiver<bool>,
     ) {
-        let every = Duration::from_millis(self.ttl * 1_000 / 3);
+        let renewal_interval = Duration::from_millis(self.ttl * 1_000 / 3);
         let mut lease = self.acquire().await;
         loop {
             tokio::select! {
-                wish = wishes.recv() => {
-                    let Some(draining) = wish else { return };
+                update = draining_updates.recv() => {
+                    let Some(draining) = update else { return };
                     self.member.draining = draining;
-                    self.put(&mut lease).await;
+                    self.put_entry(&mut lease).await;
                 }
-                () = sleep(every) => self.renew(&mut lease).await,
+                () = sleep(renewal_interval) => self.renew(&mut lease).await,
             }
         }
     }
@@ -167,10 +169,11 @@
         }
     }
 
-    async fn put(&self, lease: &mut Lease) {
+    async fn put_entry(&self, lease: &mut Lease) {
         let (key, value) = self.entry();
         if self.platform.put(&key, &value, lease.id).await.is_err() {
-            // The lease may have lapsed; the next renewal finds out.
+            // The lease may have expired, which a renewal detects. If it is
+            // still valid, the entry is not written again.
             self.renew(lease).await;
         }
     }
@@ -183,7 +186,7 @@
                 self.control.event(Event::Renewed { sent_at });
             }
             Ok(false) => {
-                warn!("lease: it has lapsed; taking out another.");
+                warn!("lease: the lease has expired; acquiring a new one.");
                 self.control.event(Event::LeaseLost);
                 *lease = self.acquire().await;
             }
