--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,5 +1,5 @@
 /*!
-What operators see: `GET /status`, `GET /config` and `POST /drain`, each with
+The HTTP interface for operators: `GET /status` and `POST /drain`, each with
 the cell's secret as a bearer token.
 */
 
@@ -8,7 +8,7 @@
 use crate::control::{Control, Input};
 use crate::http::{header, json, text, Reply};
 
-/// Answers one request of an operator.
+/// Handles a request of an operator.
 pub async fn handle(
     control: Control,
     secret: String,
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,9 +1,9 @@
 /*!
 The clocks of this VM.
 
-The monotonic clock is Linux's `CLOCK_BOOTTIME`, which goes on while the VM
-is suspended. A lease that lapsed during a suspension is then seen to have
-lapsed. The core gets times from here only.
+The monotonic clock is `CLOCK_BOOTTIME` of Linux, which keeps running while
+the VM is suspended, so that a lease that expired during a suspension counts
+as expired. All times that the core receives come from this module.
 */
 
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -12,37 +12,37 @@
 use puffinknot_core::node::Now;
 use rustix::time::{clock_gettime, ClockId};
 
-/// A time, or a time span, in microseconds.
+/// A time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// The monotonic clock, in milliseconds since the VM was started.
+/// The monotonic time, in milliseconds since the VM booted.
 pub fn mono() -> Millis {
     mono_micros() / 1_000
 }
 
-/// The monotonic clock, in microseconds since the VM was started.
+/// The monotonic time, in microseconds since the VM booted.
 pub fn mono_micros() -> Micros {
-    read(ClockId::Boottime)
+    read_clock(ClockId::Boottime)
 }
 
-/// The processor time that this thread has had.
+/// The CPU time that this thread has used.
 pub fn thread_cpu() -> Micros {
-    read(ClockId::ThreadCPUTime)
+    read_clock(ClockId::ThreadCPUTime)
 }
 
-fn read(clock: ClockId) -> Micros {
+fn read_clock(clock: ClockId) -> Micros {
     let time = clock_gettime(clock);
     let micros = time.tv_sec * 1_000_000 + time.tv_nsec / 1_000;
     micros.unsigned_abs()
 }
 
-/// The wall clock, in milliseconds since 1970.
+/// The wall clock time, in milliseconds since the Unix epoch.
 pub fn wall() -> Millis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as Millis)
 }
 
-/// Both clocks.
+/// The monotonic and the wall clock time.
 pub fn now() -> Now {
     Now { mono: mono(), wall: wall() }
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -33,7 +33,7 @@
 use crate::settings::Settings;
 use crate::traffic::Traffic;
 use crate::vm_list::VmList;
-use crate::wire::{self, Bequest, Hello, Request, Response};
+use crate::wire::{self, Handover, Hello, Request, Response};
 use crate::{admin, entry, http, target};
 
 /// The interval between the core's [`Event::Tick`]s.
@@ -464,7 +464,7 @@
             }
             Action::Fetch { vm } => self.fetch(&vm),
             Action::Bequeath { vm, scope, epoch, memory } => {
-                self.bequeath(&vm, Bequest { scope, epoch, memory });
+                self.hand_over(&vm, Handover { scope, epoch, memory });
             }
             Action::InForce(revision) => {
                 info!("config: revision {revision} is active.");
@@ -536,8 +536,8 @@
         fetch_from(self.links.clone(), self.control.clone(), addr);
     }
 
-    fn bequeath(&self, vm: &VmId, bequest: Bequest) {
-        let scope = bequest.scope;
+    fn hand_over(&self, vm: &VmId, handover: Handover) {
+        let scope = handover.scope;
         let (links, control) = (self.links.clone(), self.control.clone());
         let Some(addr) = self.link_addr_of(vm) else {
             let taken = false;
@@ -545,7 +545,7 @@
             return;
         };
         actix_rt::spawn(async move {
-            let request = Request::Bequest(bequest);
+            let request = Request::Bequest(handover);
             let answer = links.request(addr, &request, PEER_TIMEOUT).await;
             let taken = matches!(answer, Ok(Response::Noted));
             control.event(Event::BequestEnded { scope, taken });
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,16 +1,19 @@
 /*!
-What callers see: `POST /call/CLASS`, and `GET /ready` for the balancer.
+The HTTP interface for callers: `POST /call/CLASS`, and `GET /ready` for the
+load balancer.
 
-The headers of a request:
+The headers of a call:
 
-* `Authorization: Bearer TOKEN`, whose SHA-256 stands in the operators' file;
-* `Idempotency-Key`, a UUID of version 7, for a class that must not be
-  repeated; a resend carries the same key;
-* `Puffinknot-Deadline-Ms`, if less than the class's deadline.
+* `Authorization: Bearer TOKEN`; the operators' file has the token's SHA-256.
+* `Idempotency-Key`, a version 7 UUID, for a class whose calls must not be
+  repeated. A retry carries the same key.
+* `Puffinknot-Deadline-Ms`, optional, for a shorter deadline than that of the
+  class.
 
-Every response says in `Puffinknot-Outcome` whether the call was `answered`,
-`not-run` or `unknown`, and but for the first why, in `Puffinknot-Reason`,
-and when to come back, in `Retry-After` and `Puffinknot-Retry-After-Ms`.
+The response has the outcome of the call in `Puffinknot-Outcome`: `answered`,
+`not-run` or `unknown`. Unless the call was answered, `Puffinknot-Reason` has
+the reason, and `Retry-After` and `Puffinknot-Retry-After-Ms` the delay before
+a retry. A call that is invalid or whose retry is pointless has no delay.
 */
 
 use std::time::Duration;
@@ -31,16 +34,16 @@
 use crate::traffic::Traffic;
 use crate::wire::Answer;
 
-/// A body must arrive within this time.
+/// The timeout of reading the body of a call.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-const OUTCOME: &str = "puffinknot-outcome";
-const REASON: &str = "puffinknot-reason";
-const RETRY_MS: &str = "puffinknot-retry-after-ms";
-const DEADLINE: &str = "puffinknot-deadline-ms";
+const OUTCOME_HEADER: &str = "puffinknot-outcome";
+const REASON_HEADER: &str = "puffinknot-reason";
+const RETRY_AFTER_MS_HEADER: &str = "puffinknot-retry-after-ms";
+const DEADLINE_HEADER: &str = "puffinknot-deadline-ms";
 
-/// Why a request is not a call. Nothing was run.
+/// Why a request is not a valid call. Such a request is never run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Invalid {
+enum InvalidCall {
     NoToken,
     WrongToken,
     NoSuchClass,
@@ -53,67 +56,69 @@
     Broken,
 }
 
-impl Invalid {
+impl InvalidCall {
     fn status(self) -> StatusCode {
         match self {
-            Invalid::NoToken | Invalid::WrongToken => StatusCode::UNAUTHORIZED,
-            Invalid::NoSuchClass => StatusCode::NOT_FOUND,
-            Invalid::ClassNotAllowed => StatusCode::FORBIDDEN,
-            Invalid::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Invalid::TooSlow => StatusCode::REQUEST_TIMEOUT,
+            InvalidCall::NoToken | InvalidCall::WrongToken => {
+                StatusCode::UNAUTHORIZED
+            }
+            InvalidCall::NoSuchClass => StatusCode::NOT_FOUND,
+            InvalidCall::ClassNotAllowed => StatusCode::FORBIDDEN,
+            InvalidCall::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            InvalidCall::TooSlow => StatusCode::REQUEST_TIMEOUT,
             _ => StatusCode::BAD_REQUEST,
         }
     }
 
     fn name(self) -> &'static str {
         match self {
-            Invalid::NoToken => "no-token",
-            Invalid::WrongToken => "wrong-token",
-            Invalid::NoSuchClass => "no-such-class",
-            Invalid::ClassNotAllowed => "class-not-allowed",
-            Invalid::NoKey => "no-key",
-            Invalid::BadKey => "bad-key",
-            Invalid::BadDeadline => "bad-deadline",
-            Invalid::TooLarge => "body-too-large",
-            Invalid::TooSlow => "body-too-slow",
-            Invalid::Broken => "body-broken",
+            InvalidCall::NoToken => "no-token",
+            InvalidCall::WrongToken => "wrong-token",
+            InvalidCall::NoSuchClass => "no-such-class",
+            InvalidCall::ClassNotAllowed => "class-not-allowed",
+            InvalidCall::NoKey => "no-key",
+            InvalidCall::BadKey => "bad-key",
+            InvalidCall::BadDeadline => "bad-deadline",
+            InvalidCall::TooLarge => "body-too-large",
+            InvalidCall::TooSlow => "body-too-slow",
+            InvalidCall::Broken => "body-broken",
         }
     }
 
     fn remedy(self) -> &'static str {
         match self {
-            Invalid::NoToken => "send Authorization: Bearer TOKEN",
-            Invalid::WrongToken => "ask the operators for a token",
-            Invalid::NoSuchClass => "use a class of the operators' file",
-            Invalid::ClassNotAllowed => {
+            InvalidCall::NoToken => "send Authorization: Bearer TOKEN",
+            InvalidCall::WrongToken => "ask the operators for a token",
+            InvalidCall::NoSuchClass => "use a class of the operators' file",
+            InvalidCall::ClassNotAllowed => {
                 "ask the operators to allow you the class"
             }
-            Invalid::NoKey => {
+            InvalidCall::NoKey => {
                 "send Idempotency-Key: a UUID of version 7, made anew for \
                  each new call and kept for its resends"
             }
-            Invalid::BadKey => "make the key a UUID of version 7",
-            Invalid::BadDeadline => {
+            InvalidCall::BadKey => "make the key a UUID of version 7",
+            InvalidCall::BadDeadline => {
                 "send Puffinknot-Deadline-Ms as a number above zero"
             }
-            Invalid::TooLarge => "send a smaller body",
-            Invalid::TooSlow => "send the body within 5 s",
-            Invalid::Broken => "send the whole body",
+            InvalidCall::TooLarge => "send a smaller body",
+            InvalidCall::TooSlow => "send the body within 5 s",
+            InvalidCall::Broken => "send the whole body",
         }
     }
 
     fn reply(self) -> Reply {
         let body = format!("{}: {}\n", self.name(), self.remedy());
         Response::build(self.status())
-            .insert_header((OUTCOME, "not-run"))
-            .insert_header((REASON, self.name()))
+            .insert_header((OUTCOME_HEADER, "not-run"))
+            .insert_header((REASON_HEADER, self.name()))
             .insert_header((CONTENT_TYPE, "text/plain; charset=utf-8"))
             .body(body)
             .map_into_boxed_body()
     }
 }
 
-/// Answers one request of a caller or of the balancer.
+/// Handles a request of a caller or of the load balancer.
 pub async fn handle(
     traffic: Traffic,
     draining: bool,
@@ -121,7 +126,7 @@
 ) -> Reply {
     let path = request.path().to_string();
     if path == "/ready" {
-        return ready(&traffic, draining);
+        return readiness(&traffic, draining);
     }
     let Some(class) = path.strip_prefix("/call/") else {
         return text(StatusCode::NOT_FOUND, "use /call/CLASS or /ready");
@@ -130,9 +135,9 @@
         return text(StatusCode::METHOD_NOT_ALLOWED, "use POST");
     }
     if traffic.control().traffic_config().revision == 0 {
-        return no_config(request.headers());
+        return no_config_reply(request.headers());
     }
-    let call = match admit(&traffic, class, request.headers()) {
+    let call = match parse_call(&traffic, class, request.headers()) {
         Ok(call) => call,
         Err(invalid) => return invalid.reply(),
     };
@@ -140,14 +145,14 @@
     let payload = request.take_payload();
     let body = match read_body(payload, limit, BODY_TIMEOUT).await {
         Ok(body) => body,
-        Err(BodyError::TooLarge) => return Invalid::TooLarge.reply(),
-        Err(BodyError::TooSlow) => return Invalid::TooSlow.reply(),
-        Err(BodyError::Broken) => return Invalid::Broken.reply(),
+        Err(BodyError::TooLarge) => return InvalidCall::TooLarge.reply(),
+        Err(BodyError::TooSlow) => return InvalidCall::TooSlow.reply(),
+        Err(BodyError::Broken) => return InvalidCall::Broken.reply(),
     };
     run(&traffic, call, body).await
 }
 
-fn ready(traffic: &Traffic, draining: bool) -> Reply {
+fn readiness(traffic: &Traffic, draining: bool) -> Reply {
     if draining {
         return text(StatusCode::SERVICE_UNAVAILABLE, "draining");
     }
@@ -157,7 +162,7 @@
     text(StatusCode::OK, "ready")
 }
 
-fn no_config(headers: &HeaderMap) -> Reply {
+fn no_config_reply(headers: &HeaderMap) -> Reply {
     let keyed = headers.contains_key(crate::target::KEY);
     let outcome = Outcome::not_run(Reason::NoConfig, 1_000);
     reply(crate::traffic::unknown_if_keyed(keyed, outcome), None)
@@ -168,27 +173,32 @@
     reply(outcome, answer)
 }
 
-/// Checks who calls and what is wanted.
-fn admit(
+/// Authenticates the caller and builds the call from the headers, or says
+/// what is invalid.
+fn parse_call(
     traffic: &Traffic,
     class: &str,
     headers: &HeaderMap,
-) -> Result<Call, Invalid> {
-    let shared = traffic.control().traffic_config();
-    let token = header(headers, "authorization").ok_or(Invalid::NoToken)?;
-    let token = token.strip_prefix("Bearer ").ok_or(Invalid::NoToken)?;
-    let caller =
-        shared.caller(&token_hash(token)).ok_or(Invalid::WrongToken)?;
-    let class = shared.config.class(class).ok_or(Invalid::NoSuchClass)?;
-    let entry = shared.config.caller(caller).ok_or(Invalid::WrongToken)?;
-    if !entry.classes.contains(&class.name) {
-        return Err(Invalid::ClassNotAllowed);
+) -> Result<Call, InvalidCall> {
+    let traffic_config = traffic.control().traffic_config();
+    let token =
+        header(headers, "authorization").ok_or(InvalidCall::NoToken)?;
+    let token = token.strip_prefix("Bearer ").ok_or(InvalidCall::NoToken)?;
+    let caller = traffic_config
+        .caller(&token_hash(token))
+        .ok_or(InvalidCall::WrongToken)?;
+    let class =
+        traffic_config.config.class(class).ok_or(InvalidCall::NoSuchClass)?;
+    let caller_config =
+        traffic_config.config.caller(caller).ok_or(InvalidCall::WrongToken)?;
+    if !caller_config.classes.contains(&class.name) {
+        return Err(InvalidCall::ClassNotAllowed);
     }
     Ok(Call {
         caller: caller.clone(),
         class: class.name.clone(),
         remaining: deadline(class, headers)?,
-        key: key(class, caller, headers)?,
+        key: idempotency_key(class, caller, headers)?,
     })
 }
 
@@ -198,31 +208,36 @@
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn deadline(class: &Class, headers: &HeaderMap) -> Result<Millis, Invalid> {
-    let Some(value) = header(headers, DEADLINE) else {
+fn deadline(
+    class: &Class,
+    headers: &HeaderMap,
+) -> Result<Millis, InvalidCall> {
+    let Some(value) = header(headers, DEADLINE_HEADER) else {
         return Ok(class.deadline_ms);
     };
-    let millis: Millis = value.parse().map_err(|_| Invalid::BadDeadline)?;
+    let millis: Millis =
+        value.parse().map_err(|_| InvalidCall::BadDeadline)?;
     if millis == 0 {
-        return Err(Invalid::BadDeadline);
+        return Err(InvalidCall::BadDeadline);
     }
     Ok(millis.min(class.deadline_ms))
 }
 
-/// The key of a call that must not be repeated. Other calls need none.
-fn key(
+/// The idempotency key, if the class requires one.
+fn idempotency_key(
     class: &Class,
     caller: &CallerId,
     headers: &HeaderMap,
-) -> Result<Option<Key>, Invalid> {
+) -> Result<Option<Key>, InvalidCall> {
     if class.repeat == Repeat::Allowed {
         return Ok(None);
     }
-    let text = header(headers, crate::target::KEY).ok_or(Invalid::NoKey)?;
+    let text =
+        header(headers, crate::target::KEY).ok_or(InvalidCall::NoKey)?;
     let uuid = Uuid::parse_str(text.trim_matches('"'))
-        .map_err(|_| Invalid::BadKey)?;
+        .map_err(|_| InvalidCall::BadKey)?;
     if uuid.get_version_num() != 7 {
-        return Err(Invalid::BadKey);
+        return Err(InvalidCall::BadKey);
     }
     let caller = caller.clone();
     Ok(Some(Key { uuid: uuid.as_u128(), caller }))
@@ -232,15 +247,15 @@
 fn reply(outcome: Outcome, answer: Option<Answer>) -> Reply {
     match (&outcome, answer) {
         (Outcome::Answered, Some(answer)) => answered(answer),
-        (Outcome::Answered, None) => ended(
+        (Outcome::Answered, None) => unanswered(
             &Outcome::unknown(Reason::ConnectionLost, 1_000),
             StatusCode::BAD_GATEWAY,
         ),
         (Outcome::NotRun { reason, .. }, _) => {
-            ended(&outcome, refusal_status(*reason))
+            unanswered(&outcome, refusal_status(*reason))
         }
         (Outcome::Unknown { reason, .. }, _) => {
-            ended(&outcome, unknown_status(*reason))
+            unanswered(&outcome, unknown_status(*reason))
         }
     }
 }
@@ -248,7 +263,7 @@
 fn answered(answer: Answer) -> Reply {
     let status = StatusCode::from_u16(answer.status);
     let mut response = Response::build(status.unwrap_or(StatusCode::OK));
-    response.insert_header((OUTCOME, "answered"));
+    response.insert_header((OUTCOME_HEADER, "answered"));
     if let Some(content_type) = answer.content_type {
         response.insert_header((CONTENT_TYPE, content_type));
     }
@@ -275,8 +290,8 @@
     }
 }
 
-/// The response to a call without an answer.
-fn ended(outcome: &Outcome, status: StatusCode) -> Reply {
+/// The response to a call that was not answered.
+fn unanswered(outcome: &Outcome, status: StatusCode) -> Reply {
     let (name, reason, retry_after, advice) = match *outcome {
         Outcome::NotRun { reason, retry_after } => {
             ("not-run", reason, retry_after, "try again")
@@ -288,8 +303,8 @@
     };
     let mut response = Response::build(status);
     response
-        .insert_header((OUTCOME, name))
-        .insert_header((REASON, reason.as_str()))
+        .insert_header((OUTCOME_HEADER, name))
+        .insert_header((REASON_HEADER, reason.as_str()))
         .insert_header((CONTENT_TYPE, "text/plain; charset=utf-8"));
     if retry_after == Outcome::NEVER {
         let body = format!("{name}: {reason}: asking again tells no more\n");
@@ -298,7 +313,7 @@
     let body = format!("{name}: {reason}: {advice} in {retry_after} ms\n");
     response
         .insert_header(("retry-after", retry_after.div_ceil(1_000)))
-        .insert_header((RETRY_MS, retry_after))
+        .insert_header((RETRY_AFTER_MS_HEADER, retry_after))
         .body(body)
         .map_into_boxed_body()
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,28 +1,28 @@
 /*!
-The error type of the library.
+The error type of this crate.
 */
 
 use std::fmt;
 
-/// What kind of thing went wrong.
+/// The kind of an [`Error`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum ErrorKind {
-    /// A setting is missing or wrong.
+    /// A setting is missing or invalid.
     Setting,
-    /// An address can't be listened on.
+    /// A listener or the control thread can't be started.
     Listen,
-    /// The platform's key-value service gave no usable answer.
+    /// The platform's key-value service gave no usable response.
     Platform,
-    /// The VM list gave no usable answer.
+    /// The VM list can't be fetched or is malformed.
     VmList,
-    /// A peer could not be reached or is not one of ours.
+    /// A request to an entry VM failed.
     Link,
-    /// The operators' file is not in order.
+    /// A file can't be read or is invalid.
     File,
 }
 
-/// An error, with what to do about it.
+/// An error with its remedy: what to do about it.
 #[derive(Debug)]
 pub struct Error {
     kind: ErrorKind,
@@ -31,7 +31,7 @@
 }
 
 impl Error {
-    /// An error with its remedy.
+    /// Creates an error from its description and its remedy.
     pub fn new(
         kind: ErrorKind,
         problem: impl Into<String>,
@@ -41,7 +41,7 @@
         Error { kind, problem, remedy }
     }
 
-    /// What kind of thing went wrong.
+    /// The kind of the error.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
@@ -55,5 +55,5 @@
 
 impl std::error::Error for Error {}
 
-/// A result of the library.
+/// A result with this crate's error type.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,9 +1,9 @@
 /*!
-The little that every HTTP server here needs beyond its library.
+Helpers for HTTP servers.
 
-A server is a function from a request to a response, run on a number of
-threads of its own. Bodies are read up to a limit in size and time, so that a
-sender that is slow or never ends holds up nothing but itself.
+A server is a function from a request to a response, run on its own threads.
+Reading a body is limited in size and time, so that a slow or endless sender
+delays only its own request.
 */
 
 use std::convert::Infallible;
@@ -22,14 +22,15 @@
 /// The response of a server.
 pub type Reply = Response<BoxBody>;
 
-/// A sender has this long for the head of its request.
+/// The timeout of receiving the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection without requests is kept for this long.
+/// How long an idle connection is kept open.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
-/// Requests in progress get this long when a server is stopped gracefully.
+/// How long a graceful stop waits for requests in progress.
 const STOP_TIMEOUT_SECS: u64 = 30;
 
-/// Runs a server on `workers` threads. `make` builds the handler for each.
+/// Starts a server on `workers` threads. `make_handler` is called on each
+/// thread to create its handler.
 ///
 /// # Errors
 ///
@@ -37,7 +38,7 @@
 pub fn serve<M, F, Fut>(
     listener: TcpListener,
     workers: usize,
-    make: M,
+    make_handler: M,
 ) -> std::io::Result<Server>
 where
     M: Fn() -> F + Send + Clone + 'static,
@@ -50,7 +51,7 @@
         .disable_signals()
         .shutdown_timeout(STOP_TIMEOUT_SECS)
         .listen("http", listener, move || {
-            let handler = make();
+            let handler = make_handler();
             HttpService::build()
                 .client_request_timeout(HEAD_TIMEOUT)
                 .keep_alive(KEEP_ALIVE)
@@ -67,11 +68,11 @@
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is longer than the limit.
+    /// The body is longer than the limit.
     TooLarge,
-    /// It did not arrive in time.
+    /// The body did not arrive before the timeout.
     TooSlow,
-    /// It was cut or is not well formed.
+    /// The body was cut off or is malformed.
     Broken,
 }
 
@@ -79,15 +80,15 @@
 ///
 /// # Errors
 ///
-/// If it is longer than `limit` bytes, takes longer than `within`, or is
-/// cut.
+/// If it is longer than `limit` bytes, takes longer than `time_limit`, or is
+/// cut off.
 pub async fn read_body(
     payload: Payload,
     limit: usize,
-    within: Duration,
+    time_limit: Duration,
 ) -> Result<Bytes, BodyError> {
     let read = collect(payload, limit);
-    match tokio::time::timeout(within, read).await {
+    match tokio::time::timeout(time_limit, read).await {
         Ok(result) => result,
         Err(_) => Err(BodyError::TooSlow),
     }
@@ -108,7 +109,7 @@
     Ok(body.freeze())
 }
 
-/// The value of a header, if it is there and is text.
+/// The value of a header, if it is present and visible ASCII.
 pub fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
@@ -122,7 +123,7 @@
         .map_into_boxed_body()
 }
 
-/// A response with a line of text.
+/// A plain text response. A newline is appended to `body`.
 pub fn text(status: StatusCode, body: &str) -> Reply {
     Response::build(status)
         .insert_header((CONTENT_TYPE, "text/plain; charset=utf-8"))
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,32 +1,33 @@
 /*!
-puffinknot is a cluster scheduler for unlike workloads: calls that must never
+puffinknot is a cluster scheduler for mixed workloads: calls that must never
 queue, calls that may wait, services that are kept running, and batch work,
 all on one fixed set of VMs.
 
-This crate is everything around the decisions: the connections to callers,
-targets, operators, other entry VMs and the platform. The decisions are in
-[`puffinknot_core`], which does no I/O and is driven alike by the
-daemon, by fuzzing and by model checking.
+This crate does the I/O: it connects to callers, targets, operators, other
+entry VMs and the platform. The decisions are made in [`puffinknot_core`],
+which does no I/O, so that the daemon, fuzzing and model checking all drive
+the same code.
 
 # A tour
 
-A call arrives at an entry VM. [`entry`] finds out who calls and what is
-wanted, and [`traffic`] leads the call to its end. What to do is decided on
-the [`control`] thread, which alone owns the state: run the call at an
-executor ([`target`]), send it on to the entry VM that holds a free slot
-([`link`], [`wire`]), or answer it. On the other side, [`link_server`] takes calls
-that were sent on.
+A call arrives at an entry VM. [`entry`] authenticates the caller and parses
+the call, and [`traffic`] handles the call until it ends. The [`control`]
+thread, the only owner of the state, decides what to do: run the call at an
+executor ([`target`]), forward it to the entry VM that has a free slot
+([`link`], [`wire`]), or answer it. On that VM, [`link_server`] receives the
+forwarded call.
 
-Behind that, [`daemon`] keeps the state up to date: from the platform's
-key-value service ([`platform`]), from the VM list ([`vm_list`]), and from
-other entry VMs.
+In the background, [`daemon`] updates the state from the platform's key-value
+service ([`platform`]), the VM list ([`vm_list`]) and other entry VMs.
 
-Operators talk to the daemon through [`admin`], mostly by the commands in
+Operators reach the daemon through [`admin`], usually with the commands in
 [`client`].
 
+[`cell`] is separate: it is a node of a cell that runs batch jobs.
+
 # Examples
 
-Settings are checked before anything is started, and say what to do:
+Settings are validated before anything starts. An error says what to do:
 
 ```
 use clap::Parser;
@@ -46,7 +47,7 @@
 );
 ```
 
-The operators' file is checked as a whole:
+The operators' file is validated as a whole:
 
 ```
 use puffinknot::core::config::Config;
--- a/src/link.rs
+++ b/src/link.rs
@@ -1,9 +1,10 @@
 /*!
-Links between entry VMs: HTTP/2 connections that carry `bincode` messages.
+The client side of links: HTTP/2 connections to other entry VMs that carry
+`bincode` messages.
 
-Each thread has connections of its own and opens one when it is needed. An
-exchange says of a failure whether any byte of the request may have left,
-because only then may the request have had an effect.
+Each thread has its own connections, which are opened on demand. The error of
+an exchange says whether any byte of the request may have been sent, because
+only then may the request have taken effect.
 */
 
 use std::cell::RefCell;
@@ -21,26 +22,26 @@
 
 use crate::wire::{self, Hello, Request, Response};
 
-/// A connection must be made within this time.
+/// The timeout of connecting, and of waiting for a free stream.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The flow-control window of a stream and of a connection, in bytes.
 const WINDOW: u32 = 4 << 20;
 
-/// Bytes of messages sent and received on links by this process.
-static PAYLOAD: AtomicU64 = AtomicU64::new(0);
+/// The value of [`payload_bytes`].
+static PAYLOAD_BYTES: AtomicU64 = AtomicU64::new(0);
 
 /// The bytes of messages that this process has sent and received on links,
 /// without the framing of HTTP/2.
 pub fn payload_bytes() -> u64 {
-    PAYLOAD.load(Ordering::Relaxed)
+    PAYLOAD_BYTES.load(Ordering::Relaxed)
 }
 
 /// Why an exchange failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkError {
-    /// Whether any byte of the request may have left.
+    /// Whether any byte of the request may have been sent.
     pub sent: bool,
-    /// What happened.
+    /// The description of the failure.
     pub problem: String,
 }
 
@@ -54,53 +55,54 @@
     }
 }
 
-/// The links of one thread.
+/// The open links of one thread.
 #[derive(Clone)]
 pub struct Links {
     hello: Rc<Hello>,
     ip: IpAddr,
-    open: Rc<RefCell<HashMap<SocketAddr, SendRequest<Bytes>>>>,
+    connections: Rc<RefCell<HashMap<SocketAddr, SendRequest<Bytes>>>>,
 }
 
 impl Links {
-    /// Links that introduce themselves with `hello` and connect from `ip`.
+    /// Creates links that send `hello` first and connect from `ip`.
     pub fn new(hello: Hello, ip: IpAddr) -> Links {
         let hello = Rc::new(hello);
-        Links { hello, ip, open: Rc::default() }
+        Links { hello, ip, connections: Rc::default() }
     }
 
-    /// Sends a request and waits for the answer.
+    /// Sends a request and waits for the response.
     ///
     /// # Errors
     ///
-    /// If there is no answer within `within`, or the peer refuses us.
+    /// If connecting fails, the peer refuses the connection, or there is no
+    /// response within `time_limit`, which starts once there is a connection.
     pub async fn request(
         &self,
         peer: SocketAddr,
         request: &Request,
-        within: Duration,
+        time_limit: Duration,
     ) -> Result<Response, LinkError> {
         let bytes = wire::encode(request).map_err(LinkError::unsent)?;
         let sender = self.sender(peer).await?;
         let exchange = exchange(sender, bytes);
-        let result = match timeout(within, exchange).await {
+        let result = match timeout(time_limit, exchange).await {
             Ok(result) => result,
-            Err(_) => Err(LinkError::sent("no answer in time")),
+            Err(_) => Err(LinkError::sent("no response before the timeout")),
         };
         if result.is_err() {
-            // A link that has failed once is opened anew for the next
-            // request; what is still under way on it goes on.
-            self.open.borrow_mut().remove(&peer);
+            // The next request opens a new connection. Other exchanges on
+            // this one continue.
+            self.connections.borrow_mut().remove(&peer);
         }
         result
     }
 
-    /// A connection to the peer that takes a request now.
+    /// An open or new connection that is ready to send a request.
     async fn sender(
         &self,
         peer: SocketAddr,
     ) -> Result<SendRequest<Bytes>, LinkError> {
-        let open = self.open.borrow().get(&peer).cloned();
+        let open = self.connections.borrow().get(&peer).cloned();
         if let Some(sender) = open {
             if let Ok(Ok(sender)) =
                 timeout(CONNECT_TIMEOUT, sender.ready()).await
@@ -108,13 +110,17 @@
                 return Ok(sender);
             }
         }
-        self.open.borrow_mut().remove(&peer);
+        self.connections.borrow_mut().remove(&peer);
         let connect = self.connect(peer);
         let sender = match timeout(CONNECT_TIMEOUT, connect).await {
             Ok(result) => result?,
-            Err(_) => return Err(LinkError::unsent("no connection in time")),
+            Err(_) => {
+                return Err(LinkError::unsent(
+                    "no connection before the timeout",
+                ))
+            }
         };
-        self.open.borrow_mut().insert(peer, sender.clone());
+        self.connections.borrow_mut().insert(peer, sender.clone());
         Ok(sender)
     }
 
@@ -122,7 +128,7 @@
         &self,
         peer: SocketAddr,
     ) -> Result<SendRequest<Bytes>, LinkError> {
-        let stream = self.dial(peer).await.map_err(LinkError::unsent)?;
+        let stream = self.open_tcp(peer).await.map_err(LinkError::unsent)?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = h2::client::Builder::new()
             .initial_window_size(WINDOW)
@@ -131,19 +137,21 @@
             .await
             .map_err(LinkError::unsent)?;
         actix_rt::spawn(async move {
-            // Whoever uses the connection sees its end.
+            // The users of the connection notice when it ends.
             let _ = connection.await;
         });
         let hello = wire::encode(&*self.hello).map_err(LinkError::unsent)?;
         match exchange(sender.clone(), hello).await {
             Ok(Response::Welcome) => Ok(sender),
             Ok(Response::Refused(why)) => Err(LinkError::unsent(why)),
-            Ok(_) => Err(LinkError::unsent("not the answer to a hello")),
+            Ok(_) => {
+                Err(LinkError::unsent("unexpected response to the hello"))
+            }
             Err(err) => Err(LinkError::unsent(err.problem)),
         }
     }
 
-    async fn dial(&self, peer: SocketAddr) -> std::io::Result<TcpStream> {
+    async fn open_tcp(&self, peer: SocketAddr) -> std::io::Result<TcpStream> {
         let socket = match peer {
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
@@ -158,7 +166,7 @@
     bytes: Vec<u8>,
 ) -> Result<Response, LinkError> {
     let mut sender = sender.ready().await.map_err(LinkError::unsent)?;
-    PAYLOAD.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+    PAYLOAD_BYTES.fetch_add(bytes.len() as u64, Ordering::Relaxed);
     let head = http::Request::post("http://link/");
     let head = head.body(()).map_err(LinkError::unsent)?;
     let (response, mut body) =
@@ -175,7 +183,7 @@
 ///
 /// # Errors
 ///
-/// If it is longer, or the stream is cut.
+/// If it is longer, or the stream is cut off.
 pub async fn read(
     mut stream: RecvStream,
     limit: usize,
@@ -190,6 +198,6 @@
         released.map_err(|err| err.to_string())?;
         bytes.extend_from_slice(&chunk);
     }
-    PAYLOAD.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+    PAYLOAD_BYTES.fetch_add(bytes.len() as u64, Ordering::Relaxed);
     Ok(bytes.freeze())
 }
--- a/src/link_server.rs
+++ b/src/link_server.rs
@@ -20,7 +20,7 @@
 use crate::control::{Input, Origin};
 use crate::link::read;
 use crate::traffic::Traffic;
-use crate::wire::{self, Bequest, Hop, Request, Response};
+use crate::wire::{self, Handover, Hop, Request, Response};
 
 /// The timeout of the handshake, including the hello.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(3);
@@ -100,7 +100,7 @@
             .map_err(|err| err.to_string())?;
         let first = connection.accept().await;
         let (request, respond) = first
-            .ok_or("connection closed before the hello")?
+            .ok_or("closed before the hello")?
             .map_err(|err| err.to_string())?;
         let body = request.into_body();
         let checked = {
@@ -112,7 +112,7 @@
                     bytes = &mut hello => break self.check_hello(bytes),
                     more = connection.accept() => {
                         if more.is_none() {
-                            return Err("connection closed during the hello".into());
+                            return Err("closed during the hello".into());
                         }
                     }
                 }
@@ -199,7 +199,7 @@
                 let (outcome, answer) = run.await;
                 Response::Ended(outcome, answer)
             }
-            Request::Bequest(Bequest { scope, epoch, memory }) => {
+            Request::Bequest(Handover { scope, epoch, memory }) => {
                 control.event(Event::Bequest { scope, epoch, memory });
                 Response::Noted
             }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,8 +1,9 @@
 /*!
-Counters over StatsD, by `cadence`.
+The counters of a node as StatsD metrics, sent with `cadence`.
 
-Each refusal and retry reason has a counter of its own, with the same figures
-as in the status. Counters are sent as their increase since the last time.
+Each reason of a refusal, an unknown outcome or a retry has its own counter,
+with the same value as in the status. A counter is sent as its increase since
+the previous transmission.
 */
 
 use std::collections::BTreeMap;
@@ -17,53 +18,54 @@
 
 use crate::settings::Settings;
 
-/// The prefix of every metric.
+/// The prefix of every metric name.
 const PREFIX: &str = "puffinknot";
 
-/// The sender of metrics.
+/// Sends metrics.
 pub struct Metrics {
     client: StatsdClient,
-    sent: Counters,
+    last_sent: Counters,
 }
 
 impl Metrics {
-    /// Metrics that go where the settings say, or nowhere.
+    /// Creates a sender to the address in the settings. Without an address,
+    /// or if the socket can't be opened, metrics are discarded.
     pub fn new(settings: &Settings) -> Metrics {
         let client = match settings.statsd {
-            Some(addr) => match udp(settings, addr) {
-                Ok(sink) => client(sink),
+            Some(addr) => match udp_sink(settings, addr) {
+                Ok(sink) => statsd_client(sink),
                 Err(err) => {
-                    warn!("metrics: can't send to {addr}: {err}.");
-                    client(NopMetricSink)
+                    warn!("metrics: can't open a socket to {addr}: {err}.");
+                    statsd_client(NopMetricSink)
                 }
             },
-            None => client(NopMetricSink),
+            None => statsd_client(NopMetricSink),
         };
-        Metrics { client, sent: Counters::default() }
+        Metrics { client, last_sent: Counters::default() }
     }
 
-    /// Sends what has been counted since the last time.
+    /// Sends the increase of each counter since the previous call.
     pub fn send(&mut self, counters: &Counters) {
-        let sent = std::mem::replace(&mut self.sent, counters.clone());
-        self.count("calls", sent.calls, counters.calls);
-        self.count("hops", sent.hops, counters.hops);
-        self.count("answered", sent.answered, counters.answered);
-        self.count("claims", sent.claims, counters.claims);
-        self.count("handovers", sent.handovers, counters.handovers);
+        let sent = std::mem::replace(&mut self.last_sent, counters.clone());
+        self.send_increase("calls", sent.calls, counters.calls);
+        self.send_increase("hops", sent.hops, counters.hops);
+        self.send_increase("answered", sent.answered, counters.answered);
+        self.send_increase("claims", sent.claims, counters.claims);
+        self.send_increase("handovers", sent.handovers, counters.handovers);
         let writes = [
             ("lost", sent.writes_lost, counters.writes_lost),
             ("unknown", sent.writes_unknown, counters.writes_unknown),
             ("not-made", sent.writes_not_made, counters.writes_not_made),
         ];
         for (name, before, after) in writes {
-            self.count(&format!("writes.{name}"), before, after);
+            self.send_increase(&format!("writes.{name}"), before, after);
         }
-        self.by_reason("refused", &sent.refused, &counters.refused);
-        self.by_reason("unknown", &sent.unknown, &counters.unknown);
-        self.by_reason("retries", &sent.retries, &counters.retries);
+        self.send_by_reason("refused", &sent.refused, &counters.refused);
+        self.send_by_reason("unknown", &sent.unknown, &counters.unknown);
+        self.send_by_reason("retries", &sent.retries, &counters.retries);
     }
 
-    fn by_reason(
+    fn send_by_reason(
         &self,
         name: &str,
         before: &BTreeMap<Reason, u64>,
@@ -71,20 +73,20 @@
     ) {
         for (reason, count) in after {
             let earlier = before.get(reason).copied().unwrap_or(0);
-            self.count(&format!("{name}.{reason}"), earlier, *count);
+            self.send_increase(&format!("{name}.{reason}"), earlier, *count);
         }
     }
 
-    fn count(&self, name: &str, before: u64, after: u64) {
+    fn send_increase(&self, name: &str, before: u64, after: u64) {
         let increase = after.saturating_sub(before);
         if increase > 0 {
-            // A lost metric is no reason to stop.
+            // A metric that can't be sent is lost; that is no failure.
             let _ = self.client.count(name, increase as i64);
         }
     }
 }
 
-fn client<
+fn statsd_client<
     S: MetricSink + Sync + Send + 'static + std::panic::RefUnwindSafe,
 >(
     sink: S,
@@ -92,7 +94,7 @@
     StatsdClient::from_sink(PREFIX, sink)
 }
 
-fn udp(
+fn udp_sink(
     settings: &Settings,
     addr: std::net::SocketAddr,
 ) -> Result<UdpMetricSink, cadence::MetricError> {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -12,11 +12,12 @@
 
 /// The entry daemon of puffinknot.
 ///
-/// Every setting is a flag or an environment variable; a flag goes first.
+/// Every setting is a flag or an environment variable; a flag takes
+/// precedence.
 #[derive(Clone, Debug, Parser)]
 #[command(name = "puffinknotd", version, after_help = EXAMPLES)]
 pub struct Settings {
-    /// The cell; all VMs of one user and region share it.
+    /// The cell; all VMs of one user and region belong to the same one.
     #[arg(long, env = "PUFFINKNOT_CELL")]
     pub cell: String,
     /// The data centre of this VM.
@@ -25,13 +26,13 @@
     /// The name of this VM. A restarted daemon may use it again.
     #[arg(long, env = "PUFFINKNOT_VM")]
     pub vm: String,
-    /// Where callers connect, as IP:PORT.
+    /// The address that callers connect to, as IP:PORT.
     #[arg(long, env = "PUFFINKNOT_LISTEN")]
     pub listen: SocketAddr,
-    /// Where other entry VMs connect, as IP:PORT.
+    /// The address that other entry VMs connect to, as IP:PORT.
     #[arg(long, env = "PUFFINKNOT_LINK")]
     pub link: SocketAddr,
-    /// Where operators connect, as IP:PORT.
+    /// The address that operators connect to, as IP:PORT.
     #[arg(long, env = "PUFFINKNOT_ADMIN")]
     pub admin: SocketAddr,
     /// The platform's key-value service, as http://IP:PORT.
@@ -40,37 +41,38 @@
     /// The VM list, as http://IP:PORT/PATH.
     #[arg(long, env = "PUFFINKNOT_VM_LIST")]
     pub vm_list: String,
-    /// Links of other entry VMs, as IP:PORT, to start from while the
-    /// platform is down. May be given several times.
+    /// The link address of another entry VM, as IP:PORT, for a start while
+    /// the platform is down. May be given several times.
     #[arg(long = "peer", env = "PUFFINKNOT_PEERS", value_delimiter = ',')]
     pub peers: Vec<SocketAddr>,
     /// The secret that all VMs of the cell and its operators share.
     #[arg(long, env = "PUFFINKNOT_SECRET", hide_env_values = true)]
     pub secret: String,
-    /// The number of call contracts, if this VM is the first of its data
-    /// centre ever.
+    /// The number of call contracts of the data centre. Used only by the
+    /// first VM that ever starts in it.
     #[arg(long, env = "PUFFINKNOT_CALL_SCOPES", default_value_t = 1)]
     pub call_scopes: u16,
-    /// The lease of this VM with the platform, in seconds.
+    /// The duration of this VM's lease from the platform, in seconds.
     #[arg(long, env = "PUFFINKNOT_TTL", default_value_t = 3)]
     pub ttl: u64,
     /// The number of threads that serve callers.
     #[arg(long, env = "PUFFINKNOT_THREADS", default_value_t = 2)]
     pub threads: usize,
-    /// The number of calls in progress at the most.
+    /// The maximum number of calls in progress.
     #[arg(long, env = "PUFFINKNOT_MAX_CALLS", default_value_t = 10_000)]
     pub max_calls: usize,
-    /// At a planned stop, how long to wait for the balancer to notice, in
-    /// milliseconds.
+    /// How long a planned shutdown waits for the load balancer to notice it,
+    /// in milliseconds.
     #[arg(long, env = "PUFFINKNOT_DRAIN_MS", default_value_t = 1_000)]
     pub drain_ms: u64,
-    /// Where metrics go by the StatsD protocol over UDP, as IP:PORT.
+    /// The address that metrics are sent to, as IP:PORT, by the StatsD
+    /// protocol over UDP.
     #[arg(long, env = "PUFFINKNOT_STATSD")]
     pub statsd: Option<SocketAddr>,
-    /// What is logged: error, warn, info or debug.
+    /// The least severe log level that is logged: error, warn, info or debug.
     #[arg(long, env = "PUFFINKNOT_LOG", default_value = "info")]
     pub log: log::LevelFilter,
-    /// Check the settings and stop.
+    /// Check the settings and exit.
     #[arg(long)]
     pub check: bool,
 }
@@ -81,30 +83,31 @@
     --listen 10.1.0.1:8080 --link 10.1.0.1:8081 --admin 10.1.0.1:8082 \\
     --platform http://10.0.0.5:2379 --vm-list http://10.0.0.5:9000/vms
 
-Signals: SIGTERM and SIGINT begin a planned stop, a second one has no effect.
-Exit codes: 0 stopped as planned, 1 failed, 2 wrong settings.";
+Signals: SIGTERM and SIGINT start a planned shutdown; a second one has no
+effect.
+Exit codes: 0 stopped as planned, 1 failed, 2 invalid settings.";
 
 impl Settings {
-    /// Checks what the flags' types can't.
+    /// Checks what the types of the flags can't express.
     ///
     /// # Errors
     ///
-    /// The first setting that is wrong, with its remedy.
+    /// The first invalid setting, with its remedy.
     pub fn validate(&self) -> Result<()> {
-        name("--cell", &self.cell)?;
-        name("--dc", &self.dc)?;
-        name("--vm", &self.vm)?;
-        url("--platform", &self.platform)?;
-        url("--vm-list", &self.vm_list)?;
-        if self.secret.len() < MIN_SECRET {
+        check_name("--cell", &self.cell)?;
+        check_name("--dc", &self.dc)?;
+        check_name("--vm", &self.vm)?;
+        check_url("--platform", &self.platform)?;
+        check_url("--vm-list", &self.vm_list)?;
+        if self.secret.len() < MIN_SECRET_BYTES {
             let problem = "--secret is too short";
-            let remedy = format!("use at least {MIN_SECRET} characters");
+            let remedy = format!("use at least {MIN_SECRET_BYTES} characters");
             return Err(Error::new(ErrorKind::Setting, problem, remedy));
         }
-        range("--ttl", self.ttl, 1, 60)?;
-        range("--threads", self.threads as u64, 1, 64)?;
-        range("--call-scopes", self.call_scopes.into(), 1, 64)?;
-        range("--max-calls", self.max_calls as u64, 1, 1_000_000)?;
+        check_range("--ttl", self.ttl, 1, 60)?;
+        check_range("--threads", self.threads as u64, 1, 64)?;
+        check_range("--call-scopes", self.call_scopes.into(), 1, 64)?;
+        check_range("--max-calls", self.max_calls as u64, 1, 1_000_000)?;
         Ok(())
     }
 
@@ -124,11 +127,11 @@
     }
 }
 
-const MIN_SECRET: usize = 8;
+const MIN_SECRET_BYTES: usize = 8;
 
-fn name(flag: &str, value: &str) -> Result<()> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_".contains(&b);
-    if (1..=40).contains(&value.len()) && value.bytes().all(plain) {
+fn check_name(flag: &str, value: &str) -> Result<()> {
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_".contains(&b);
+    if (1..=40).contains(&value.len()) && value.bytes().all(allowed) {
         return Ok(());
     }
     Err(Error::new(
@@ -138,7 +141,7 @@
     ))
 }
 
-fn url(flag: &str, value: &str) -> Result<()> {
+fn check_url(flag: &str, value: &str) -> Result<()> {
     let rest = value.strip_prefix("http://");
     let host = rest.map(|r| r.split('/').next().unwrap_or_default());
     if host.is_some_and(|h| h.parse::<SocketAddr>().is_ok()) {
@@ -151,7 +154,7 @@
     ))
 }
 
-fn range(flag: &str, value: u64, low: u64, high: u64) -> Result<()> {
+fn check_range(flag: &str, value: u64, low: u64, high: u64) -> Result<()> {
     if (low..=high).contains(&value) {
         return Ok(());
     }
--- a/src/target.rs
+++ b/src/target.rs
@@ -1,6 +1,7 @@
 /*!
-The client of targets: executors, which answer calls, and workers, which run
-tasks. docs/TARGETS.md has the protocol and what is assumed of them.
+A client of targets: executors, which answer calls, and workers, which run
+tasks. docs/TARGETS.md describes the protocol and the assumptions about
+targets.
 */
 
 use std::net::SocketAddr;
@@ -16,17 +17,17 @@
 use crate::platform::not_sent;
 use crate::wire::Answer;
 
-/// The header that carries an epoch.
+/// The header with an epoch.
 pub const EPOCH: &str = "puffinknot-epoch";
-/// The header that carries the id of one request.
+/// The header with the id of a request to an executor.
 pub const REQUEST: &str = "puffinknot-request";
-/// The header that carries the key of a call.
+/// The header with the idempotency key of a call.
 pub const KEY: &str = "idempotency-key";
-/// A slot stays counted until the target answers or closes the connection,
-/// or until this time has passed.
+/// The timeout of an executor's answer. A slot counts as used until the
+/// executor answers, the connection ends, or this time has passed.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3_600);
-/// The largest answer of a worker, in bytes.
-const MAX_SYNC: usize = 8 << 20;
+/// The largest response of a worker, in bytes.
+const MAX_SYNC_BYTES: usize = 8 << 20;
 
 /// A call to send to an executor.
 #[derive(Clone, Debug)]
@@ -35,7 +36,7 @@
     pub epoch: Epoch,
     /// The id of this request.
     pub request: String,
-    /// The key of the call, if it has one.
+    /// The idempotency key of the call, if it has one.
     pub key: Option<String>,
     /// The body.
     pub body: Bytes,
@@ -63,7 +64,7 @@
         Err(_) => return (Attempt::Lost, None),
     };
     match response.status().as_u16() {
-        412 => match highest(&response) {
+        412 => match highest_epoch(&response) {
             Some(epoch) => return (Attempt::Stale(epoch), None),
             None => return (Attempt::Refused, None),
         },
@@ -83,15 +84,15 @@
     }
 }
 
-fn highest<S>(response: &ClientResponse<S>) -> Option<Epoch> {
+fn highest_epoch<S>(response: &ClientResponse<S>) -> Option<Epoch> {
     response.headers().get(EPOCH)?.to_str().ok()?.parse().ok()
 }
 
-/// Presents an epoch to an executor and asks for its state.
+/// Sends an epoch to an executor and requests its state.
 ///
 /// # Errors
 ///
-/// If it has seen a higher epoch or gives no usable answer.
+/// If the executor has seen a higher epoch or gives no usable response.
 pub async fn probe(
     client: &Client,
     addr: SocketAddr,
@@ -102,7 +103,7 @@
         .insert_header((EPOCH, epoch.to_string()));
     let response = request.send().await;
     let mut response = response.map_err(|_| TargetError::Unreachable)?;
-    check(&response)?;
+    check_status(&response)?;
     response.json().await.map_err(|_| TargetError::Unreachable)
 }
 
@@ -110,7 +111,7 @@
 ///
 /// # Errors
 ///
-/// If it has seen a higher epoch or gives no usable answer.
+/// If the worker has seen a higher epoch or gives no usable response.
 pub async fn sync(
     client: &Client,
     addr: SocketAddr,
@@ -119,15 +120,15 @@
     let url = format!("http://{addr}/sync");
     let response = client.post(url).send_json(request).await;
     let mut response = response.map_err(|_| TargetError::Unreachable)?;
-    check(&response)?;
-    let reply = response.json().limit(MAX_SYNC).await;
+    check_status(&response)?;
+    let reply = response.json().limit(MAX_SYNC_BYTES).await;
     reply.map_err(|_| TargetError::Unreachable)
 }
 
-fn check<S>(response: &ClientResponse<S>) -> Result<(), TargetError> {
+fn check_status<S>(response: &ClientResponse<S>) -> Result<(), TargetError> {
     match response.status().as_u16() {
         200 => Ok(()),
-        412 => match highest(response) {
+        412 => match highest_epoch(response) {
             Some(epoch) => Err(TargetError::Stale(epoch)),
             None => Err(TargetError::Unreachable),
         },
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -1,10 +1,11 @@
 /*!
-The way of one call through a traffic thread.
+The handling of calls on a traffic thread.
 
-The control thread decides; this module does what it says: it sends the call
-to an executor or to another entry VM, reports how that ended, and hands the
-answer back. An attempt at an executor goes on after the caller was told that
-its deadline has passed, since only its end frees the slot.
+The control thread decides what to do with a call, and this module does it: it
+sends the call to an executor or to another entry VM, reports the result, and
+returns the answer. An attempt at an executor continues after the caller was
+told that the deadline has passed, because the executor's slot stays in use
+until the attempt ends.
 */
 
 use std::cell::RefCell;
@@ -26,11 +27,11 @@
 use crate::target::{self, ExecutorCall};
 use crate::wire::{Answer, Hello, Hop, Request, Response};
 
-/// A hop gets this much longer than the call's deadline, so that the peer
-/// can say what became of the call.
+/// The time that a hop may take beyond the call's deadline, so that the peer
+/// can report the outcome of the call.
 const HOP_GRACE: Duration = Duration::from_millis(500);
 
-/// What one traffic thread works with.
+/// What a traffic thread needs to handle calls.
 #[derive(Clone)]
 pub struct Traffic {
     control: Control,
@@ -38,22 +39,24 @@
     links: Links,
 }
 
-/// Where the answer of an attempt is left for the caller.
-type Slot = Rc<RefCell<Option<Answer>>>;
+/// The answer of an executor or peer, until it is returned to the origin of
+/// the call.
+type AnswerCell = Rc<RefCell<Option<Answer>>>;
 
 impl Traffic {
-    /// The means of a thread that connects from `ip`.
+    /// Creates the clients for a thread that connects from `ip`.
     pub fn new(control: Control, hello: Hello, ip: IpAddr) -> Traffic {
         let links = Links::new(hello, ip);
         Traffic { control, client: http_client(ip), links }
     }
 
-    /// The way to the control thread.
+    /// The handle of the control thread.
     pub fn control(&self) -> &Control {
         &self.control
     }
 
-    /// Leads a call to its end.
+    /// Handles a call until it ends. Returns its outcome, and the answer if
+    /// there is one.
     pub async fn run(
         &self,
         origin: Origin,
@@ -66,23 +69,23 @@
             return (unknown_if_keyed(key.is_some(), outcome), None);
         };
         let id = pending.id();
-        let slot = Slot::default();
+        let answer_cell = AnswerCell::default();
         while let Some(step) = pending.step().await {
             match step {
                 Step::Dispatch { addr, epoch, request } => {
-                    let key = key.as_ref().map(key_text);
+                    let key = key.as_ref().map(format_key);
                     let limit = self.body_limit();
                     let body = body.clone();
-                    let out =
+                    let call =
                         ExecutorCall { epoch, request, key, body, limit };
-                    self.attempt(id, addr, out, slot.clone());
+                    self.attempt(id, addr, call, answer_cell.clone());
                 }
                 Step::Forward { addr, scope, call } => {
                     let hop = Hop { scope, call, body: body.to_vec() };
-                    self.forward(id, addr, hop, slot.clone());
+                    self.forward(id, addr, hop, answer_cell.clone());
                 }
                 Step::Answer(outcome) => {
-                    return (outcome, slot.borrow_mut().take());
+                    return (outcome, answer_cell.borrow_mut().take());
                 }
             }
         }
@@ -98,27 +101,33 @@
         &self,
         id: CallId,
         addr: SocketAddr,
-        out: ExecutorCall,
-        slot: Slot,
+        call: ExecutorCall,
+        answer_cell: AnswerCell,
     ) {
         let client = self.client.clone();
         let control = self.control.clone();
         actix_rt::spawn(async move {
-            let (attempt, answer) = target::call(&client, addr, out).await;
-            *slot.borrow_mut() = answer;
+            let (attempt, answer) = target::call(&client, addr, call).await;
+            *answer_cell.borrow_mut() = answer;
             control.event(Event::Attempted(id, attempt));
         });
     }
 
-    fn forward(&self, id: CallId, addr: SocketAddr, hop: Hop, slot: Slot) {
+    fn forward(
+        &self,
+        id: CallId,
+        addr: SocketAddr,
+        hop: Hop,
+        answer_cell: AnswerCell,
+    ) {
         let links = self.links.clone();
         let control = self.control.clone();
-        let within = Duration::from_millis(hop.call.remaining) + HOP_GRACE;
+        let time_limit = Duration::from_millis(hop.call.remaining) + HOP_GRACE;
         actix_rt::spawn(async move {
             let request = Request::Hop(hop);
-            let event = match links.request(addr, &request, within).await {
+            let event = match links.request(addr, &request, time_limit).await {
                 Ok(Response::Ended(outcome, answer)) => {
-                    *slot.borrow_mut() = answer;
+                    *answer_cell.borrow_mut() = answer;
                     Event::HopEnded(id, outcome)
                 }
                 Ok(_) => Event::HopFailed { id, sent: false },
@@ -129,8 +138,8 @@
     }
 }
 
-/// A refusal of this VM says nothing about earlier attempts of a call with
-/// a key.
+/// Turns "not run" into "unknown" for a call with a key, because a refusal by
+/// this VM says nothing about earlier attempts with the same key.
 pub fn unknown_if_keyed(keyed: bool, outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::NotRun { reason, retry_after } if keyed => {
@@ -140,6 +149,6 @@
     }
 }
 
-fn key_text(key: &Key) -> String {
+fn format_key(key: &Key) -> String {
     Uuid::from_u128(key.uuid).to_string()
 }
--- a/src/vm_list.rs
+++ b/src/vm_list.rs
@@ -1,10 +1,11 @@
 /*!
-The VM list, in the form of Prometheus' HTTP service discovery.
+The VM list, in the JSON format of Prometheus HTTP service discovery.
 
-Each entry names one target and has the labels `vm`, `kind` (`entry`,
-`executor` or `worker`), `data_centre` and `state` (`live` or `leaving`).
-An entry without them can't be read; it is not taken for absent, since it
-may be that of a target that is enrolled.
+Each entry has the address of one VM and the labels `vm`, `kind` (`entry`,
+`executor` or `worker`), `data_centre` and `state` (`live` or `leaving`). A
+target's entry is unreadable without a valid address, `kind`, `vm` or
+`data_centre`. It does not count as absent, because it may belong to an
+enrolled target.
 */
 
 use std::collections::HashMap;
@@ -18,18 +19,18 @@
 use crate::error::{Error, ErrorKind, Result};
 
 /// The largest list, in bytes.
-const MAX_LIST: usize = 8 << 20;
+const MAX_LIST_BYTES: usize = 8 << 20;
 
-/// What the list says.
+/// A parsed VM list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VmList {
     /// The targets.
     pub targets: Vec<Listed>,
-    /// Where each target listens.
+    /// The address of each target.
     pub addrs: HashMap<TargetId, SocketAddr>,
-    /// Where the links of entry VMs listen.
+    /// The link addresses of the entry VMs.
     pub entries: Vec<SocketAddr>,
-    /// The entries that could not be read.
+    /// The unreadable entries.
     pub unreadable: Unread,
 }
 
@@ -41,28 +42,28 @@
 }
 
 impl VmList {
-    /// Reads a list.
+    /// Parses a list.
     ///
     /// # Errors
     ///
-    /// If it is not a list in the right form.
+    /// If it is not JSON of the right form. An unreadable entry is no error.
     pub fn parse(bytes: &[u8]) -> Result<VmList> {
         let entries: Vec<Entry> =
             serde_json::from_slice(bytes).map_err(|err| {
                 Error::new(
                     ErrorKind::VmList,
-                    format!("the VM list is not in order: {err}"),
+                    format!("the VM list is malformed: {err}"),
                     "check --vm-list",
                 )
             })?;
         let mut list = VmList::default();
         for entry in entries {
-            list.add(&entry);
+            list.add_entry(&entry);
         }
         Ok(list)
     }
 
-    fn add(&mut self, entry: &Entry) {
+    fn add_entry(&mut self, entry: &Entry) {
         let label = |name: &str| entry.labels.get(name);
         let addr = entry.targets.first().and_then(|addr| addr.parse().ok());
         if label("kind").is_some_and(|kind| kind == "entry") {
@@ -100,18 +101,18 @@
     ///
     /// # Errors
     ///
-    /// If there is no usable answer.
+    /// If there is no usable response.
     pub async fn fetch(client: &Client, url: &str) -> Result<VmList> {
         let failed = |problem: String| {
             Error::new(
                 ErrorKind::VmList,
-                format!("the VM list failed: {problem}"),
-                "check --vm-list; it is read again",
+                format!("the VM list can't be fetched: {problem}"),
+                "check --vm-list; the request is retried",
             )
         };
         let response = client.get(url).send().await;
         let mut response = response.map_err(|err| failed(err.to_string()))?;
-        let body = response.body().limit(MAX_LIST).await;
+        let body = response.body().limit(MAX_LIST_BYTES).await;
         let body = body.map_err(|err| failed(err.to_string()))?;
         if !response.status().is_success() {
             return Err(failed(response.status().to_string()));
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,10 +1,10 @@
 /*!
-What entry VMs say to each other.
+The messages between entry VMs.
 
-Messages are encoded with `bincode` and go over HTTP/2, each exchange on a
-stream of its own. The first exchange of a connection is a [`Hello`]; it
-carries the version and proves knowledge of the cell's secret. Nothing else
-is read from a connection before.
+Messages are encoded with `bincode` and sent over HTTP/2, each exchange on its
+own stream. The first request on a connection is a [`Hello`], which carries
+the version and proves knowledge of the cell's secret. No other message is
+decoded before the hello has been accepted.
 */
 
 use bincode::config::{standard, Configuration, Limit, LittleEndian, Varint};
@@ -18,13 +18,14 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// The version of the messages. VMs of different versions don't talk.
+/// The version of the messages. VMs with different versions refuse each
+/// other's connections.
 pub const VERSION: u32 = 1;
-/// The first bytes of every [`Hello`].
+/// The first bytes of every [`Hello`], which identify the protocol.
 pub const MAGIC: [u8; 8] = *b"pffnknt\x01";
 /// The largest message, in bytes.
 pub const MAX_MESSAGE: usize = 32 << 20;
-/// The largest first message, in bytes.
+/// The largest [`Hello`], in bytes.
 pub const MAX_HELLO: usize = 1 << 10;
 
 /// The first message of a connection.
@@ -34,9 +35,9 @@
     pub magic: [u8; 8],
     /// [`VERSION`].
     pub version: u32,
-    /// The cell.
+    /// The cell of the VM that connects.
     pub cell: String,
-    /// The SHA-256 of the cell's secret.
+    /// The SHA-256 of the cell's name and secret, from [`proof`].
     pub proof: [u8; 32],
     /// The VM that connects.
     pub vm: VmId,
@@ -44,59 +45,59 @@
     pub dc: DcName,
 }
 
-/// What a VM asks of another.
+/// A request of one VM to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// Take note of this summary; the answer is one too.
+    /// The sender's summary; the response is the receiver's summary.
     Summary(Summary),
-    /// Send what you know of the platform's values.
+    /// Requests the platform values that the receiver knows.
     Fetch,
-    /// Run a call under a contract.
+    /// Runs a call under a contract.
     Hop(Hop),
-    /// Take what is known of a contract that you are to hold.
-    Bequest(Bequest),
+    /// Hands over the key memory of a contract to its next holder.
+    Bequest(Handover),
 }
 
-/// A call that is sent on.
+/// A call that is forwarded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hop {
     /// The contract to run it under.
     pub scope: Scope,
     /// The call.
     pub call: Call,
-    /// Its body.
+    /// The body of the call.
     pub body: Vec<u8>,
 }
 
-/// What the holder of a contract passes on to its successor.
+/// What the holder of a contract hands over to its successor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bequest {
+pub struct Handover {
     /// The contract.
     pub scope: Scope,
-    /// The holder's epoch.
+    /// The epoch of the sender, the previous holder.
     pub epoch: Epoch,
-    /// The keys it remembers.
+    /// The idempotency keys that the sender remembers.
     pub memory: KeyMemory,
 }
 
-/// The answer to a [`Request`] or a [`Hello`].
+/// The response to a [`Request`] or a [`Hello`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// The connection may be used.
+    /// The hello is accepted.
     Welcome,
-    /// The connection may not be used, or the message is not understood.
+    /// The connection or the request is refused, with the reason.
     Refused(String),
-    /// Taken note of.
+    /// The handover was received.
     Noted,
-    /// The other VM's summary.
+    /// The summary of the responding VM.
     Summary(Summary),
-    /// What the other VM knows of the platform's values.
+    /// The platform values that the responding VM knows.
     Stored(Vec<Stored>),
-    /// The end of a call.
+    /// The outcome of a call, and the answer if there is one.
     Ended(Outcome, Option<Answer>),
 }
 
-/// What a target answered.
+/// An executor's answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// The HTTP status.
@@ -107,10 +108,13 @@
     pub body: Vec<u8>,
 }
 
-type Config<const N: usize> = Configuration<LittleEndian, Varint, Limit<N>>;
+type BincodeConfig<const N: usize> =
+    Configuration<LittleEndian, Varint, Limit<N>>;
 
-const MESSAGES: Config<MAX_MESSAGE> = standard().with_limit::<MAX_MESSAGE>();
-const HELLOS: Config<MAX_HELLO> = standard().with_limit::<MAX_HELLO>();
+const MESSAGE_CONFIG: BincodeConfig<MAX_MESSAGE> =
+    standard().with_limit::<MAX_MESSAGE>();
+const HELLO_CONFIG: BincodeConfig<MAX_HELLO> =
+    standard().with_limit::<MAX_HELLO>();
 
 /// Encodes a message.
 ///
@@ -118,7 +122,7 @@
 ///
 /// If it is larger than [`MAX_MESSAGE`].
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, String> {
-    let bytes = bincode::serde::encode_to_vec(message, MESSAGES)
+    let bytes = bincode::serde::encode_to_vec(message, MESSAGE_CONFIG)
         .map_err(|err| err.to_string())?;
     if bytes.len() > MAX_MESSAGE {
         return Err(format!("message of {} bytes is too large", bytes.len()));
@@ -132,19 +136,25 @@
 ///
 /// If the bytes are anything else.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, String> {
-    whole(bytes, bincode::serde::decode_from_slice(bytes, MESSAGES))
+    require_all_used(
+        bytes,
+        bincode::serde::decode_from_slice(bytes, MESSAGE_CONFIG),
+    )
 }
 
-/// Decodes a first message.
+/// Decodes a [`Hello`] that takes up all of `bytes`.
 ///
 /// # Errors
 ///
 /// If the bytes are anything else.
 pub fn decode_hello(bytes: &[u8]) -> Result<Hello, String> {
-    whole(bytes, bincode::serde::decode_from_slice(bytes, HELLOS))
+    require_all_used(
+        bytes,
+        bincode::serde::decode_from_slice(bytes, HELLO_CONFIG),
+    )
 }
 
-fn whole<T>(
+fn require_all_used<T>(
     bytes: &[u8],
     decoded: Result<(T, usize), bincode::error::DecodeError>,
 ) -> Result<T, String> {
@@ -155,7 +165,8 @@
     }
 }
 
-/// The proof of knowledge of a secret.
+/// The proof of knowledge of a cell's secret: the SHA-256 of the cell's name,
+/// a zero byte and the secret.
 pub fn proof(cell: &str, secret: &str) -> [u8; 32] {
     let mut hasher = Sha256::new();
     hasher.update(cell.as_bytes());
@@ -165,11 +176,12 @@
 }
 
 impl Hello {
-    /// Whether the VM that said this may connect.
+    /// Checks whether the VM that sent this hello may connect to a VM with
+    /// this cell and proof.
     ///
     /// # Errors
     ///
-    /// Why not, and what to do.
+    /// Why it may not connect, and what to do about it.
     pub fn check(&self, cell: &str, proof: &[u8; 32]) -> Result<(), String> {
         if self.magic != MAGIC {
             return Err("not a puffinknot link; check the port".into());
