--- a/src/bin/puffinknot.rs
+++ b/src/bin/puffinknot.rs
@@ -1,4 +1,4 @@
-//! The operators' client.
+//! The operators' command line client.
 
 use std::process::ExitCode;
 
--- a/src/bin/puffinknotd.rs
+++ b/src/bin/puffinknotd.rs
@@ -8,14 +8,14 @@
 use puffinknot::settings::Settings;
 use simplelog::{ColorChoice, ConfigBuilder, TermLogger, TerminalMode};
 
-/// The exit code for wrong settings.
-const WRONG_SETTINGS: u8 = 2;
+/// The exit code for invalid settings.
+const INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
     let settings = Settings::parse();
     if let Err(err) = settings.validate() {
         eprintln!("puffinknotd: {err}");
-        return ExitCode::from(WRONG_SETTINGS);
+        return ExitCode::from(INVALID_SETTINGS);
     }
     if settings.check {
         println!("settings are in order");
@@ -45,7 +45,8 @@
     Ok(())
 }
 
-/// Begins a planned stop at the first signal; later ones change nothing.
+/// Starts a planned shutdown at the first signal. Later signals have no
+/// effect.
 fn drain_on_signal(control: &puffinknot::control::Control) {
     use tokio::signal::unix::{signal, SignalKind};
     actix_rt::System::new().block_on(async {
--- a/src/client/apply.rs
+++ b/src/client/apply.rs
@@ -1,4 +1,5 @@
-//! `apply` and `plan`: the operators' file, put into force as a whole.
+//! The commands `apply` and `plan`, which activate the operators' file as a
+//! whole and show what that would change.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -12,17 +13,17 @@
 use crate::error::{Error, ErrorKind, Result};
 use crate::platform::Platform;
 
-use super::{current, Cell, Current, Output, Report, DONE, LOST, WRONG};
+use super::{read_current, Cell, Current, Output, Report, DONE, LOST, WRONG};
 
 /// The arguments of `apply`.
 #[derive(Clone, Debug, Args)]
 pub struct ApplyArgs {
     #[command(flatten)]
     cell: Cell,
-    /// The file.
+    /// The operators' file.
     file: PathBuf,
     /// Apply only if this revision is in force; 0 if there must be none.
-    /// Without it, the revision in force when the command starts.
+    /// By default, the revision in force when the command starts.
     #[arg(long)]
     expect: Option<Revision>,
 }
@@ -32,23 +33,23 @@
 pub struct PlanArgs {
     #[command(flatten)]
     cell: Cell,
-    /// The file.
+    /// The operators' file.
     file: PathBuf,
 }
 
-/// What an apply changes.
+/// The difference between two versions of the operators' file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Changes {
-    /// What is new, as `kind.name`.
+    /// The new parts, each as `kind.name`.
     pub added: Vec<String>,
-    /// What is changed.
+    /// The changed parts.
     pub changed: Vec<String>,
-    /// What is gone.
+    /// The removed parts.
     pub removed: Vec<String>,
 }
 
 impl Changes {
-    /// The difference between two files.
+    /// Compares two versions. `old` is `None` if there was no file before.
     pub fn between(old: Option<&Config>, new: &Config) -> Changes {
         let old = old.map(parts).unwrap_or_default();
         let new = parts(new);
@@ -67,14 +68,14 @@
         changes
     }
 
-    /// Whether nothing changes.
+    /// Whether there is no difference.
     pub fn is_empty(&self) -> bool {
         self.added.is_empty()
             && self.changed.is_empty()
             && self.removed.is_empty()
     }
 
-    fn lines(&self) -> String {
+    fn summary(&self) -> String {
         if self.is_empty() {
             return "no changes\n".to_string();
         }
@@ -90,7 +91,7 @@
     }
 }
 
-/// Each named part of a file, in a form that can be compared.
+/// The named parts of a file, in a form that can be compared.
 fn parts(config: &Config) -> BTreeMap<String, String> {
     let mut parts = BTreeMap::new();
     let mut add = |name: String, part: String| parts.insert(name, part);
@@ -115,8 +116,9 @@
     parts
 }
 
-/// Reads and checks a file. A wrong file is a report of every error.
-fn load(
+/// Reads and validates a file. If the file is invalid, returns a report of
+/// every error.
+fn load_file(
     path: &PathBuf,
     cell: &str,
     output: Output,
@@ -125,18 +127,18 @@
         Error::new(
             ErrorKind::File,
             format!("{} can't be read: {err}", path.display()),
-            "check its name",
+            "check the name of the file",
         )
     })?;
-    let shown = path.display();
+    let file_name = path.display();
     let config = match Config::parse(&text) {
         Ok(config) => config,
         Err(errors) => {
             let text = match output {
-                Output::Json => json(&errors),
+                Output::Json => json_line(&errors),
                 Output::Text => errors
                     .iter()
-                    .map(|error| format!("{shown}: {error}\n"))
+                    .map(|error| format!("{file_name}: {error}\n"))
                     .collect(),
             };
             return Ok(Err(Report { text, code: WRONG }));
@@ -144,7 +146,7 @@
     };
     if config.cell != cell {
         let text = format!(
-            "{shown}: cell: is {:?}, not {cell:?}; correct the file or \
+            "{file_name}: cell: is {:?}, not {cell:?}; correct the file or \
              --cell\n",
             config.cell
         );
@@ -153,47 +155,49 @@
     Ok(Ok((text, config)))
 }
 
-fn json<T: Serialize>(value: &T) -> String {
+fn json_line<T: Serialize>(value: &T) -> String {
     let mut text = serde_json::to_string(value).unwrap_or_default();
     text.push('\n');
     text
 }
 
-/// How an apply ended.
+/// The JSON output of `plan` and `apply`.
 #[derive(Debug, Serialize)]
-struct Applied<'a> {
+struct ApplyResult<'a> {
     applied: bool,
     revision: Revision,
     changes: &'a Changes,
 }
 
 pub(super) async fn plan(args: PlanArgs, output: Output) -> Result<Report> {
-    let new = match load(&args.file, &args.cell.cell, output)? {
+    let new = match load_file(&args.file, &args.cell.cell, output)? {
         Ok((_, config)) => config,
         Err(report) => return Ok(report),
     };
-    let current = current(&args.cell.open()).await?;
+    let current = read_current(&args.cell.connect()).await?;
     let old = current.config.as_ref();
     let changes = Changes::between(old.map(|(_, _, config)| config), &new);
     let revision = old.map_or(0, |(revision, _, _)| *revision);
     let text = match output {
-        Output::Json => {
-            json(&Applied { applied: false, revision, changes: &changes })
-        }
+        Output::Json => json_line(&ApplyResult {
+            applied: false,
+            revision,
+            changes: &changes,
+        }),
         Output::Text => {
-            format!("against revision {revision}:\n{}", changes.lines())
+            format!("against revision {revision}:\n{}", changes.summary())
         }
     };
     Ok(Report { text, code: DONE })
 }
 
 pub(super) async fn apply(args: ApplyArgs, output: Output) -> Result<Report> {
-    let (text, new) = match load(&args.file, &args.cell.cell, output)? {
+    let (text, new) = match load_file(&args.file, &args.cell.cell, output)? {
         Ok(loaded) => loaded,
         Err(report) => return Ok(report),
     };
-    let platform = args.cell.open();
-    let before = current(&platform).await?;
+    let platform = args.cell.connect();
+    let before = read_current(&platform).await?;
     let old = before.config.as_ref();
     let found = old.map_or(0, |(revision, _, _)| *revision);
     let expect = args.expect.unwrap_or(found);
@@ -206,12 +210,15 @@
     let revision = match platform.write(&write).await {
         WriteResult::Won(revision) => revision,
         WriteResult::Lost => {
-            return lost(&platform, &before, expect, output).await;
+            return report_conflict(&platform, &before, expect, output).await;
         }
         WriteResult::Unknown => {
-            match settle(&platform, &text, expect).await? {
+            match read_back(&platform, &text, expect).await? {
                 Some(revision) => revision,
-                None => return lost(&platform, &before, expect, output).await,
+                None => {
+                    return report_conflict(&platform, &before, expect, output)
+                        .await
+                }
             }
         }
         WriteResult::NotMade => {
@@ -224,50 +231,56 @@
     };
     let changes = Changes::between(old.map(|(_, _, config)| config), &new);
     let text = match output {
-        Output::Json => {
-            json(&Applied { applied: true, revision, changes: &changes })
-        }
+        Output::Json => json_line(&ApplyResult {
+            applied: true,
+            revision,
+            changes: &changes,
+        }),
         Output::Text => {
-            format!("{}applied as revision {revision}\n", changes.lines())
+            format!("{}applied as revision {revision}\n", changes.summary())
         }
     };
     Ok(Report { text, code: DONE })
 }
 
-/// The answer to the write was lost, so its end is read back. `None` means
-/// that another file is in force.
-async fn settle(
+/// Reads back whether a write with a lost response took effect. Returns the
+/// revision of the write, or `None` if it did not take effect or another file
+/// has replaced it since.
+async fn read_back(
     platform: &Platform,
     text: &str,
     expect: Revision,
 ) -> Result<Option<Revision>> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
-        match current(platform).await {
+        attempts += 1;
+        match read_current(platform).await {
             Ok(Current { config: Some((revision, found, _)), .. }) => {
-                let ours = found == text && revision > expect;
-                return Ok(ours.then_some(revision));
+                let is_written = found == text && revision > expect;
+                return Ok(is_written.then_some(revision));
             }
             Ok(Current { config: None, .. }) => return Ok(None),
-            Err(err) if tries >= SETTLE_TRIES => return Err(err),
-            Err(_) => actix_rt::time::sleep(SETTLE_WAIT).await,
+            Err(err) if attempts >= CONFIRM_ATTEMPTS => return Err(err),
+            Err(_) => actix_rt::time::sleep(CONFIRM_DELAY).await,
         }
     }
 }
 
-/// How often the end of a write is looked up, and the time between.
-const SETTLE_TRIES: u32 = 20;
-const SETTLE_WAIT: std::time::Duration = std::time::Duration::from_millis(500);
+/// The maximum number of attempts to read back a write, and the delay between
+/// them.
+const CONFIRM_ATTEMPTS: u32 = 20;
+const CONFIRM_DELAY: std::time::Duration =
+    std::time::Duration::from_millis(500);
 
-/// Another file came into force first: says which, and what it changed.
-async fn lost(
+/// The report of an apply that was not done: the revision in force, and what
+/// changed since the command started.
+async fn report_conflict(
     platform: &Platform,
     before: &Current,
     expect: Revision,
     output: Output,
 ) -> Result<Report> {
-    let after = current(platform).await?;
+    let after = read_current(platform).await?;
     let now = after.config.as_ref();
     let revision = now.map_or(0, |(revision, _, _)| *revision);
     let old = before.config.as_ref().map(|(_, _, config)| config);
@@ -276,13 +289,15 @@
         None => Changes::default(),
     };
     let text = match output {
-        Output::Json => {
-            json(&Applied { applied: false, revision, changes: &changes })
-        }
+        Output::Json => json_line(&ApplyResult {
+            applied: false,
+            revision,
+            changes: &changes,
+        }),
         Output::Text => format!(
             "not applied: revision {revision} is in force, not {expect}; \
              it changed:\n{}look at it and apply again\n",
-            changes.lines()
+            changes.summary()
         ),
     };
     Ok(Report { text, code: LOST })
--- a/src/client/call.rs
+++ b/src/client/call.rs
@@ -1,4 +1,4 @@
-//! `call`: one request, sent as a caller would.
+//! The command `call`, which sends one call as a caller would.
 
 use std::time::Duration;
 
@@ -18,25 +18,27 @@
     /// The entry VM, as IP:PORT of its --listen.
     #[arg(long)]
     entry: String,
-    /// The class.
+    /// The class of the call.
     #[arg(long)]
     class: String,
     /// The caller's token.
     #[arg(long, env = "PUFFINKNOT_TOKEN", hide_env_values = true)]
     token: String,
-    /// The key of an earlier call that is sent again; a new one otherwise.
+    /// The idempotency key of an earlier call, to retry it. By default, a new
+    /// key.
     #[arg(long)]
     key: Option<Uuid>,
     /// The deadline, in milliseconds.
     #[arg(long)]
     deadline_ms: Option<u64>,
-    /// The body.
+    /// The body of the call.
     #[arg(long, default_value = "")]
     body: String,
 }
 
 #[derive(Debug, Serialize)]
-struct Ended {
+/// The JSON output of `call`.
+struct CallResult {
     outcome: String,
     status: u16,
     key: String,
@@ -59,7 +61,7 @@
         Error::new(
             ErrorKind::Link,
             format!("the call may have run: {problem}"),
-            format!("ask again with --key {key}"),
+            format!("retry with --key {key}"),
         )
     };
     let response = request.send_body(args.body).await;
@@ -68,7 +70,7 @@
     let body = body.map_err(|err| failed(err.to_string()))?;
     let text =
         |name: &str| header(response.headers(), name).map(str::to_string);
-    let ended = Ended {
+    let result = CallResult {
         outcome: text("puffinknot-outcome").unwrap_or_default(),
         status: response.status().as_u16(),
         key: key.to_string(),
@@ -77,20 +79,20 @@
             .and_then(|ms| ms.parse().ok()),
         body: String::from_utf8_lossy(&body).into_owned(),
     };
-    let code = match ended.outcome.as_str() {
+    let code = match result.outcome.as_str() {
         "answered" => DONE,
         "unknown" => UNKNOWN,
-        _ if ended.status < 500 && ended.status != 429 => WRONG,
+        _ if result.status < 500 && result.status != 429 => WRONG,
         _ => NOT_RUN,
     };
     let text = match output {
         Output::Json => {
-            let text = serde_json::to_string(&ended).unwrap_or_default();
+            let text = serde_json::to_string(&result).unwrap_or_default();
             format!("{text}\n")
         }
         Output::Text => {
-            let body = ended.body.trim_end();
-            format!("{} key {}: {body}\n", ended.outcome, ended.key)
+            let body = result.body.trim_end();
+            format!("{} key {}: {body}\n", result.outcome, result.key)
         }
     };
     Ok(Report { text, code })
--- a/src/client/explain.rs
+++ b/src/client/explain.rs
@@ -1,9 +1,11 @@
 /*!
-Prints the history of one job from the logs of all nodes, and its cause.
+The command `explain`, which prints the history of one job from the logs of
+all nodes, and the cause of its outcome.
 
-Lines about the job itself are joined by those about its requests and its
-calls for advice, and by what happened to the cell meanwhile: who led, and
-whether the store answered. The last line says what decided the outcome.
+The history has the log lines about the job, its requests and its calls for
+advice, and the events of the cell in that time: changes of the leader, store
+outages, cordons of data centres, lost links to the leader, and the job's
+account going over its share. The last line is the cause.
 */
 
 use std::collections::BTreeSet;
@@ -15,17 +17,17 @@
 use crate::client::{Output, Report, DONE, WRONG};
 use crate::error::{Error, ErrorKind, Result};
 
-/// Explain what became of a job.
+/// Explain the outcome of a job.
 #[derive(Clone, Debug, Args)]
 pub struct ExplainArgs {
     /// The id of the job: 16 hex digits.
     pub id: String,
-    /// Log files, of as many nodes as there are.
+    /// The log files, of all nodes if possible.
     #[arg(required = true)]
     pub files: Vec<PathBuf>,
 }
 
-/// Kinds of lines that concern every job of their time.
+/// The kinds of log lines that concern every job that is live at the time.
 const CONTEXT: [&str; 11] = [
     "lead_claimed",
     "lead_offered",
@@ -39,22 +41,22 @@
     "store_regained",
     "leader_link_lost",
 ];
-/// Lines of the cell's this long before the job's first one are shown, in
-/// seconds.
-const BEFORE: f64 = 5.0;
+/// How long before the job's first log line the context begins, in seconds.
+const CONTEXT_BEFORE_S: f64 = 5.0;
 
-/// One line of a log.
+/// A log line.
 #[derive(Clone, Debug)]
 struct Line {
-    /// When, in seconds.
+    /// The time, in seconds since an arbitrary start.
     at: f64,
     node: String,
     fields: Map<String, Value>,
 }
 
 impl Line {
-    /// Reads a line. What stands before the object is a time and a node, as
-    /// some collectors put it there; else the object has its own time.
+    /// Parses a line. Some log collectors write a time in seconds and a node
+    /// before the JSON object. Otherwise the time is the object's timestamp,
+    /// and the node is `file`.
     fn parse(text: &str, file: &str) -> Option<Line> {
         let (before, object) = text.split_at(text.find('{')?);
         let fields: Map<String, Value> = serde_json::from_str(object).ok()?;
@@ -62,7 +64,7 @@
         let stamp = words.next().and_then(|word| word.parse().ok());
         let node = words.next().unwrap_or(file).to_string();
         let own = fields.get("timestamp").and_then(Value::as_str);
-        let at = stamp.or_else(|| seconds(own?))?;
+        let at = stamp.or_else(|| parse_timestamp(own?))?;
         Some(Line { at, node, fields })
     }
 
@@ -78,8 +80,8 @@
         self.fields.get(field).and_then(Value::as_u64)
     }
 
-    /// Whether it names the job, or a step or task of it.
-    fn names(&self, id: &str) -> bool {
+    /// Whether the line names the job, or one of its steps or tasks.
+    fn names_job(&self, id: &str) -> bool {
         let part = |text: &str| {
             text.strip_prefix(id).is_some_and(|rest| rest.starts_with('.'))
         };
@@ -103,8 +105,10 @@
     }
 }
 
-/// The seconds of the day of a time such as 2026-12-02T11:30:14.123Z.
-fn seconds(stamp: &str) -> Option<f64> {
+/// The seconds since the start of the month of a timestamp such as
+/// 2026-12-02T11:30:14.123Z, plus one day. Logs that span two months are
+/// sorted wrongly.
+fn parse_timestamp(stamp: &str) -> Option<f64> {
     let (date, time) = stamp.split_once('T')?;
     let days: f64 = date.rsplit('-').next()?.parse().ok()?;
     let mut parts = time.trim_end_matches('Z').split(':');
@@ -113,7 +117,7 @@
     Some(((days * 24.0 + hours) * 60.0 + minutes) * 60.0 + seconds)
 }
 
-/// Prints a job's history and its cause.
+/// Reports a job's history and the cause of its outcome.
 ///
 /// # Errors
 ///
@@ -151,7 +155,7 @@
         kind => CONTEXT.contains(&kind),
     };
     let context = lines.iter().filter(|line| {
-        concerns(line) && (first - BEFORE..=last).contains(&line.at)
+        concerns(line) && (first - CONTEXT_BEFORE_S..=last).contains(&line.at)
     });
     let context: Vec<&Line> = context.collect();
     let cause = cause(&own, &context);
@@ -182,9 +186,10 @@
     Report { text, code: DONE }
 }
 
-/// The lines that name the job, and the answers to its requests and calls.
+/// The lines that name the job, and the replies to its requests and its calls
+/// for advice.
 fn own_lines<'a>(id: &str, lines: &'a [Line]) -> Vec<&'a Line> {
-    let named: Vec<&Line> = lines.iter().filter(|l| l.names(id)).collect();
+    let named: Vec<&Line> = lines.iter().filter(|l| l.names_job(id)).collect();
     let requests: BTreeSet<(u64, u64)> = named
         .iter()
         .filter(|line| matches!(line.kind(), "submit" | "cancel"))
@@ -197,7 +202,7 @@
         .collect();
     let first = named.first().map_or(f64::MAX, |line| line.at);
     let belongs = |line: &&Line| {
-        if line.names(id) {
+        if line.names_job(id) {
             return true;
         }
         if line.at < first {
@@ -216,10 +221,10 @@
     lines.iter().filter(belongs).collect()
 }
 
-/// What decided the outcome.
+/// The cause of the job's outcome.
 fn cause(own: &[&Line], context: &[&Line]) -> String {
     let ended = own.iter().rev().find(|l| l.kind() == "job_ended");
-    let Some(ended) = ended else { return unended(own, context) };
+    let Some(ended) = ended else { return not_ended(own, context) };
     match ended.text("state") {
         "Failed" => failed(own),
         "Cancelled" => "its client cancelled it".to_string(),
@@ -233,9 +238,10 @@
 fn failed(own: &[&Line]) -> String {
     let given_up = own.iter().find(|l| l.kind() == "task_given_up");
     if let Some(line) = given_up {
-        return crashed(line);
+        return gave_up(line);
     }
-    // An executor reports an end again until it is acknowledged.
+    // An executor repeats the report of an end until it is acknowledged, so
+    // the log may have it several times.
     let runs = own.iter().filter(|line| line.text("how") == "Failed");
     let runs: BTreeSet<(&str, Option<u64>, &str)> = runs
         .map(|line| {
@@ -250,8 +256,9 @@
     format!("it failed {} times: {}", runs.len(), runs.join(", "))
 }
 
-/// A task that crashes executors, and whom to ask about it.
-fn crashed(line: &Line) -> String {
+/// The cause when a task was given up because it crashes executors. Names the
+/// account that submitted the job, or else its queue, as a contact.
+fn gave_up(line: &Line) -> String {
     let of = match line.text("account") {
         "" => format!("handed in to {}", line.text("queue")),
         account => format!("handed in by {account}"),
@@ -264,8 +271,9 @@
     )
 }
 
-/// The longest time in which nothing happened to the job, and what did to
-/// the cell.
+/// The cause when a job succeeded late: an overdue run, a long run, or the
+/// longest gap between two of its log lines with the events of the cell in
+/// that gap.
 fn late(own: &[&Line], context: &[&Line]) -> String {
     if let Some(line) = own.iter().find(|l| l.kind() == "run_overdue") {
         let ms = |field| line.number(field).unwrap_or_default() as f64;
@@ -326,8 +334,9 @@
     text
 }
 
-/// Why there was no room for a job.
-fn not_admitted(line: &Line) -> String {
+/// The cause when a job was refused because it would not have ended while it
+/// was still useful.
+fn admission_refused(line: &Line) -> String {
     let seconds = |field| line.number(field).unwrap_or_default() as f64 / 1e3;
     let whose = match line.text("account") {
         "" => "what waited".to_string(),
@@ -341,7 +350,7 @@
     )
 }
 
-fn unended(own: &[&Line], context: &[&Line]) -> String {
+fn not_ended(own: &[&Line], context: &[&Line]) -> String {
     let submitted = own.iter().any(|line| line.kind() == "submit");
     let refused = own.iter().rev().find(|line| {
         line.kind() == "refused" || line.text("outcome").contains("Refused")
@@ -359,7 +368,7 @@
         _ => {}
     }
     if let Some(line) = own.iter().rfind(|l| l.kind() == "not_admitted") {
-        return not_admitted(line);
+        return admission_refused(line);
     }
     let trouble = context.iter().rev().find(|line| {
         matches!(line.kind(), "store_lost" | "lead_ended" | "leader_link_lost")
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,8 +1,8 @@
 /*!
-The operators' client, `puffinknot`.
+The operators' command line client, `puffinknot`.
 
-Each command is a function from its arguments to a printed report. Reports
-are lines for people or, with `--output json`, one JSON object for scripts.
+Each command is a function from its arguments to a [`Report`]. A report is
+plain text or, with `--output json`, one JSON object for scripts.
 */
 
 mod apply;
@@ -24,10 +24,10 @@
 #[derive(Clone, Debug, Parser)]
 #[command(name = "puffinknot", version, after_help = EXAMPLES)]
 pub struct Cli {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
-    /// How to print.
+    /// The output format.
     #[arg(long, global = true, value_enum, default_value_t = Output::Text)]
     pub output: Output,
 }
@@ -35,22 +35,22 @@
 const EXAMPLES: &str = "\
 Examples:
   puffinknot plan cell.toml      show what an apply would change
-  puffinknot apply cell.toml     put the file into force, as a whole
+  puffinknot apply cell.toml     activate the file as a whole
   puffinknot status              VMs, contracts, targets, jobs, counters
-  puffinknot drain goya-1        begin a planned stop of an entry VM
+  puffinknot drain goya-1        start a planned shutdown of an entry VM
   puffinknot call --entry 10.1.0.1:8080 --class vent-check --token T
   puffinknot explain 5c0e7a21d94b36f8 logs/*.log
 
-PUFFINKNOT_PLATFORM, PUFFINKNOT_CELL and PUFFINKNOT_SECRET stand for the
-flags of the same names.
+PUFFINKNOT_PLATFORM, PUFFINKNOT_CELL and PUFFINKNOT_SECRET can be set instead
+of the flags of the same names.
 
-Exit codes: 0 done, 1 failed, 2 wrong arguments or file, 3 lost to another
-apply, 4 a call that was not run, 5 a call that may have run.";
+Exit codes: 0 done, 1 failed, 2 invalid arguments or file, 3 another apply
+came first, 4 a call that was not run, 5 a call that may have run.";
 
-/// How a report is printed.
+/// The output format of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Output {
-    /// Lines for people.
+    /// Plain text.
     Text,
     /// One JSON object.
     Json,
@@ -59,63 +59,64 @@
 /// The commands.
 #[derive(Clone, Debug, Subcommand)]
 pub enum Command {
-    /// Put a file into force, as a whole.
+    /// Activate a file as a whole.
     Apply(apply::ApplyArgs),
-    /// Show what an apply of a file would change.
+    /// Show what applying a file would change.
     Plan(apply::PlanArgs),
     /// Show VMs, contracts, targets, jobs and counters.
     Status(status::StatusArgs),
-    /// Begin a planned stop of an entry VM.
+    /// Start a planned shutdown of an entry VM.
     Drain(status::DrainArgs),
     /// Send one request as a caller would.
     Call(call::CallArgs),
-    /// Explain from logs what became of a job.
+    /// Explain the outcome of a job from logs.
     Explain(explain::ExplainArgs),
 }
 
-/// Where the cell is.
+/// The location of the cell.
 #[derive(Clone, Debug, Args)]
 pub struct Cell {
     /// The platform's key-value service, as http://IP:PORT.
     #[arg(long, env = "PUFFINKNOT_PLATFORM")]
     pub platform: String,
-    /// The cell.
+    /// The name of the cell.
     #[arg(long, env = "PUFFINKNOT_CELL")]
     pub cell: String,
 }
 
 impl Cell {
-    fn open(&self) -> Platform {
+    fn connect(&self) -> Platform {
         let client = http_client(IpAddr::V4(Ipv4Addr::UNSPECIFIED));
         Platform::new(client, &self.platform, &self.cell)
     }
 }
 
-/// A printed report and how the command ended.
+/// The output and the exit code of a command.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// What is printed.
+    /// The text to print.
     pub text: String,
     /// The exit code.
     pub code: u8,
 }
 
-/// The exit code of a command that was done.
+/// The exit code of a successful command.
 pub const DONE: u8 = 0;
-/// The exit code for wrong arguments or a wrong file.
+/// The exit code for invalid arguments or an invalid file.
 pub const WRONG: u8 = 2;
-/// The exit code of an apply that lost to another one.
+/// The exit code of an apply that was not done, or was overwritten, because
+/// another apply came first.
 pub const LOST: u8 = 3;
 /// The exit code of a call that was not run.
 pub const NOT_RUN: u8 = 4;
 /// The exit code of a call that may have run.
 pub const UNKNOWN: u8 = 5;
 
-/// Carries out a command.
+/// Runs a command.
 ///
 /// # Errors
 ///
-/// If it can't be done; the message says what to do.
+/// If the command fails. The message says what to do.
 pub async fn run(cli: Cli) -> Result<Report> {
     let output = cli.output;
     match cli.command {
@@ -128,14 +129,15 @@
     }
 }
 
-/// What the platform holds of a cell.
+/// The configuration and the members of a cell, as read from the platform.
 struct Current {
-    /// The file with its text and revision, if there is one.
+    /// The revision, text and parsed form of the operators' file in force, if
+    /// there is one.
     config: Option<(Revision, String, Config)>,
     members: Vec<(VmId, Member)>,
 }
 
-async fn current(platform: &Platform) -> Result<Current> {
+async fn read_current(platform: &Platform) -> Result<Current> {
     let Read { stored, .. } = platform.read(0).await?;
     let mut current = Current { config: None, members: Vec::new() };
     for entry in stored {
@@ -144,8 +146,10 @@
                 let config = Config::parse(&text).map_err(|err| {
                     Error::new(
                         ErrorKind::File,
-                        format!("the file in force is not in order: {err}"),
-                        "apply one that is",
+                        format!(
+                            "the operators' file in force is invalid: {err}"
+                        ),
+                        "apply a valid one",
                     )
                 })?;
                 current.config = Some((entry.revision, text, config));
--- a/src/client/status.rs
+++ b/src/client/status.rs
@@ -1,4 +1,4 @@
-//! `status` and `drain`: what every VM says of itself.
+//! The commands `status` and `drain`, which use the VMs' admin interface.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,7 +10,7 @@
 
 use crate::error::{Error, ErrorKind, Result};
 
-use super::{current, Cell, Output, Report, DONE};
+use super::{read_current, Cell, Output, Report, DONE};
 
 /// The arguments of `status`.
 #[derive(Clone, Debug, Args)]
@@ -20,8 +20,9 @@
     /// The cell's secret.
     #[arg(long, env = "PUFFINKNOT_SECRET", hide_env_values = true)]
     secret: String,
-    /// Ask these VMs, as IP:PORT of --admin, instead of those that the
-    /// platform knows; for use while it is down.
+    /// Query this VM, as IP:PORT of its --admin, instead of the VMs that the
+    /// platform knows; for use while the platform is down. May be given
+    /// several times.
     #[arg(long = "vm")]
     vms: Vec<String>,
     /// Show every target and counter.
@@ -47,9 +48,9 @@
     unreachable: Vec<String>,
 }
 
-/// The admin address of each VM that the platform knows, by name.
-async fn known(cell: &Cell) -> Result<BTreeMap<String, String>> {
-    let members = current(&cell.open()).await?.members;
+/// The admin address of each VM that the platform knows, by VM name.
+async fn admin_addrs(cell: &Cell) -> Result<BTreeMap<String, String>> {
+    let members = read_current(&cell.connect()).await?.members;
     let addr = |(vm, member): (puffinknot_core::ids::VmId, _)| {
         let member: puffinknot_core::store::Member = member;
         (vm.0, member.admin)
@@ -62,14 +63,14 @@
     output: Output,
 ) -> Result<Report> {
     let addrs = if args.vms.is_empty() {
-        known(&args.cell).await?.into_values().collect()
+        admin_addrs(&args.cell).await?.into_values().collect()
     } else {
         args.vms.clone()
     };
     let client = Client::default();
     let mut all = CellStatus { vms: Vec::new(), unreachable: Vec::new() };
     for addr in addrs {
-        match ask(&client, &addr, &args.secret).await {
+        match fetch_status(&client, &addr, &args.secret).await {
             Ok(status) => all.vms.push(status),
             Err(problem) => {
                 all.unreachable.push(format!("{addr}: {problem}"));
@@ -81,12 +82,12 @@
             let text = serde_json::to_string(&all).unwrap_or_default();
             format!("{text}\n")
         }
-        Output::Text => lines(&all, args.full),
+        Output::Text => render(&all, args.full),
     };
     Ok(Report { text, code: DONE })
 }
 
-async fn ask(
+async fn fetch_status(
     client: &Client,
     addr: &str,
     secret: &str,
@@ -103,10 +104,10 @@
     status.map_err(|err| err.to_string())
 }
 
-fn lines(all: &CellStatus, full: bool) -> String {
+fn render(all: &CellStatus, full: bool) -> String {
     let mut text = String::new();
     for vm in &all.vms {
-        vm_lines(&mut text, vm, full);
+        write_vm(&mut text, vm, full);
     }
     for vm in &all.unreachable {
         let _ = writeln!(text, "unreachable {vm}");
@@ -114,7 +115,7 @@
     text
 }
 
-fn vm_lines(text: &mut String, vm: &NodeStatus, full: bool) {
+fn write_vm(text: &mut String, vm: &NodeStatus, full: bool) {
     let platform = if vm.platform { "up" } else { "down" };
     let draining = if vm.draining { ", draining" } else { "" };
     let _ = writeln!(
@@ -123,7 +124,7 @@
         vm.vm, vm.dc, vm.config
     );
     for home in &vm.homes {
-        home_lines(text, home, full);
+        write_contract(text, home, full);
     }
     for job in &vm.jobs {
         let _ = writeln!(
@@ -159,7 +160,7 @@
     }
 }
 
-fn home_lines(text: &mut String, home: &HomeView, full: bool) {
+fn write_contract(text: &mut String, home: &HomeView, full: bool) {
     let settled = if home.settled { "settled" } else { "settling" };
     let confirmed = if home.confirmed { "" } else { ", not confirmed" };
     let _ = writeln!(
@@ -189,7 +190,7 @@
     let addr = if args.vm.parse::<std::net::SocketAddr>().is_ok() {
         args.vm.clone()
     } else {
-        find(&args).await?
+        find_admin_addr(&args).await?
     };
     let request = Client::default()
         .post(format!("http://{addr}/drain"))
@@ -197,7 +198,7 @@
     let failed = |problem: String| {
         Error::new(
             ErrorKind::Link,
-            format!("{addr} could not be told: {problem}"),
+            format!("the request to {addr} failed: {problem}"),
             "check the name and the secret, or send SIGTERM on the VM",
         )
     };
@@ -213,18 +214,19 @@
     Ok(Report { text, code: DONE })
 }
 
-async fn find(args: &DrainArgs) -> Result<String> {
-    let known = known(&args.cell).await?;
-    let named = |name: &String| {
-        let plain = name.rsplit_once('.').map_or("", |(plain, _)| plain);
-        *name == args.vm || plain == args.vm
+async fn find_admin_addr(args: &DrainArgs) -> Result<String> {
+    let addrs = admin_addrs(&args.cell).await?;
+    let matches_name = |name: &String| {
+        let base_name =
+            name.rsplit_once('.').map_or("", |(base_name, _)| base_name);
+        *name == args.vm || base_name == args.vm
     };
-    let found = known.iter().find(|(name, _)| named(name));
+    let found = addrs.iter().find(|(name, _)| matches_name(name));
     found.map(|(_, addr)| addr.clone()).ok_or_else(|| {
-        let names: Vec<&str> = known.keys().map(String::as_str).collect();
+        let names: Vec<&str> = addrs.keys().map(String::as_str).collect();
         Error::new(
             ErrorKind::Setting,
-            format!("no VM is called {:?}", args.vm),
+            format!("no VM has the name {:?}", args.vm),
             format!("use one of {}", names.join(", ")),
         )
     })
