--- a/src/client/call.rs
+++ b/src/client/call.rs
@@ -36,8 +36,8 @@
     body: String,
 }
 
-#[derive(Debug, Serialize)]
 /// The JSON output of `call`.
+#[derive(Debug, Serialize)]
 struct CallResult {
     outcome: String,
     status: u16,
--- a/src/client/status.rs
+++ b/src/client/status.rs
@@ -25,7 +25,7 @@
     /// several times.
     #[arg(long = "vm")]
     vms: Vec<String>,
-    /// Show every target and counter.
+    /// Show every target.
     #[arg(long)]
     full: bool,
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -108,7 +108,7 @@
 #[derive(Clone)]
 pub struct Control {
     inputs: mpsc::UnboundedSender<Input>,
-    shared: Arc<ArcSwap<TrafficConfig>>,
+    traffic_config: Arc<ArcSwap<TrafficConfig>>,
     next_call: Arc<AtomicU64>,
     in_progress: Arc<AtomicUsize>,
     max_calls: usize,
@@ -125,7 +125,7 @@
         let (inputs, receiver) = mpsc::unbounded_channel();
         let control = Control {
             inputs,
-            shared: Arc::default(),
+            traffic_config: Arc::default(),
             next_call: Arc::default(),
             in_progress: Arc::default(),
             max_calls,
@@ -135,12 +135,12 @@
 
     /// The configuration for traffic threads.
     pub fn traffic_config(&self) -> arc_swap::Guard<Arc<TrafficConfig>> {
-        self.shared.load()
+        self.traffic_config.load()
     }
 
     /// Replaces the configuration for traffic threads.
-    pub fn publish(&self, shared: TrafficConfig) {
-        self.shared.store(Arc::new(shared));
+    pub fn publish(&self, traffic_config: TrafficConfig) {
+        self.traffic_config.store(Arc::new(traffic_config));
     }
 
     /// Sends an input to the control thread.
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -40,7 +40,7 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// The interval between reads of the VM list.
 const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The interval between summaries to the peers in this data centre.
+/// The interval between summaries to peers.
 const SUMMARY_INTERVAL: Duration = Duration::from_millis(1_000);
 /// The timeout of a summary, a fetch or a handover.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -469,9 +469,9 @@
             Action::InForce(revision) => {
                 info!("config: revision {revision} is active.");
                 let config = self.node.view().config().cloned();
-                let shared =
+                let traffic_config =
                     TrafficConfig::new(revision, config.unwrap_or_default());
-                self.control.publish(shared);
+                self.control.publish(traffic_config);
             }
         }
     }
@@ -623,9 +623,7 @@
     fn start_platform(&mut self) {
         let (platform, control) = self.platform();
         actix_rt::spawn(watch_forever(platform, control));
-        let Some(draining_receiver) = self.draining_receiver.take() else {
-            return;
-        };
+        let Some(receiver) = self.draining_receiver.take() else { return };
         let keeper = LeaseKeeper {
             platform: self.platform.clone(),
             control: self.control.clone(),
@@ -638,7 +636,7 @@
                 draining: false,
             },
         };
-        actix_rt::spawn(keeper.run(draining_receiver));
+        actix_rt::spawn(keeper.run(receiver));
     }
 }
 
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -57,7 +57,7 @@
     cell: String,
 }
 
-/// The values of a cell at one revision.
+/// Values of a cell, read at one revision.
 #[derive(Clone, Debug, Default)]
 pub struct Read {
     /// The revision of the service at the time of the read.
