--- a/puffinknot-core/src/jobs/mod.rs
+++ b/puffinknot-core/src/jobs/mod.rs
@@ -30,7 +30,7 @@
 pub mod crash_evidence;
 pub mod crash_rate;
 pub mod executor;
-mod executors;
+mod executor_index;
 pub mod fair_share;
 pub mod headroom;
 pub mod mechanism;
--- a/puffinknot-core/src/jobs/scheduler/live_job.rs
+++ b/puffinknot-core/src/jobs/scheduler/live_job.rs
@@ -33,7 +33,7 @@
     /// The executors that advice was requested for.
     pub asked: BTreeSet<ExecutorIndex>,
     /// The value of
-    /// [`Executors::descriptions_version`](crate::jobs::executors::Executors::descriptions_version)
+    /// [`Executors::descriptions_version`](crate::jobs::executor_index::Executors::descriptions_version)
     /// when advice had been requested for all executors that may run the step.
     pub all_asked: Option<u64>,
     /// Whether the first answer has come.
--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -64,7 +64,7 @@
 use crate::jobs::cordon::Cordons;
 use crate::jobs::crash_rate::CrashRate;
 use crate::jobs::executor::Executor;
-use crate::jobs::executors::Executors;
+use crate::jobs::executor_index::Executors;
 use crate::jobs::mechanism::{Mechanism, Mechanisms};
 use crate::jobs::message::{
     Action, CallId, Event, ExecutorIndex, Outcome, RequestId,
