--- a/src/cell/node.rs
+++ b/src/cell/node.rs
@@ -328,13 +328,13 @@
     /// leader receives the cordons on the same channel before the answer, so
     /// that it knows them by then.
     pub fn refuses_start(&self, relayed: &RelayedOrder) -> bool {
-        let withholds = relayed.order.is_start()
+        let refuses = relayed.order.is_start()
             && self.cordons_since() > relayed.cordons_since
             && self.is_cordoned(&self.settings.borrow().dc);
-        if withholds {
+        if refuses {
             self.count("starts_withheld");
         }
-        withholds
+        refuses
     }
 
     /// The newest known leader.
