--- a/puffinknot-standin/src/executor.rs
+++ b/puffinknot-standin/src/executor.rs
@@ -105,7 +105,7 @@
     }
 
     /// Holds answers back, or lets them go.
-    pub fn hold(&self, held: bool) {
+    pub fn set_replies_held(&self, held: bool) {
         self.lock().held = held;
     }
 
--- a/puffinknot-standin/src/proxy.rs
+++ b/puffinknot-standin/src/proxy.rs
@@ -24,7 +24,7 @@
 
 /// What happens to connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Harm {
+pub enum ProxyFault {
     /// Nothing.
     #[default]
     None,
@@ -46,13 +46,15 @@
     Answer,
 }
 
-impl Harm {
+impl ProxyFault {
     fn holds(self, direction: Direction) -> bool {
         match self {
-            Harm::Silent => true,
-            Harm::AnswersLost => direction == Direction::Answer,
-            Harm::RequestsLost => direction == Direction::Request,
-            Harm::None | Harm::Delay(_) | Harm::Refuse => false,
+            ProxyFault::Silent => true,
+            ProxyFault::AnswersLost => direction == Direction::Answer,
+            ProxyFault::RequestsLost => direction == Direction::Request,
+            ProxyFault::None | ProxyFault::Delay(_) | ProxyFault::Refuse => {
+                false
+            }
         }
     }
 }
@@ -97,7 +99,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    harm: Harm,
+    harm: ProxyFault,
     /// Grows with each reset; connections from before are over.
     resets: u64,
     /// Grows each time open connections fall silent; those from before never
@@ -116,7 +118,7 @@
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn harm(&self) -> Harm {
+    fn harm(&self) -> ProxyFault {
         self.lock().harm
     }
 
@@ -171,7 +173,7 @@
     }
 
     /// Sets what happens to connections from now on.
-    pub fn set_harm(&self, harm: Harm) {
+    pub fn set_fault(&self, harm: ProxyFault) {
         self.shared.lock().harm = harm;
     }
 
@@ -200,7 +202,7 @@
 async fn accept(listener: StdListener, target: SocketAddr, shared: Shared) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
     while let Ok((client, _)) = listener.accept().await {
-        if shared.harm() != Harm::Refuse {
+        if shared.harm() != ProxyFault::Refuse {
             shared.lock().connections += 1;
             actix_rt::spawn(pass(client, target, shared.clone()));
         }
@@ -258,7 +260,7 @@
         if count == 0 {
             return;
         }
-        if let Harm::Delay(delay) = shared.harm() {
+        if let ProxyFault::Delay(delay) = shared.harm() {
             sleep(delay).await;
         }
         while shared.harm().holds(direction) {
--- a/puffinknot-standin/src/users.rs
+++ b/puffinknot-standin/src/users.rs
@@ -24,7 +24,7 @@
 mod store;
 
 pub use self::executor::{Executor, Run, CRASHED};
-pub use self::fleet::{Fleet, Gone, HEARTBEAT};
+pub use self::fleet::{CrashMode, Fleet, HEARTBEAT};
 pub use self::store::{Store, StoreFault};
 
 /// The largest body that is read, in bytes.
--- a/puffinknot-standin/src/users/executor.rs
+++ b/puffinknot-standin/src/users/executor.rs
@@ -39,7 +39,7 @@
     pub how: &'static str,
     /// When a node took note of its end, if it did so before the lease of
     /// the executor lapsed.
-    pub noted: Option<Instant>,
+    pub acknowledged: Option<Instant>,
 }
 
 /// An end that no node has taken note of yet.
@@ -248,7 +248,7 @@
             let mut record =
                 record.filter(|r| r.task == end.task && r.run == end.run);
             if let Some(record) = record.next() {
-                record.noted = Some(now);
+                record.acknowledged = Some(now);
             }
         }
     }
@@ -331,7 +331,7 @@
             began: now,
             ended: None,
             how: "",
-            noted: None,
+            acknowledged: None,
         });
         state.sealed.insert(task.to_string(), run.saturating_sub(1));
         self.done()
--- a/puffinknot-standin/src/users/fleet.rs
+++ b/puffinknot-standin/src/users/fleet.rs
@@ -35,7 +35,7 @@
 use self::list::List;
 use super::executor::{no_answer, Executor, Run};
 use super::store::Store;
-use crate::proxy::{Harm, Proxy};
+use crate::proxy::{Proxy, ProxyFault};
 use crate::server::Running;
 
 pub use self::beats::HEARTBEAT;
@@ -48,11 +48,11 @@
 
 /// What others see of a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gone {
+pub enum CrashMode {
     /// Its connections are reset, and no new ones are taken.
-    Seen,
+    Reset,
     /// Nothing: it has crashed behind a cut, and its connections are silent.
-    Unseen,
+    Silent,
 }
 
 /// A place where one executor lives at a time.
@@ -168,7 +168,7 @@
     }
 
     /// Where the list of machines is served.
-    pub fn list_at(&self) -> SocketAddr {
+    pub fn list_addr(&self) -> SocketAddr {
         self._listed.addr()
     }
 
@@ -178,12 +178,12 @@
     }
 
     /// The way to a machine.
-    pub fn way(&self, at: usize) -> &Proxy {
+    pub fn proxy(&self, at: usize) -> &Proxy {
         &self.machines[at].way
     }
 
     /// Who lives on a machine.
-    pub fn life(&self, at: usize) -> Option<Executor> {
+    pub fn executor(&self, at: usize) -> Option<Executor> {
         lock(&self.machines[at].life).clone()
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// The ids of all lives at the address of this one, oldest first.
-    pub fn lives_beside(&self, id: &str) -> Vec<String> {
+    pub fn incarnations_beside(&self, id: &str) -> Vec<String> {
         let lives = lock(&self.state).lives.clone();
         let here = lives.iter().find(|(_, life)| life.id() == id);
         let here = here.map(|(at, _)| *at);
@@ -210,17 +210,19 @@
     }
 
     /// Lets a new executor live on a machine where nobody does.
-    pub fn begin(&self, at: usize) {
+    pub fn start_executor(&self, at: usize) {
         self.live(at);
         self.tell();
     }
 
     /// Lets the executor that lived last on a machine start again there under
     /// its id.
-    pub fn begin_again(&self, at: usize) {
+    pub fn restart_executor(&self, at: usize) {
         let lives = lock(&self.state).lives.clone();
         let mut here = lives.iter().rev().filter(|(there, _)| *there == at);
-        let Some((_, former)) = here.next() else { return self.begin(at) };
+        let Some((_, former)) = here.next() else {
+            return self.start_executor(at);
+        };
         // Its clock may show more than the former one's, or less.
         let clock = if lives.len() % 2 == 0 { 0 } else { AHEAD };
         self.live_as(at, former.id(), clock);
@@ -250,20 +252,20 @@
         state.lives.push((at, life.clone()));
         drop(state);
         *lock(&machine.life) = Some(life);
-        machine.way.set_harm(Harm::None);
+        machine.way.set_fault(ProxyFault::None);
     }
 
     /// Ends the life on a machine at once. It says nothing, and its entry
     /// lingers.
-    pub fn crash(&self, at: usize, gone: Gone) {
+    pub fn crash(&self, at: usize, gone: CrashMode) {
         let machine = &self.machines[at];
         match gone {
-            Gone::Seen => {
-                machine.way.set_harm(Harm::Refuse);
+            CrashMode::Reset => {
+                machine.way.set_fault(ProxyFault::Refuse);
                 machine.way.reset();
             }
-            Gone::Unseen => {
-                machine.way.set_harm(Harm::Silent);
+            CrashMode::Silent => {
+                machine.way.set_fault(ProxyFault::Silent);
                 machine.way.silence_open();
             }
         }
@@ -278,10 +280,10 @@
 
     /// Lets a machine stand still, or be cut off from nodes and store, or go
     /// on.
-    pub fn cut(&self, at: usize, off: bool) {
-        let harm = if off { Harm::Silent } else { Harm::None };
-        self.machines[at].way.set_harm(harm);
-        if let Some(life) = self.life(at) {
+    pub fn set_isolated(&self, at: usize, off: bool) {
+        let harm = if off { ProxyFault::Silent } else { ProxyFault::None };
+        self.machines[at].way.set_fault(harm);
+        if let Some(life) = self.executor(at) {
             self.entry(life.id(), |entry| entry.cut = off);
         }
     }
@@ -289,7 +291,7 @@
     /// Takes the entry of a living executor out of the store. It comes back
     /// within two seconds.
     pub fn lapse(&self, at: usize) {
-        let Some(life) = self.life(at) else { return };
+        let Some(life) = self.executor(at) else { return };
         let mut state = lock(&self.state);
         let state = &mut *state;
         let entries = state.entries.iter_mut();
@@ -301,7 +303,7 @@
 
     /// The executor says that it will leave in this time.
     pub fn drain(&self, at: usize, left: Duration) {
-        let Some(life) = self.life(at) else { return };
+        let Some(life) = self.executor(at) else { return };
         self.entry(life.id(), |entry| {
             entry.value["State"] = "draining".into();
             entry.value["RemainingMs"] = (left.as_millis() as u64).into();
@@ -311,8 +313,8 @@
 
     /// The executor leaves: its entry goes with it.
     pub fn leave(&self, at: usize) {
-        let life = self.life(at);
-        self.crash(at, Gone::Seen);
+        let life = self.executor(at);
+        self.crash(at, CrashMode::Reset);
         if let Some(life) = life {
             self.take_entry(&life);
         }
@@ -324,7 +326,7 @@
     }
 
     /// Chooses whether the entry of an executor that has crashed lingers.
-    pub fn entries_linger(&self, linger: bool) {
+    pub fn set_entries_linger(&self, linger: bool) {
         lock(&self.state).linger = linger;
     }
 
@@ -335,7 +337,7 @@
 
     /// Lets the list of machines show what was true so long ago, and be
     /// answered only after some time.
-    pub fn list_fault(&self, lag: Duration, slow: Duration) {
+    pub fn set_list_fault(&self, lag: Duration, slow: Duration) {
         self.list.set_fault(lag, slow);
     }
 
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -421,7 +421,7 @@
     let mut world = running(4);
     let holder = world.holder("calls-0");
     for executor in &world.executors {
-        executor.hold(true);
+        executor.set_replies_held(true);
     }
     let ip = world.daemons[holder].ip.clone();
     let sent = key();
@@ -443,7 +443,7 @@
         })
     });
     for executor in &world.executors {
-        executor.hold(false);
+        executor.set_replies_held(false);
     }
     assert_eq!(unkeyed.join().expect("an answer").outcome, "answered");
     // The invitation's home is in a data centre without any VM here.
