--- a/puffinknot-standin/src/lib.rs
+++ b/puffinknot-standin/src/lib.rs
@@ -1,18 +1,19 @@
 /*!
-Small stand-ins of the systems that puffinknot serves or stands on.
+Small stand-ins for the systems that puffinknot serves or depends on.
 
 * [`platform`]: the key-value service, which speaks the JSON form of etcd's
   version 3 interface, and the VM list, which has the form of Prometheus'
-  HTTP service discovery. Both can be made slow, cut off, or lose answers.
-* [`executor`]: answers calls, and keeps a record of every run.
-* [`worker`]: runs tasks under leases, and keeps a record of every run.
+  HTTP service discovery. Faults delay them, make them unreachable or lose
+  their answers.
+* [`executor`]: answers calls and records every run.
+* [`worker`]: runs tasks under leases and records every run.
 * [`users`]: the users' platform: a metadata store, executors and advice.
-* [`proxy`]: delays, silences, cuts one way or resets connections.
-* [`load`]: sends calls as callers do, and counts how they end.
+* [`proxy`]: delays, silences or resets connections, or blocks one direction.
+* [`load`]: sends calls as callers do and counts their outcomes.
 
-Each is an ordinary HTTP server that a test can run on a port of its own, and
-the program `puffinknot-standin` runs them as processes. What they assume of
-the real systems is written down in docs/TARGETS.md.
+The servers speak plain HTTP, and a test can run each on its own port. The
+program `puffinknot-standin` runs them as processes. docs/TARGETS.md states
+what they assume about the real systems.
 */
 #![deny(missing_docs)]
 
--- a/puffinknot-standin/src/proxy.rs
+++ b/puffinknot-standin/src/proxy.rs
@@ -1,10 +1,11 @@
 /*!
-A proxy on loopback that harms the connections through it.
+A loopback proxy that injects faults into the connections through it.
 
-Bytes that a fault holds back are kept and go on once it is over, as on a
-network that was cut; a reset ends connections at once.
+Bytes that a fault holds back are delivered once it ends, as after a network
+partition. A reset ends connections at once.
 
-Several proxies may lie behind one [`Link`], whose bytes wait for each other.
+Several proxies may share one [`Link`], whose bandwidth limits their total
+traffic.
 */
 
 use std::net::{SocketAddr, TcpListener as StdListener};
@@ -17,24 +18,24 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, sleep_until};
 
-/// How often bytes that are held back are looked at.
-const LOOK: Duration = Duration::from_millis(10);
-/// The most bytes that are passed on at once.
-const CHUNK: usize = 16 << 10;
+/// The interval at which connections check whether a fault has changed.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The most bytes that are forwarded at once.
+const MAX_CHUNK_BYTES: usize = 16 << 10;
 
-/// What happens to connections.
+/// A fault that affects all connections through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProxyFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// All that is sent arrives this much later.
+    /// Each chunk that is read is delayed by this time, in both directions.
     Delay(Duration),
-    /// Nothing that is sent arrives, in either direction.
+    /// Nothing arrives in either direction.
     Silent,
-    /// Requests arrive; answers don't.
+    /// Requests arrive, but answers don't.
     AnswersLost,
-    /// Requests don't arrive.
+    /// Requests don't arrive, but answers do.
     RequestsLost,
     /// New connections are closed at once.
     Refuse,
@@ -47,7 +48,7 @@
 }
 
 impl ProxyFault {
-    fn holds(self, direction: Direction) -> bool {
+    fn blocks(self, direction: Direction) -> bool {
         match self {
             ProxyFault::Silent => true,
             ProxyFault::AnswersLost => direction == Direction::Answer,
@@ -59,26 +60,27 @@
     }
 }
 
-/// What a link carries each way, and until when it is busy.
+/// The bandwidth of a link, and until when each direction is busy.
 #[derive(Debug)]
 struct LinkState {
     bytes_per_ms: u32,
     busy: [Instant; 2],
 }
 
-/// A link with a bandwidth and a queue, which the connections through some
-/// proxies share. Bytes wait as long as it takes; none are dropped.
+/// A link with limited bandwidth and an unbounded queue, which the connections
+/// through several proxies share. No bytes are dropped.
 #[derive(Clone, Debug)]
 pub struct Link(Arc<Mutex<LinkState>>);
 
 impl Link {
-    /// A link that carries so many bytes a millisecond each way.
+    /// Creates a link that carries this many bytes per millisecond in each
+    /// direction.
     pub fn new(bytes_per_ms: u32) -> Link {
         let busy = [Instant::now(); 2];
         Link(Arc::new(Mutex::new(LinkState { bytes_per_ms, busy })))
     }
 
-    /// Lets the link carry so many bytes a millisecond from now on.
+    /// Sets the bandwidth in bytes per millisecond in each direction.
     pub fn set_bytes_per_ms(&self, bytes_per_ms: u32) {
         self.lock().bytes_per_ms = bytes_per_ms;
     }
@@ -87,7 +89,7 @@
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Queues so many bytes, and returns when they are through.
+    /// Queues bytes and returns the instant at which the last one has passed.
     fn queue(&self, bytes: usize, direction: Direction) -> Instant {
         let mut state = self.lock();
         let micros = bytes as u64 * 1_000 / u64::from(state.bytes_per_ms);
@@ -99,11 +101,11 @@
 
 #[derive(Debug, Default)]
 struct State {
-    harm: ProxyFault,
-    /// Grows with each reset; connections from before are over.
+    fault: ProxyFault,
+    /// Incremented by each reset, which ends all connections opened before.
     resets: u64,
-    /// Grows each time open connections fall silent; those from before never
-    /// carry a byte again.
+    /// Incremented each time open connections are silenced. Connections
+    /// opened before never carry a byte again.
     silences: u64,
     /// The number of connections so far.
     connections: u64,
@@ -118,8 +120,8 @@
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn harm(&self) -> ProxyFault {
-        self.lock().harm
+    fn fault(&self) -> ProxyFault {
+        self.lock().fault
     }
 
     fn resets(&self) -> u64 {
@@ -144,7 +146,7 @@
 }
 
 impl Proxy {
-    /// Starts a proxy to `target` at any free port of loopback.
+    /// Starts a proxy to `target` on any free loopback port.
     ///
     /// # Errors
     ///
@@ -155,11 +157,11 @@
         let addr = listener.local_addr()?;
         let shared = Shared::default();
         let (stop, stopped) = oneshot::channel::<()>();
-        let own = shared.clone();
+        let served = shared.clone();
         std::thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
                 tokio::select! {
-                    () = accept(listener, target, own) => {}
+                    () = accept(listener, target, served) => {}
                     _ = stopped => {}
                 }
             });
@@ -167,14 +169,15 @@
         Ok(Proxy { addr, shared, _stop: stop })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sets what happens to connections from now on.
-    pub fn set_fault(&self, harm: ProxyFault) {
-        self.shared.lock().harm = harm;
+    /// Sets the fault, which takes effect on open connections too.
+    /// [`ProxyFault::Refuse`] affects only new ones.
+    pub fn set_fault(&self, fault: ProxyFault) {
+        self.shared.lock().fault = fault;
     }
 
     /// Puts the proxy behind a link.
@@ -187,8 +190,8 @@
         self.shared.lock().connections
     }
 
-    /// Lets all open connections fall silent for good, in both directions
-    /// and without a reset. New ones work.
+    /// Silences all open connections for good, in both directions and without
+    /// a reset. New connections work.
     pub fn silence_open(&self) {
         self.shared.lock().silences += 1;
     }
@@ -202,15 +205,19 @@
 async fn accept(listener: StdListener, target: SocketAddr, shared: Shared) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
     while let Ok((client, _)) = listener.accept().await {
-        if shared.harm() != ProxyFault::Refuse {
+        if shared.fault() != ProxyFault::Refuse {
             shared.lock().connections += 1;
-            actix_rt::spawn(pass(client, target, shared.clone()));
+            actix_rt::spawn(serve_connection(client, target, shared.clone()));
         }
     }
 }
 
 /// Serves one connection until either side closes it or it is reset.
-async fn pass(client: TcpStream, target: SocketAddr, shared: Shared) {
+async fn serve_connection(
+    client: TcpStream,
+    target: SocketAddr,
+    shared: Shared,
+) {
     let Ok(server) = TcpStream::connect(target).await else { return };
     let _ = client.set_zero_linger();
     let _ = server.set_zero_linger();
@@ -220,15 +227,18 @@
     let silences = shared.silences();
     let (client_in, client_out) = client.into_split();
     let (server_in, server_out) = server.into_split();
-    let up = carry(client_in, server_out, Direction::Request, shared.clone());
-    let down = carry(server_in, client_out, Direction::Answer, shared.clone());
-    // A connection that falls silent stays open, and its sockets with it.
+    let up =
+        forward(client_in, server_out, Direction::Request, shared.clone());
+    let down =
+        forward(server_in, client_out, Direction::Answer, shared.clone());
+    // Pinned outside of `select!`, so that a silenced connection keeps its
+    // sockets open.
     let (mut up, mut down) = (std::pin::pin!(up), std::pin::pin!(down));
     tokio::select! {
         biased;
         () = until_reset(&shared, resets) => {}
         () = until_silent(&shared, silences) => {
-            // Neither side hears of the other any more.
+            // Neither side learns any more what the other does.
             until_reset(&shared, resets).await;
         }
         () = &mut up => {}
@@ -238,33 +248,33 @@
 
 async fn until_reset(shared: &Shared, resets: u64) {
     while shared.resets() == resets {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 async fn until_silent(shared: &Shared, silences: u64) {
     while shared.silences() == silences {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn carry(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     direction: Direction,
     shared: Shared,
 ) {
-    let mut bytes = vec![0; CHUNK];
+    let mut bytes = vec![0; MAX_CHUNK_BYTES];
     loop {
         let Ok(count) = from.read(&mut bytes).await else { return };
         if count == 0 {
             return;
         }
-        if let ProxyFault::Delay(delay) = shared.harm() {
+        if let ProxyFault::Delay(delay) = shared.fault() {
             sleep(delay).await;
         }
-        while shared.harm().holds(direction) {
-            sleep(LOOK).await;
+        while shared.fault().blocks(direction) {
+            sleep(POLL_INTERVAL).await;
         }
         if let Some(link) = shared.link() {
             sleep_until(link.queue(count, direction).into()).await;
--- a/puffinknot-standin/src/record.rs
+++ b/puffinknot-standin/src/record.rs
@@ -1,24 +1,25 @@
-//! The record of every run, from which doubled and lost work is counted.
+//! Records of every run, from which duplicate and lost runs are counted.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// What an executor did.
+/// The record of an executor.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ExecutorRecord {
-    /// How often each call was run, by its key or, without one, by the name
-    /// the caller gave it.
+    /// The number of runs of each call, by its key or, without one, by the
+    /// name that the caller gave it.
     pub runs: BTreeMap<String, u32>,
-    /// Calls that must not be repeated, and how often each was run.
+    /// The number of runs of each call with a key, which must not be
+    /// repeated.
     pub keyed_runs: BTreeMap<String, u32>,
-    /// How often a call was taken while every slot was used.
+    /// Calls that arrived while every slot was in use.
     pub overcommitted: u64,
-    /// Calls refused because of their epoch.
+    /// Calls refused because their epoch was not the highest.
     pub stale: u64,
-    /// Calls refused for want of a slot.
+    /// Calls refused because no slot was free.
     pub full: u64,
-    /// Calls taken after the executor was told to leave.
+    /// Calls accepted after the executor was told to leave.
     pub after_leaving: u64,
 }
 
@@ -29,26 +30,27 @@
     pub task: String,
     /// When it was started, in milliseconds since 1970.
     pub from: u64,
-    /// When it ended; `None` if it runs.
+    /// When it ended, in milliseconds since 1970; `None` while it runs.
     pub until: Option<u64>,
     /// How it ended: `done`, `stopped` or `lapsed`.
     pub how: String,
 }
 
-/// What a worker did.
+/// The record of a worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// Its name.
+    /// The name of the worker.
     pub id: String,
-    /// Its runs, in the order of their starts.
+    /// Its runs, in order of their starts.
     pub runs: Vec<TaskRun>,
-    /// How often more was started than it has room for.
+    /// The number of starts that exceeded its capacity.
     pub overcommitted: u64,
-    /// Messages refused because of their epoch.
+    /// Messages refused because their epoch was not the highest.
     pub stale: u64,
 }
 
-/// The number of pairs of runs of one task that overlap, over all workers.
+/// The number of runs that overlap the next run of the same task, over all
+/// workers.
 pub fn overlapping(records: &[WorkerRecord]) -> usize {
     let mut by_task: BTreeMap<&str, Vec<&TaskRun>> = BTreeMap::new();
     for run in records.iter().flat_map(|record| &record.runs) {
--- a/puffinknot-standin/src/server.rs
+++ b/puffinknot-standin/src/server.rs
@@ -1,4 +1,4 @@
-//! Runs a server on a thread of its own, and stops it when dropped.
+//! Runs a server on its own thread and stops it when dropped.
 
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener};
@@ -8,7 +8,7 @@
 use actix_server::ServerHandle;
 use puffinknot::http::{serve, Reply};
 
-/// A running server.
+/// A running server, which stops when this is dropped.
 #[derive(Debug)]
 pub struct Running {
     addr: SocketAddr,
@@ -21,8 +21,11 @@
     ///
     /// # Errors
     ///
-    /// If the address can't be listened on.
-    pub fn start<M, F, Fut>(addr: &str, make: M) -> std::io::Result<Running>
+    /// If the address can't be listened on, or the server does not start.
+    pub fn start<M, F, Fut>(
+        addr: &str,
+        make_handler: M,
+    ) -> std::io::Result<Running>
     where
         M: Fn() -> F + Send + Clone + 'static,
         F: Fn(Request) -> Fut + Clone + 'static,
@@ -33,7 +36,7 @@
         let (tx, rx) = std::sync::mpsc::channel();
         let thread = std::thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
-                let server = serve(listener, 1, make);
+                let server = serve(listener, 1, make_handler);
                 let Ok(server) = server else { return };
                 let _ = tx.send(server.handle());
                 let _ = server.await;
@@ -45,12 +48,12 @@
         Ok(Running { addr, handle, thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Waits for the end of the server.
+    /// Waits until the server ends.
     pub fn join(mut self) {
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
--- a/puffinknot-standin/src/users/executor.rs
+++ b/puffinknot-standin/src/users/executor.rs
@@ -1,5 +1,5 @@
 /*!
-Executors of the users' platform.
+Executors of the users' platform, which run tasks under leases.
 */
 
 use std::collections::BTreeMap;
@@ -13,48 +13,50 @@
 use tokio::time::sleep;
 
 use crate::server::Running;
-use crate::users::{LOOK, MAX_BODY};
+use crate::users::{MAX_BODY, POLL_INTERVAL};
 
-/// How a run has ended that was lost with its executor.
+/// The outcome of a run that was lost in a crash of its executor.
 pub const CRASHED: &str = "crashed";
-/// The time that a stop takes, in milliseconds.
-const STOP: u64 = 50;
-/// What the clock of an executor shows at its start, unless it is said.
-const CLOCK_START: u64 = 1_000;
+/// The time from a stop request to the end of the run, in milliseconds.
+const STOP_MS: u64 = 50;
+/// The default reading of the clock of an executor at its start, in
+/// milliseconds.
+const CLOCK_START_MS: u64 = 1_000;
 
-/// A run on an executor, as its record tells it.
+/// A run in the record of an executor.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The life of the executor that it is on.
+    /// The id of the executor.
     pub executor: String,
     /// The task.
     pub task: String,
-    /// Which run of it.
+    /// The number of the run of this task.
     pub run: u64,
     /// When it began.
     pub began: Instant,
-    /// When it ended, if it has.
+    /// When it ended; `None` while it runs.
     pub ended: Option<Instant>,
-    /// How it ended.
+    /// How it ended: `done`, `stopped`, `lapsed` or [`CRASHED`]; empty while
+    /// it runs.
     pub how: &'static str,
-    /// When a node took note of its end, if it did so before the lease of
+    /// When a node acknowledged its end, if it did so before the lease of
     /// the executor lapsed.
     pub acknowledged: Option<Instant>,
 }
 
-/// An end that no node has taken note of yet.
+/// An end that no node has acknowledged yet.
 #[derive(Clone, Debug)]
 struct EndRow {
     number: u64,
     task: String,
     run: u64,
     how: &'static str,
-    /// The executor's lease has lapsed since.
+    /// Whether the lease of the executor has lapsed since.
     lapsed: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Working {
+struct RunningTask {
     run: u64,
     ends: Instant,
     how: &'static str,
@@ -62,71 +64,75 @@
 
 #[derive(Default)]
 struct ExecutorState {
+    /// The highest fencing token seen.
     token: u64,
+    /// The end of the lease, by the clock of the executor.
     due: u64,
-    running: BTreeMap<String, Working>,
+    running: BTreeMap<String, RunningTask>,
+    /// The highest run of each task that can no longer start.
     sealed: BTreeMap<String, u64>,
     ended: Vec<EndRow>,
+    /// The number of the last end.
     number: u64,
     record: Vec<Run>,
-    /// This life of it is over.
-    over: bool,
+    /// Whether this incarnation has crashed.
+    crashed: bool,
 }
 
-/// One life of an executor. A task works for as many milliseconds as its text
-/// says.
+/// One incarnation of an executor. The text of a task is the number of
+/// milliseconds that it runs.
 #[derive(Clone)]
 pub struct Executor {
     id: String,
-    /// What it says of its birth, in milliseconds of wall time.
-    says_born: Option<u64>,
+    /// The birth time that it reports, in milliseconds since 1970, if any.
+    reported_birth_ms: Option<u64>,
     born: Instant,
-    /// How fast its clock runs; 1 is right.
+    /// The rate of its clock; 1 is real time.
     rate: f64,
-    /// What its clock showed at its start.
-    clock_start: u64,
+    /// The reading of its clock at its start, in milliseconds.
+    clock_start_ms: u64,
     state: Arc<Mutex<ExecutorState>>,
 }
 
 impl Executor {
-    /// An executor with this id.
+    /// Creates an executor whose clock is exact.
     pub fn new(id: &str) -> Executor {
         Executor::with_clock(id, 1.0)
     }
 
-    /// The same, with a clock that runs at this rate; 1 is right.
+    /// Creates an executor whose clock runs at this rate; 1 is real time.
     pub fn with_clock(id: &str, rate: f64) -> Executor {
         Executor {
             id: id.to_string(),
-            says_born: None,
+            reported_birth_ms: None,
             born: Instant::now(),
             rate,
-            clock_start: CLOCK_START,
+            clock_start_ms: CLOCK_START_MS,
             state: Arc::default(),
         }
     }
 
-    /// One of several lives under this id: it says when it was born, and its
-    /// clock is ahead by so many milliseconds.
+    /// Creates one of several incarnations with this id. It reports its birth
+    /// time, and its clock is ahead by `ahead` milliseconds.
     pub fn with_birth(id: &str, rate: f64, ahead: u64) -> Executor {
         let born = SystemTime::now().duration_since(UNIX_EPOCH);
         let born = born.unwrap_or_default().as_millis() as u64;
         Executor {
-            says_born: Some(born),
-            clock_start: CLOCK_START + ahead,
+            reported_birth_ms: Some(born),
+            clock_start_ms: CLOCK_START_MS + ahead,
             ..Executor::with_clock(id, rate)
         }
     }
 
-    /// Says in one of its own messages when it was born, if it does.
-    fn sign(&self, mut value: Value) -> Value {
-        if let Some(born) = self.says_born {
+    /// Adds the birth time to a message, if the executor reports it.
+    fn add_birth(&self, mut value: Value) -> Value {
+        if let Some(born) = self.reported_birth_ms {
             value["born"] = born.into();
         }
         value
     }
 
-    /// Its id.
+    /// The id of the executor.
     pub fn id(&self) -> &str {
         &self.id
     }
@@ -136,17 +142,18 @@
         self.lock().token
     }
 
-    /// Ends this life. What runs dies now, and nothing is answered any more.
+    /// Crashes this incarnation: all runs end now, and no call is answered any
+    /// more.
     pub fn crash(&self) {
         let mut state = self.lock();
-        self.work(&mut state);
+        self.advance(&mut state);
         let now = Instant::now();
         let running = std::mem::take(&mut state.running);
         for (task, run) in running {
             end_record(&mut state.record, &task, now, CRASHED);
             state.sealed.insert(task, run.run);
         }
-        state.over = true;
+        state.crashed = true;
     }
 
     /// Serves at an address; port 0 takes any free port.
@@ -167,7 +174,7 @@
 
     /// The entry that it writes to the store.
     pub fn entry(&self, service: &str, addr: &str) -> Value {
-        self.sign(json!({
+        self.add_birth(json!({
             "Backend": service, "Address": addr, "Zone": "z",
             "Version": "v1", "Slots": 8, "State": "ready", "ColdLeftMs": 0,
             "Capacity": { "Cpu": 4_000, "MemMb": 8_192, "Gpus": 0 },
@@ -178,7 +185,7 @@
     /// Every run so far.
     pub fn record(&self) -> Vec<Run> {
         let mut state = self.lock();
-        self.work(&mut state);
+        self.advance(&mut state);
         state.record.clone()
     }
 
@@ -186,34 +193,34 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn is_over(&self) -> bool {
-        self.lock().over
+    fn is_crashed(&self) -> bool {
+        self.lock().crashed
     }
 
     fn clock(&self) -> u64 {
-        let lived = self.born.elapsed().mul_f64(self.rate);
-        self.clock_start + lived.as_millis() as u64
+        let elapsed = self.born.elapsed().mul_f64(self.rate);
+        self.clock_start_ms + elapsed.as_millis() as u64
     }
 
-    /// When its clock shows this.
+    /// The instant at which the clock of the executor shows this reading.
     fn instant(&self, clock: u64) -> Instant {
-        let lived = clock.saturating_sub(self.clock_start);
-        let lived = Duration::from_millis(lived);
-        self.born + lived.div_f64(self.rate)
+        let elapsed = clock.saturating_sub(self.clock_start_ms);
+        let elapsed = Duration::from_millis(elapsed);
+        self.born + elapsed.div_f64(self.rate)
     }
 
-    /// Lets tasks work, and their lease run out.
-    fn work(&self, state: &mut ExecutorState) {
+    /// Ends the runs that are done or whose lease has lapsed by now.
+    fn advance(&self, state: &mut ExecutorState) {
         let now = Instant::now();
         let lapse = self.instant(state.due);
         let lapsed = lapse < now;
-        let over: Vec<String> = state
+        let ended: Vec<String> = state
             .running
             .iter()
             .filter(|(_, run)| lapsed || run.ends <= now)
             .map(|(task, _)| task.clone())
             .collect();
-        for task in over {
+        for task in ended {
             let Some(run) = state.running.remove(&task) else { continue };
             let how = if run.ends <= lapse { run.how } else { "lapsed" };
             let sealed = state.sealed.entry(task.clone()).or_default();
@@ -236,14 +243,14 @@
         }
     }
 
-    /// Takes note of ends up to `seen`.
-    fn forget(&self, state: &mut ExecutorState, seen: u64) {
+    /// Removes the ends up to number `seen`, which a node has acknowledged.
+    fn acknowledge(&self, state: &mut ExecutorState, seen: u64) {
         let now = Instant::now();
         let ended = std::mem::take(&mut state.ended);
-        let (noted, left): (Vec<EndRow>, Vec<EndRow>) =
+        let (acknowledged, left): (Vec<EndRow>, Vec<EndRow>) =
             ended.into_iter().partition(|end| end.number <= seen);
         state.ended = left;
-        for end in noted.iter().filter(|end| !end.lapsed) {
+        for end in acknowledged.iter().filter(|end| !end.lapsed) {
             let record = state.record.iter_mut();
             let mut record =
                 record.filter(|r| r.task == end.task && r.run == end.run);
@@ -253,13 +260,13 @@
         }
     }
 
-    /// Answers a call to the address where it lives.
+    /// Answers a call to the address of the executor.
     pub(super) async fn answer(&self, mut request: Request) -> Reply {
         let path = request.path().to_string();
         let expected = expected(request.headers());
         let payload = request.take_payload();
-        let within = Duration::from_secs(5);
-        let body = read_body(payload, MAX_BODY, within).await;
+        let timeout = Duration::from_secs(5);
+        let body = read_body(payload, MAX_BODY, timeout).await;
         let body = body.unwrap_or_default();
         if expected.is_some_and(|id| id != self.id) {
             let status = StatusCode::MISDIRECTED_REQUEST;
@@ -267,12 +274,12 @@
         }
         let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         let token = body["FencingToken"].as_u64().unwrap_or(0);
-        if self.is_over() {
+        if self.is_crashed() {
             return no_answer().await;
         }
         {
             let mut state = self.lock();
-            self.work(&mut state);
+            self.advance(&mut state);
             if token < state.token {
                 return self.rejected("fence");
             }
@@ -281,13 +288,13 @@
         match path.as_str() {
             "/v1/run-start" => self.start(&body),
             "/v1/run-stop" => self.stop(&body),
-            "/v1/hold" => self.hold(&body).await,
-            "/v1/pace" => self.done(),
+            "/v1/hold" => self.renew(&body).await,
+            "/v1/pace" => self.accepted(),
             _ => text(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 
-    fn done(&self) -> Reply {
+    fn accepted(&self) -> Reply {
         json(StatusCode::OK, &json!({ "ClockMs": self.clock() }))
     }
 
@@ -305,7 +312,7 @@
             return text(StatusCode::BAD_REQUEST, "not a start");
         };
         let mut state = self.lock();
-        if state.over {
+        if state.crashed {
             return text(StatusCode::SERVICE_UNAVAILABLE, "over");
         }
         if state.sealed.get(task).is_some_and(|sealed| run <= *sealed) {
@@ -318,11 +325,11 @@
         let work = body["Spec"].as_str().and_then(|text| text.parse().ok());
         let now = Instant::now();
         let ends = now + Duration::from_millis(work.unwrap_or(100));
-        let there = state.running.get(task);
-        if there.is_some_and(|there| there.run == run) {
-            return self.done();
+        let current = state.running.get(task);
+        if current.is_some_and(|current| current.run == run) {
+            return self.accepted();
         }
-        let running = Working { run, ends, how: "done" };
+        let running = RunningTask { run, ends, how: "done" };
         state.running.insert(task.to_string(), running);
         state.record.push(Run {
             executor: self.id.clone(),
@@ -334,7 +341,7 @@
             acknowledged: None,
         });
         state.sealed.insert(task.to_string(), run.saturating_sub(1));
-        self.done()
+        self.accepted()
     }
 
     fn stop(&self, body: &Value) -> Reply {
@@ -345,37 +352,37 @@
         *sealed = (*sealed).max(run);
         if let Some(running) = state.running.get_mut(task) {
             running.how = "stopped";
-            running.ends = Instant::now() + Duration::from_millis(STOP);
+            running.ends = Instant::now() + Duration::from_millis(STOP_MS);
         }
-        self.done()
+        self.accepted()
     }
 
-    async fn hold(&self, body: &Value) -> Reply {
+    async fn renew(&self, body: &Value) -> Reply {
         let seen = body["LastSeen"].as_u64().unwrap_or(0);
         let wait = body["WaitMs"].as_u64().unwrap_or(0);
         {
             let mut state = self.lock();
             let due = body["DueMs"].as_u64().unwrap_or(0);
             state.due = state.due.max(due);
-            self.forget(&mut state, seen);
+            self.acknowledge(&mut state, seen);
         }
         let until = Instant::now() + Duration::from_millis(wait);
         loop {
-            if self.is_over() {
+            if self.is_crashed() {
                 return no_answer().await;
             }
             {
                 let mut state = self.lock();
-                self.work(&mut state);
+                self.advance(&mut state);
                 if !state.ended.is_empty() || Instant::now() >= until {
-                    return json(StatusCode::OK, &self.account(&state));
+                    return json(StatusCode::OK, &self.report(&state));
                 }
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn account(&self, state: &ExecutorState) -> Value {
+    fn report(&self, state: &ExecutorState) -> Value {
         let running: Vec<Value> = state
             .running
             .iter()
@@ -386,13 +393,13 @@
             .iter()
             .map(|end| json!([end.number, end.task, end.run, end.how, ""]))
             .collect();
-        self.sign(json!({
+        self.add_birth(json!({
             "ClockMs": self.clock(), "Running": running, "Ended": ended,
         }))
     }
 }
 
-/// Writes down the end of the newest run of a task.
+/// Records the end of the latest run of a task.
 fn end_record(
     record: &mut [Run],
     task: &str,
@@ -406,7 +413,7 @@
     }
 }
 
-/// A process that is gone answers nothing.
+/// Never returns, as a crashed process never answers.
 pub(super) async fn no_answer() -> Reply {
     loop {
         sleep(Duration::from_secs(3_600)).await;
--- a/puffinknot-standin/src/users/fleet.rs
+++ b/puffinknot-standin/src/users/fleet.rs
@@ -1,25 +1,28 @@
 /*!
-Machines with executors that come and go.
-
-A machine has an address and, most of the time, one executor that lives
-there. An executor that has crashed is followed by another at the same address:
-with a new id, so that calls that name the former one are answered 421, or with
-the id that it had; then it knows nothing of before, and its birth and its clock
-are others. Each life
-writes its entry to the store with every heartbeat. An entry goes after three
-heartbeats of silence, so that the entry of a life that is over stands beside
-that of its follower for a while. While the store is away no entry is written;
-whether entries lapse then can be chosen.
-
-Each machine is reached by a proxy, by which it is cut off or stands still: a
-process that stands still answers nothing, writes no heartbeats, and goes on
-with what has come to it meanwhile. The list of machines can be late or slow.
-
-All of them are threads of one process, so that one clock tells when runs
-began and ended. What an executor goes by is its own clock, which may be slow.
+Machines whose executors crash and restart.
+
+A machine has an address and runs at most one executor at a time. After a
+crash, the next incarnation serves at the same address. It may have a new id;
+calls that name the former id are then answered 421. Or it keeps the id; then
+it has no state of the former incarnation, and its birth time and its clock
+differ.
+
+Each incarnation writes its entry to the store with every heartbeat, and the
+entry is removed after three heartbeats of silence. The entry of a crashed
+incarnation therefore coexists with that of its successor for a while. While
+the store is unavailable no entry is written; whether entries lapse during
+that time is configurable.
+
+A proxy in front of each machine isolates or pauses it. A paused process
+answers nothing and writes no heartbeats, and later processes what arrived in
+the meantime. The list of machines can be stale or slow.
+
+All machines are threads of one process, so that one clock gives the times at
+which runs begin and end. An executor acts on its own clock, which may be
+slow.
 */
 
-mod beats;
+mod heartbeats;
 mod list;
 
 use std::net::SocketAddr;
@@ -31,86 +34,87 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
 
-use self::beats::Entry;
+use self::heartbeats::Entry;
 use self::list::List;
 use super::executor::{no_answer, Executor, Run};
 use super::store::Store;
 use crate::proxy::{Proxy, ProxyFault};
 use crate::server::Running;
 
-pub use self::beats::HEARTBEAT;
+pub use self::heartbeats::HEARTBEAT;
 
-/// By how much the clock of an executor that starts again under its id may be
-/// ahead of that of others, in milliseconds.
-const AHEAD: u64 = 10_000_000;
-/// The rate of the slowest clock.
-const SLOWEST: f64 = 0.98;
+/// How far ahead the clock of an executor that restarts under its id may be,
+/// in milliseconds.
+const CLOCK_LEAD_MS: u64 = 10_000_000;
+/// The rate of the slowest clock; 1 is real time.
+const MIN_CLOCK_RATE: f64 = 0.98;
 
-/// What others see of a crash.
+/// How a crash appears to the peers of an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashMode {
-    /// Its connections are reset, and no new ones are taken.
+    /// Connections are reset, and new ones are refused.
     Reset,
-    /// Nothing: it has crashed behind a cut, and its connections are silent.
+    /// Connections stay open but carry nothing, as when the executor crashes
+    /// while it is isolated.
     Silent,
 }
 
-/// A place where one executor lives at a time.
+/// A machine, which runs at most one executor at a time.
 struct Machine {
     name: String,
     dc: String,
-    way: Proxy,
-    /// Who lives there, if anybody does.
-    life: Arc<Mutex<Option<Executor>>>,
+    proxy: Proxy,
+    /// The incarnation that runs now, if any.
+    executor: Arc<Mutex<Option<Executor>>>,
     _server: Running,
 }
 
 impl Machine {
     fn start(name: String, dc: String) -> std::io::Result<Machine> {
-        let life: Arc<Mutex<Option<Executor>>> = Arc::default();
-        let served = life.clone();
+        let executor: Arc<Mutex<Option<Executor>>> = Arc::default();
+        let served = executor.clone();
         let server = Running::start("127.0.0.1:0", move || {
             let served = served.clone();
             move |request: Request| {
-                let life = lock(&served).clone();
+                let executor = lock(&served).clone();
                 async move {
-                    match life {
-                        Some(life) => life.answer(request).await,
+                    match executor {
+                        Some(executor) => executor.answer(request).await,
                         None => no_answer().await,
                     }
                 }
             }
         })?;
-        let way = Proxy::start(server.addr())?;
-        Ok(Machine { name, dc, way, life, _server: server })
+        let proxy = Proxy::start(server.addr())?;
+        Ok(Machine { name, dc, proxy, executor, _server: server })
     }
 
     fn row(&self) -> Value {
-        let life = lock(&self.life).clone();
+        let executor = lock(&self.executor).clone();
         json!({
             "Machine": self.name, "Pool": "b", "Zone": self.dc,
-            "State": if life.is_some() { "up" } else { "down" },
-            "Id": life.map(|life| life.id().to_string()).unwrap_or_default(),
+            "State": if executor.is_some() { "up" } else { "down" },
+            "Id": executor.map(|e| e.id().to_string()).unwrap_or_default(),
         })
     }
 }
 
-/// Machines, and the executors that have lived on them.
+/// Machines, and all executors that have run on them.
 pub struct Fleet {
     machines: Vec<Machine>,
     state: Arc<Mutex<State>>,
     list: List,
-    _listed: Running,
+    _list_server: Running,
 }
 
-/// What the thread that writes heartbeats shares.
+/// The state shared with the thread that writes heartbeats.
 struct State {
     store: Store,
     entries: Vec<Entry>,
-    /// Every life so far, with its machine.
-    lives: Vec<(usize, Executor)>,
+    /// Every incarnation so far, with the index of its machine.
+    incarnations: Vec<(usize, Executor)>,
     random: StdRng,
-    was_away: bool,
+    was_unavailable: bool,
     lapse_while_away: bool,
     linger: bool,
 }
@@ -120,8 +124,8 @@
 }
 
 impl Fleet {
-    /// So many machines in each of these data centres, with an executor on
-    /// each. Ids and clocks are drawn from `seed`.
+    /// Starts `each` machines in each of these data centres, with an executor
+    /// on each. Ids and clock rates are drawn from `seed`.
     ///
     /// # Errors
     ///
@@ -140,20 +144,20 @@
         let state = Arc::new(Mutex::new(State {
             store: store.clone(),
             entries: Vec::new(),
-            lives: Vec::new(),
+            incarnations: Vec::new(),
             random: StdRng::seed_from_u64(seed),
-            was_away: false,
+            was_unavailable: false,
             lapse_while_away: false,
             linger: true,
         }));
-        beats::spawn(&state);
+        heartbeats::spawn(&state);
         let list = List::default();
-        let listed = list.serve("127.0.0.1:0")?;
-        let fleet = Fleet { machines, state, list, _listed: listed };
-        for at in 0..fleet.len() {
-            fleet.live(at);
+        let list_server = list.serve("127.0.0.1:0")?;
+        let fleet = Fleet { machines, state, list, _list_server: list_server };
+        for index in 0..fleet.len() {
+            fleet.start_with_new_id(index);
         }
-        fleet.tell();
+        fleet.update_list();
         Ok(fleet)
     }
 
@@ -167,181 +171,196 @@
         self.machines.is_empty()
     }
 
-    /// Where the list of machines is served.
+    /// The address at which the list of machines is served.
     pub fn list_addr(&self) -> SocketAddr {
-        self._listed.addr()
+        self._list_server.addr()
     }
 
     /// The data centre of a machine.
-    pub fn dc(&self, at: usize) -> &str {
-        &self.machines[at].dc
+    pub fn dc(&self, index: usize) -> &str {
+        &self.machines[index].dc
     }
 
-    /// The way to a machine.
-    pub fn proxy(&self, at: usize) -> &Proxy {
-        &self.machines[at].way
+    /// The proxy in front of a machine.
+    pub fn proxy(&self, index: usize) -> &Proxy {
+        &self.machines[index].proxy
     }
 
-    /// Who lives on a machine.
-    pub fn executor(&self, at: usize) -> Option<Executor> {
-        lock(&self.machines[at].life).clone()
+    /// The executor that runs on a machine, if any.
+    pub fn executor(&self, index: usize) -> Option<Executor> {
+        lock(&self.machines[index].executor).clone()
     }
 
-    /// Every run on every life so far.
+    /// Every run on every incarnation so far.
     pub fn record(&self) -> Vec<Run> {
-        let lives = lock(&self.state).lives.clone();
-        lives.iter().flat_map(|(_, life)| life.record()).collect()
+        let incarnations = lock(&self.state).incarnations.clone();
+        incarnations
+            .iter()
+            .flat_map(|(_, executor)| executor.record())
+            .collect()
     }
 
-    /// The data centre in which the lives with an id are, or were.
+    /// The data centre of the incarnations with this id, running or not.
     pub fn dc_of(&self, id: &str) -> Option<&str> {
-        let lives = lock(&self.state).lives.clone();
-        let one = lives.iter().find(|(_, life)| life.id() == id);
-        one.map(|(at, _)| self.dc(*at))
+        let incarnations = lock(&self.state).incarnations.clone();
+        let found =
+            incarnations.iter().find(|(_, executor)| executor.id() == id);
+        found.map(|(index, _)| self.dc(*index))
     }
 
-    /// The ids of all lives at the address of this one, oldest first.
+    /// The ids of all incarnations at the address of this one, oldest first.
     pub fn incarnations_beside(&self, id: &str) -> Vec<String> {
-        let lives = lock(&self.state).lives.clone();
-        let here = lives.iter().find(|(_, life)| life.id() == id);
-        let here = here.map(|(at, _)| *at);
-        let beside = lives.iter().filter(|(at, _)| Some(*at) == here);
-        beside.map(|(_, life)| life.id().to_string()).collect()
+        let incarnations = lock(&self.state).incarnations.clone();
+        let here =
+            incarnations.iter().find(|(_, executor)| executor.id() == id);
+        let here = here.map(|(index, _)| *index);
+        let neighbours =
+            incarnations.iter().filter(|(index, _)| Some(*index) == here);
+        neighbours.map(|(_, executor)| executor.id().to_string()).collect()
     }
 
-    /// Lets a new executor live on a machine where nobody does.
-    pub fn start_executor(&self, at: usize) {
-        self.live(at);
-        self.tell();
+    /// Starts an executor with a new id on a machine that runs none.
+    pub fn start_executor(&self, index: usize) {
+        self.start_with_new_id(index);
+        self.update_list();
     }
 
-    /// Lets the executor that lived last on a machine start again there under
-    /// its id.
-    pub fn restart_executor(&self, at: usize) {
-        let lives = lock(&self.state).lives.clone();
-        let mut here = lives.iter().rev().filter(|(there, _)| *there == at);
-        let Some((_, former)) = here.next() else {
-            return self.start_executor(at);
+    /// Restarts the latest executor of a machine under the same id, or starts
+    /// a new one if the machine has had none.
+    pub fn restart_executor(&self, index: usize) {
+        let incarnations = lock(&self.state).incarnations.clone();
+        let mut former =
+            incarnations.iter().rev().filter(|(there, _)| *there == index);
+        let Some((_, former)) = former.next() else {
+            return self.start_executor(index);
         };
-        // Its clock may show more than the former one's, or less.
-        let clock = if lives.len() % 2 == 0 { 0 } else { AHEAD };
-        self.live_as(at, former.id(), clock);
-        self.tell();
+        // Covers both a clock that is ahead of the former one and one that
+        // is behind it.
+        let clock =
+            if incarnations.len() % 2 == 0 { 0 } else { CLOCK_LEAD_MS };
+        self.start_incarnation(index, former.id(), clock);
+        self.update_list();
     }
 
-    fn live(&self, at: usize) {
+    fn start_with_new_id(&self, index: usize) {
         let mut state = lock(&self.state);
-        // Of two ids at one address either may come first in a list.
+        // Random ids let either of two ids at one address sort first.
         let id = format!("i-{:010x}", state.random.random::<u64>() >> 24);
         drop(state);
-        self.live_as(at, &id, 0);
+        self.start_incarnation(index, &id, 0);
     }
 
-    /// A life under this id, whose clock is ahead by so much.
-    fn live_as(&self, at: usize, id: &str, clock: u64) {
-        let machine = &self.machines[at];
+    /// Starts an incarnation with this id, whose clock is ahead by `clock`
+    /// milliseconds.
+    fn start_incarnation(&self, index: usize, id: &str, clock: u64) {
+        let machine = &self.machines[index];
         let mut state = lock(&self.state);
-        let rate = state.random.random_range(SLOWEST..=1.0);
-        let life = Executor::with_birth(id, rate, clock);
-        // The former life of that id writes no more.
+        let rate = state.random.random_range(MIN_CLOCK_RATE..=1.0);
+        let executor = Executor::with_birth(id, rate, clock);
+        // The former incarnation with that id writes no more heartbeats.
         state.entries.retain(|entry| entry.id != id);
-        let mut entry = life.entry("b", &machine.way.addr().to_string());
+        let mut entry = executor.entry("b", &machine.proxy.addr().to_string());
         entry["Zone"] = machine.dc.as_str().into();
         entry["Machine"] = machine.name.as_str().into();
         state.entries.push(Entry::new(id, entry));
-        state.lives.push((at, life.clone()));
+        state.incarnations.push((index, executor.clone()));
         drop(state);
-        *lock(&machine.life) = Some(life);
-        machine.way.set_fault(ProxyFault::None);
+        *lock(&machine.executor) = Some(executor);
+        machine.proxy.set_fault(ProxyFault::None);
     }
 
-    /// Ends the life on a machine at once. It says nothing, and its entry
-    /// lingers.
-    pub fn crash(&self, at: usize, gone: CrashMode) {
-        let machine = &self.machines[at];
-        match gone {
+    /// Crashes the executor on a machine. It sends nothing before, and its
+    /// entry stays until it lapses, unless `set_entries_linger` has turned
+    /// this off.
+    pub fn crash(&self, index: usize, mode: CrashMode) {
+        let machine = &self.machines[index];
+        match mode {
             CrashMode::Reset => {
-                machine.way.set_fault(ProxyFault::Refuse);
-                machine.way.reset();
+                machine.proxy.set_fault(ProxyFault::Refuse);
+                machine.proxy.reset();
             }
             CrashMode::Silent => {
-                machine.way.set_fault(ProxyFault::Silent);
-                machine.way.silence_open();
+                machine.proxy.set_fault(ProxyFault::Silent);
+                machine.proxy.silence_open();
             }
         }
-        let Some(life) = lock(&machine.life).take() else { return };
-        life.crash();
-        self.entry(life.id(), |entry| entry.over = true);
+        let Some(executor) = lock(&machine.executor).take() else { return };
+        executor.crash();
+        self.update_entry(executor.id(), |entry| entry.ended = true);
         if !lock(&self.state).linger {
-            self.take_entry(&life);
+            self.remove_entry(&executor);
         }
-        self.tell();
+        self.update_list();
     }
 
-    /// Lets a machine stand still, or be cut off from nodes and store, or go
-    /// on.
-    pub fn set_isolated(&self, at: usize, off: bool) {
-        let harm = if off { ProxyFault::Silent } else { ProxyFault::None };
-        self.machines[at].way.set_fault(harm);
-        if let Some(life) = self.executor(at) {
-            self.entry(life.id(), |entry| entry.cut = off);
+    /// Isolates a machine from the nodes and the store, which also stands for
+    /// a paused process, or ends the isolation.
+    pub fn set_isolated(&self, index: usize, isolated: bool) {
+        let fault =
+            if isolated { ProxyFault::Silent } else { ProxyFault::None };
+        self.machines[index].proxy.set_fault(fault);
+        if let Some(executor) = self.executor(index) {
+            self.update_entry(executor.id(), |entry| {
+                entry.isolated = isolated
+            });
         }
     }
 
-    /// Takes the entry of a living executor out of the store. It comes back
-    /// within two seconds.
-    pub fn lapse(&self, at: usize) {
-        let Some(life) = self.executor(at) else { return };
+    /// Removes the entry of a running executor from the store. It is written
+    /// again within two seconds.
+    pub fn lapse(&self, index: usize) {
+        let Some(executor) = self.executor(index) else { return };
         let mut state = lock(&self.state);
         let state = &mut *state;
         let entries = state.entries.iter_mut();
-        for entry in entries.filter(|entry| entry.id == life.id()) {
+        for entry in entries.filter(|entry| entry.id == executor.id()) {
             entry.lapse(&state.store);
-            entry.return_soon(Instant::now(), &mut state.random);
+            entry.schedule_return(Instant::now(), &mut state.random);
         }
     }
 
-    /// The executor says that it will leave in this time.
-    pub fn drain(&self, at: usize, left: Duration) {
-        let Some(life) = self.executor(at) else { return };
-        self.entry(life.id(), |entry| {
+    /// Announces in the entry of the executor that it drains and leaves after
+    /// `left`.
+    pub fn drain(&self, index: usize, left: Duration) {
+        let Some(executor) = self.executor(index) else { return };
+        self.update_entry(executor.id(), |entry| {
             entry.value["State"] = "draining".into();
             entry.value["RemainingMs"] = (left.as_millis() as u64).into();
-            entry.next = Instant::now();
+            entry.next_write = Instant::now();
         });
     }
 
-    /// The executor leaves: its entry goes with it.
-    pub fn leave(&self, at: usize) {
-        let life = self.executor(at);
-        self.crash(at, CrashMode::Reset);
-        if let Some(life) = life {
-            self.take_entry(&life);
+    /// Ends the executor and removes its entry.
+    pub fn leave(&self, index: usize) {
+        let executor = self.executor(index);
+        self.crash(index, CrashMode::Reset);
+        if let Some(executor) = executor {
+            self.remove_entry(&executor);
         }
     }
 
-    fn take_entry(&self, life: &Executor) {
+    fn remove_entry(&self, executor: &Executor) {
         let store = lock(&self.state).store.clone();
-        self.entry(life.id(), |entry| entry.lapse(&store));
+        self.update_entry(executor.id(), |entry| entry.lapse(&store));
     }
 
-    /// Chooses whether the entry of an executor that has crashed lingers.
+    /// Sets whether the entry of a crashed executor stays until it lapses.
     pub fn set_entries_linger(&self, linger: bool) {
         lock(&self.state).linger = linger;
     }
 
-    /// Chooses whether entries lapse while the store is away.
+    /// Sets whether entries lapse while the store is unavailable.
     pub fn lapse_while_away(&self, lapse: bool) {
         lock(&self.state).lapse_while_away = lapse;
     }
 
-    /// Lets the list of machines show what was true so long ago, and be
-    /// answered only after some time.
+    /// Makes the list of machines show the state of `lag` ago, and delays each
+    /// answer by `slow`.
     pub fn set_list_fault(&self, lag: Duration, slow: Duration) {
         self.list.set_fault(lag, slow);
     }
 
-    fn entry(&self, id: &str, change: impl FnOnce(&mut Entry)) {
+    fn update_entry(&self, id: &str, change: impl FnOnce(&mut Entry)) {
         let mut state = lock(&self.state);
         let entry = state.entries.iter_mut().find(|entry| entry.id == id);
         if let Some(entry) = entry {
@@ -349,8 +368,8 @@
         }
     }
 
-    /// Puts into the list what is true now.
-    fn tell(&self) {
+    /// Appends the current state of the machines to the list.
+    fn update_list(&self) {
         self.list.push(self.machines.iter().map(Machine::row).collect());
     }
 }
--- a/puffinknot-standin/src/users/fleet/list.rs
+++ b/puffinknot-standin/src/users/fleet/list.rs
@@ -1,6 +1,6 @@
 /*!
-The list of machines, as `GET /v1/machines` shows it. Orders about machines
-are refused.
+The list of machines, served at `GET /v1/machines`. Orders about
+machines, which use other methods, are refused.
 */
 
 use std::sync::{Arc, Mutex};
@@ -16,13 +16,15 @@
 
 #[derive(Default)]
 struct State {
-    /// What was true from when on, in order.
+    /// Each state of the list with the time from which it holds, oldest first.
     history: Vec<(Instant, Vec<Value>)>,
+    /// The age of the state that is shown.
     lag: Duration,
-    slow: Duration,
+    /// The delay of each answer.
+    delay: Duration,
 }
 
-/// The list, and what was true before.
+/// The list of machines and its earlier states.
 #[derive(Clone, Default)]
 pub(super) struct List(Arc<Mutex<State>>);
 
@@ -42,18 +44,18 @@
         lock(&self.0).history.push((Instant::now(), rows));
     }
 
-    pub(super) fn set_fault(&self, lag: Duration, slow: Duration) {
+    pub(super) fn set_fault(&self, lag: Duration, delay: Duration) {
         let mut state = lock(&self.0);
         state.lag = lag;
-        state.slow = slow;
+        state.delay = delay;
     }
 
     async fn answer(&self, request: &Request) -> Reply {
         if request.method() != Method::GET {
             return text(StatusCode::BAD_REQUEST, "no such machine");
         }
-        let slow = lock(&self.0).slow;
-        sleep(slow).await;
+        let delay = lock(&self.0).delay;
+        sleep(delay).await;
         json(StatusCode::OK, &json!({ "Machines": self.rows() }))
     }
 
--- a/puffinknot-standin/src/users/store.rs
+++ b/puffinknot-standin/src/users/store.rs
@@ -1,5 +1,6 @@
 /*!
-The metadata store of the users' platform.
+The metadata store of the users' platform: keys with revisions, leases and
+watches.
 */
 
 use std::collections::BTreeMap;
@@ -12,16 +13,16 @@
 use tokio::time::sleep;
 
 use crate::server::Running;
-use crate::users::{LOOK, MAX_BODY};
+use crate::users::{MAX_BODY, POLL_INTERVAL};
 
-/// How the store fails.
+/// A fault of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It refuses every call; nothing is done.
+    /// Every call is refused and has no effect.
     Busy,
-    /// It does not answer; nothing is done.
+    /// Calls get no answer and have no effect.
     Silent,
-    /// Ranges are answered only after this time.
+    /// Answers to range reads take this much longer.
     SlowRanges(Duration),
 }
 
@@ -29,13 +30,15 @@
 struct Item {
     value: String,
     revision: u64,
+    /// The revision at which the key was created.
     made: u64,
+    /// The lease of the key; zero for none.
     lease: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Lease {
-    ttl: u64,
+    ttl_ms: u64,
     until: Instant,
 }
 
@@ -43,18 +46,19 @@
 struct StoreState {
     revision: u64,
     items: BTreeMap<String, Item>,
-    /// Every change, in order: the key, and the item unless it is gone.
+    /// Every change in order: the revision, the key, and the item, which is
+    /// `None` for a removal.
     history: Vec<(u64, String, Option<Item>)>,
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
     fault: Option<StoreFault>,
     calls: u64,
-    /// The number of watches, by the prefix that they are about.
+    /// The number of watches so far, by their prefix.
     watches: BTreeMap<String, u64>,
-    /// How often all waiting watches were cut.
-    cuts: u64,
-    /// The most changes that one answer to a watch has, if there is a bound.
-    most_changes: Option<usize>,
+    /// How many times all waiting watches were aborted.
+    watch_aborts: u64,
+    /// The most changes in one answer to a watch; `None` for no limit.
+    max_changes: Option<usize>,
 }
 
 impl StoreState {
@@ -72,16 +76,16 @@
         }
     }
 
-    /// Lets leases run out, and their keys with them.
+    /// Ends leases that have run out and removes their keys.
     fn expire(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, lease)| lease.until < now)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             self.end_lease(id);
         }
     }
@@ -140,25 +144,25 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Lets the store fail, or not any more.
+    /// Sets the fault of the store; `None` ends it.
     pub fn set_fault(&self, fault: Option<StoreFault>) {
         self.lock().fault = fault;
     }
 
-    /// Whether it answers nobody.
-    pub fn is_away(&self) -> bool {
+    /// Whether a fault makes the store unavailable to everyone.
+    pub fn is_unavailable(&self) -> bool {
         let fault = self.lock().fault;
         matches!(fault, Some(StoreFault::Busy | StoreFault::Silent))
     }
 
-    /// Bounds how many changes one answer to a watch has.
-    pub fn bound_watches(&self, most: usize) {
-        self.lock().most_changes = Some(most);
+    /// Limits the number of changes in one answer to a watch.
+    pub fn bound_watches(&self, max: usize) {
+        self.lock().max_changes = Some(max);
     }
 
-    /// Cuts every watch that waits now.
+    /// Aborts every watch that is waiting.
     pub fn cut_watches(&self) {
-        self.lock().cuts += 1;
+        self.lock().watch_aborts += 1;
     }
 
     /// The number of calls so far.
@@ -171,7 +175,7 @@
         self.lock().watches.get(prefix).copied().unwrap_or_default()
     }
 
-    /// Writes a value as the operator or an executor does.
+    /// Writes a value, as the operator or an executor does.
     pub fn write(&self, key: &str, value: &Value) {
         use base64::prelude::{Engine, BASE64_STANDARD};
         let mut state = self.lock();
@@ -180,7 +184,7 @@
         state.put(key, value, 0);
     }
 
-    /// Takes a key away; watches show it.
+    /// Removes a key. Watches report the removal.
     pub fn remove(&self, key: &str) {
         let mut state = self.lock();
         if state.items.contains_key(key) {
@@ -189,12 +193,13 @@
         }
     }
 
-    /// Takes a key away so that no watch shows it.
+    /// Removes a key without reporting it to watches.
     pub fn revoke(&self, key: &str) {
         self.lock().items.remove(key);
     }
 
-    /// The text of a value, if there is one.
+    /// The value of a key as text, or `None` if the key is absent or its value
+    /// is not text.
     pub fn read(&self, key: &str) -> Option<String> {
         use base64::prelude::{Engine, BASE64_STANDARD};
         let state = self.lock();
@@ -202,12 +207,12 @@
         String::from_utf8(bytes.ok()?).ok()
     }
 
-    /// The length of the lease that a key goes with, in milliseconds, if
-    /// there is one.
+    /// The time to live of the lease of a key, in milliseconds, or `None` if
+    /// the key is absent or has no lease.
     pub fn lease_of(&self, key: &str) -> Option<u64> {
         let state = self.lock();
         let item = state.items.get(key)?;
-        state.leases.get(&item.lease).map(|lease| lease.ttl)
+        state.leases.get(&item.lease).map(|lease| lease.ttl_ms)
     }
 
     async fn answer(&self, mut request: Request) -> Reply {
@@ -215,11 +220,11 @@
         let path = request.path().to_string();
         let query = parse_query(request.uri().query().unwrap_or_default());
         let payload = request.take_payload();
-        let within = Duration::from_secs(5);
-        let body = read_body(payload, MAX_BODY, within).await;
+        let timeout = Duration::from_secs(5);
+        let body = read_body(payload, MAX_BODY, timeout).await;
         let body = body.unwrap_or_default();
         self.lock().calls += 1;
-        if let Some(reply) = self.fail().await {
+        if let Some(reply) = self.apply_fault().await {
             return reply;
         }
         let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
@@ -237,13 +242,13 @@
             }
             (Method::POST, "/v1/kv-txn") => self.transact(&body),
             (Method::POST, "/v1/kv-lease") => self.grant(&body),
-            (Method::POST, path) => self.keep(path),
-            (Method::DELETE, path) => self.end(path),
+            (Method::POST, path) => self.keep_alive(path),
+            (Method::DELETE, path) => self.revoke_lease(path),
             _ => text(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 
-    async fn fail(&self) -> Option<Reply> {
+    async fn apply_fault(&self) -> Option<Reply> {
         let fault = self.lock().fault?;
         match fault {
             StoreFault::Busy => {
@@ -297,16 +302,16 @@
 
     async fn watch(&self, prefix: &str, after: u64, wait: u64) -> Reply {
         let until = Instant::now() + Duration::from_millis(wait);
-        let cuts = {
+        let watch_aborts = {
             let mut state = self.lock();
             *state.watches.entry(prefix.to_string()).or_default() += 1;
-            state.cuts
+            state.watch_aborts
         };
         loop {
             {
                 let mut state = self.lock();
                 state.expire();
-                if state.cuts != cuts {
+                if state.watch_aborts != watch_aborts {
                     return text(StatusCode::SERVICE_UNAVAILABLE, "cut");
                 }
                 let known = |change: &(u64, String, _)| change.0 <= after;
@@ -314,14 +319,14 @@
                 let changes = state.history[new..].iter();
                 let changes =
                     changes.filter(|(_, key, _)| key.starts_with(prefix));
-                let most = state.most_changes.unwrap_or(usize::MAX);
-                let told: Vec<_> = changes.take(most).collect();
-                // A bounded answer is gone on from its last change.
-                let at = match told.last() {
-                    Some((last, ..)) if told.len() == most => *last,
+                let max = state.max_changes.unwrap_or(usize::MAX);
+                let sent: Vec<_> = changes.take(max).collect();
+                // A client continues after the last change of a full answer.
+                let at = match sent.last() {
+                    Some((last, ..)) if sent.len() == max => *last,
                     _ => state.revision,
                 };
-                let events = told.into_iter().map(|change| match change {
+                let events = sent.into_iter().map(|change| match change {
                     (_, key, Some(item)) => item_json(key, item),
                     (revision, key, None) => json!({
                         "Key": key, "Revision": revision, "gone": true,
@@ -333,8 +338,8 @@
                     return json(StatusCode::OK, &body);
                 }
             }
-            sleep(LOOK).await;
-            if let Some(reply) = self.fail().await {
+            sleep(POLL_INTERVAL).await;
+            if let Some(reply) = self.apply_fault().await {
                 return reply;
             }
         }
@@ -347,11 +352,11 @@
             |name: &str| body[name].as_array().cloned().unwrap_or_default();
         let expected = rows("ExpectedRev");
         let key = |row: &Value| row["Key"].as_str().unwrap_or("").to_string();
-        let holds = expected.iter().all(|row| {
+        let matches = expected.iter().all(|row| {
             let now = state.items.get(&key(row)).map_or(0, |i| i.revision);
             row["Revision"].as_u64() == Some(now)
         });
-        if !holds {
+        if !matches {
             let items: Vec<Value> = expected
                 .iter()
                 .filter_map(|row| {
@@ -364,11 +369,11 @@
         }
         let puts = rows("put");
         let lease = |row: &Value| row["lease"].as_u64().unwrap_or(0);
-        let over = puts
+        let expired = puts
             .iter()
             .map(lease)
             .any(|id| id != 0 && !state.leases.contains_key(&id));
-        if over {
+        if expired {
             return text(StatusCode::NOT_FOUND, "no such lease");
         }
         state.revision += 1;
@@ -383,16 +388,16 @@
     }
 
     fn grant(&self, body: &Value) -> Reply {
-        let ttl = body["ttl_ms"].as_u64().unwrap_or(1_000);
+        let ttl_ms = body["ttl_ms"].as_u64().unwrap_or(1_000);
         let mut state = self.lock();
         state.next_lease += 1;
         let id = state.next_lease;
-        let until = Instant::now() + Duration::from_millis(ttl);
-        state.leases.insert(id, Lease { ttl, until });
-        json(StatusCode::OK, &json!({ "lease": id, "ttl_ms": ttl }))
+        let until = Instant::now() + Duration::from_millis(ttl_ms);
+        state.leases.insert(id, Lease { ttl_ms, until });
+        json(StatusCode::OK, &json!({ "lease": id, "ttl_ms": ttl_ms }))
     }
 
-    fn keep(&self, path: &str) -> Reply {
+    fn keep_alive(&self, path: &str) -> Reply {
         let id = path.strip_prefix("/v1/kv-keep/");
         let id = id.and_then(|id| id.parse().ok()).unwrap_or(0);
         let mut state = self.lock();
@@ -400,11 +405,11 @@
         let Some(lease) = state.leases.get_mut(&id) else {
             return text(StatusCode::NOT_FOUND, "no such lease");
         };
-        lease.until = Instant::now() + Duration::from_millis(lease.ttl);
-        json(StatusCode::OK, &json!({ "ttl_ms": lease.ttl }))
+        lease.until = Instant::now() + Duration::from_millis(lease.ttl_ms);
+        json(StatusCode::OK, &json!({ "ttl_ms": lease.ttl_ms }))
     }
 
-    fn end(&self, path: &str) -> Reply {
+    fn revoke_lease(&self, path: &str) -> Reply {
         let id = path.strip_prefix("/v1/kv-lease-end/");
         let id = id.and_then(|id| id.parse().ok()).unwrap_or(0);
         self.lock().end_lease(id);
