--- a/puffinknot-measure/src/processes.rs
+++ b/puffinknot-measure/src/processes.rs
@@ -11,7 +11,7 @@
 use puffinknot_core::store::{Key, Value, Write, WriteResult};
 use puffinknot_core::tasks::WorkerInfo;
 use puffinknot_standin::executor::{Executor, ExecutorConfig};
-use puffinknot_standin::load::{self, ClassLoad, End, LoadConfig};
+use puffinknot_standin::load::{self, ClassLoad, LoadConfig, Outcome};
 use puffinknot_standin::platform::{Platform, Vm};
 use puffinknot_standin::server::Running;
 use puffinknot_standin::worker::Worker;
@@ -194,7 +194,7 @@
             wait.map_or(0.0, |w| w.value_at_quantile(q) as f64)
         };
         let ends = result.calls.values();
-        let answered = ends.filter(|(_, e)| *e == End::Answered).count();
+        let answered = ends.filter(|(_, e)| *e == Outcome::Answered).count();
         Loaded {
             rate: answered as f64 / took,
             p50: quantile(0.5),
@@ -240,7 +240,7 @@
         token: token.into(),
         keyed,
         run_ms: 0,
-        patience: Duration::from_secs(5),
+        give_up_after: Duration::from_secs(5),
         weight: 1,
     };
     vec![
@@ -258,7 +258,7 @@
         seed: 1,
     };
     let result = in_system(load::run(config, |_| {}));
-    result.calls.values().all(|(_, end)| *end == End::Answered)
+    result.calls.values().all(|(_, end)| *end == Outcome::Answered)
 }
 
 /// The processor time of this process, in seconds.
--- a/puffinknot-standin/src/executor.rs
+++ b/puffinknot-standin/src/executor.rs
@@ -1,11 +1,10 @@
 /*!
-A stand-in of an executor: a server that answers calls.
+A stand-in for an executor: a server that answers calls.
 
-It has a number of slots. Before it takes calls from a holder, the holder
-presents its epoch by `POST /epoch`; the answer is an [`ExecutorInfo`] in
-JSON. Calls come by `POST /call`. Both carry the epoch in a header, and one
-that is lower than the highest seen is refused with status 412 and the
-highest in the same header.
+It has a fixed number of slots. Before a holder sends calls, it presents its
+epoch by `POST /epoch`; the answer is an [`ExecutorInfo`] in JSON. Calls arrive
+by `POST /call`. Both carry the epoch in a header. An epoch lower than the
+highest seen is refused with status 412 and the highest in the same header.
 */
 
 use std::collections::BTreeSet;
@@ -21,15 +20,17 @@
 use crate::record::ExecutorRecord;
 use crate::server::Running;
 
+/// The largest request body that is read, in bytes.
 const MAX_BODY: usize = 1 << 24;
-const WITHIN: Duration = Duration::from_secs(5);
+/// The time within which a request body must arrive.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What an executor is told at its start.
+/// The settings of an executor.
 #[derive(Clone, Debug)]
 pub struct ExecutorConfig {
-    /// The calls it can run at once.
+    /// The number of calls it can run at once.
     pub slots: u32,
-    /// How long a call takes that does not say so itself, in milliseconds.
+    /// The duration of a call that does not set its own, in milliseconds.
     pub run_ms: u64,
 }
 
@@ -39,26 +40,28 @@
     }
 }
 
-/// What a call may ask of the stand-in, as JSON in its body.
+/// What a call requests of the stand-in, as JSON in its body.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Wish {
-    /// A name to record the run under if the call has no key.
+struct CallOptions {
+    /// The name under which the run is recorded if the call has no key.
     name: String,
-    /// How long to take, in milliseconds.
+    /// The duration of the run, in milliseconds.
     run_ms: Option<u64>,
-    /// Run, but cut the connection in the middle of the answer.
+    /// Whether to run but abort the connection in the middle of the answer.
     cut: bool,
 }
 
 #[derive(Debug)]
 struct State {
     config: ExecutorConfig,
+    /// The highest epoch presented.
     highest: Epoch,
+    /// The request ids of the calls that run.
     running: BTreeSet<String>,
     leaving: bool,
-    /// Answers are held back until this is false.
-    held: bool,
+    /// Whether replies are held back.
+    replies_held: bool,
     record: ExecutorRecord,
 }
 
@@ -69,14 +72,14 @@
 }
 
 impl Executor {
-    /// An executor that has seen nothing yet.
+    /// Creates an executor that has seen no epoch and no call.
     pub fn new(config: ExecutorConfig) -> Executor {
         let state = State {
             config,
             highest: Epoch::default(),
             running: BTreeSet::new(),
             leaving: false,
-            held: false,
+            replies_held: false,
             record: ExecutorRecord::default(),
         };
         Executor { state: Arc::new(Mutex::new(state)) }
@@ -99,14 +102,14 @@
         })
     }
 
-    /// Says that the executor takes no new work.
+    /// Makes the executor report that it takes no new work.
     pub fn leave(&self) {
         self.lock().leaving = true;
     }
 
-    /// Holds answers back, or lets them go.
+    /// Holds replies back, or releases them.
     pub fn set_replies_held(&self, held: bool) {
-        self.lock().held = held;
+        self.lock().replies_held = held;
     }
 
     /// The number of calls that run now.
@@ -114,12 +117,12 @@
         self.lock().running.len()
     }
 
-    /// The highest epoch that was presented.
+    /// The highest epoch presented.
     pub fn highest(&self) -> Epoch {
         self.lock().highest.clone()
     }
 
-    /// What the executor did.
+    /// The record of the executor.
     pub fn record(&self) -> ExecutorRecord {
         self.lock().record.clone()
     }
@@ -128,7 +131,7 @@
         let path = request.path().to_string();
         let headers = request.headers().clone();
         let payload = request.take_payload();
-        let body = match read_body(payload, MAX_BODY, WITHIN).await {
+        let body = match read_body(payload, MAX_BODY, READ_TIMEOUT).await {
             Ok(body) => body,
             Err(_) => return text(StatusCode::BAD_REQUEST, "bad body"),
         };
@@ -142,12 +145,12 @@
         }
         let epoch = header(&headers, "puffinknot-epoch");
         let Some(Ok(epoch)) = epoch.map(str::parse::<Epoch>) else {
-            let remedy = "send the header puffinknot-epoch";
-            return text(StatusCode::BAD_REQUEST, remedy);
+            let message = "send the header puffinknot-epoch";
+            return text(StatusCode::BAD_REQUEST, message);
         };
         let previous = match self.lock().present(epoch) {
             Ok(previous) => previous,
-            Err(highest) => return stale(&highest),
+            Err(highest) => return stale_epoch_reply(&highest),
         };
         match path.as_str() {
             "/epoch" => json(StatusCode::OK, &self.lock().info(previous)),
@@ -167,35 +170,40 @@
         key: Option<String>,
         body: &[u8],
     ) -> Reply {
-        let wish: Wish = serde_json::from_slice(body).unwrap_or_default();
-        let run_ms = match self.lock().begin(&id, key, &wish) {
+        let options: CallOptions =
+            serde_json::from_slice(body).unwrap_or_default();
+        let run_ms = match self.lock().admit(&id, key, &options) {
             Ok(run_ms) => run_ms,
             Err(reply) => return reply,
         };
         if run_ms > 0 {
             actix_rt::time::sleep(Duration::from_millis(run_ms)).await;
         }
-        while self.lock().held {
+        while self.lock().replies_held {
             actix_rt::time::sleep(Duration::from_millis(2)).await;
         }
         self.lock().running.remove(&id);
-        if wish.cut {
-            return cut_answer();
+        if options.cut {
+            return truncated_reply();
         }
-        let mut answer = br#"{"ran":true,"echo":"#.to_vec();
-        answer.extend_from_slice(
-            &serde_json::to_vec(&wish.name).unwrap_or_default(),
+        let mut body = br#"{"ran":true,"echo":"#.to_vec();
+        body.extend_from_slice(
+            &serde_json::to_vec(&options.name).unwrap_or_default(),
         );
-        answer.push(b'}');
+        body.push(b'}');
         Response::build(StatusCode::OK)
             .insert_header(("content-type", "application/json"))
-            .body(answer)
+            .body(body)
             .map_into_boxed_body()
     }
 }
 
 impl State {
-    /// Takes note of an epoch. Returns the highest before it.
+    /// Accepts an epoch and returns the highest before it.
+    ///
+    /// # Errors
+    ///
+    /// The highest epoch, if the presented one is lower.
     fn present(&mut self, epoch: Epoch) -> Result<Epoch, Epoch> {
         if epoch < self.highest {
             self.record.stale += 1;
@@ -213,14 +221,14 @@
         }
     }
 
-    fn begin(
+    fn admit(
         &mut self,
         id: &str,
         key: Option<String>,
-        wish: &Wish,
+        options: &CallOptions,
     ) -> Result<u64, Reply> {
         if self.running.len() as u32 >= self.config.slots {
-            // A holder that keeps its promises never gets here.
+            // A correct holder never sends more calls than there are slots.
             self.record.overcommitted += 1;
             self.record.full += 1;
             return Err(text(StatusCode::TOO_MANY_REQUESTS, "no slot"));
@@ -232,21 +240,21 @@
         if let Some(key) = &key {
             *self.record.keyed_runs.entry(key.clone()).or_default() += 1;
         }
-        let name = key.unwrap_or_else(|| wish.name.clone());
+        let name = key.unwrap_or_else(|| options.name.clone());
         *self.record.runs.entry(name).or_default() += 1;
-        Ok(wish.run_ms.unwrap_or(self.config.run_ms))
+        Ok(options.run_ms.unwrap_or(self.config.run_ms))
     }
 }
 
-fn stale(highest: &Epoch) -> Reply {
+fn stale_epoch_reply(highest: &Epoch) -> Reply {
     Response::build(StatusCode::PRECONDITION_FAILED)
         .insert_header(("puffinknot-epoch", highest.to_string()))
         .body("a higher epoch was presented\n")
         .map_into_boxed_body()
 }
 
-/// An answer that promises more bytes than it sends.
-fn cut_answer() -> Reply {
+/// A reply that announces more bytes than it sends.
+fn truncated_reply() -> Reply {
     use actix_http::body::SizedStream;
     use futures_util::stream;
     let part = stream::iter([
--- a/puffinknot-standin/src/load.rs
+++ b/puffinknot-standin/src/load.rs
@@ -1,9 +1,10 @@
 /*!
-Callers: a load of calls of several classes, sent through any entry VM, and a
-count of how each ended that is checked against the executors' records.
+A load of calls of several classes, sent through any entry VM, whose outcomes
+are checked against the records of the executors.
 
-A caller does what docs/REFERENCE.md asks of it: told *not run*, it comes
-back when it was told to; told *unknown*, it asks again with the same key.
+A caller behaves as docs/REFERENCE.md demands. After *not run* it retries once
+the delay given in the reply is over; after *unknown* it retries with the same
+key.
 */
 
 use std::cell::RefCell;
@@ -23,24 +24,24 @@
 
 use crate::record::{overlapping, ExecutorRecord, WorkerRecord};
 
-/// One class of a load.
+/// The calls of one class in a load.
 #[derive(Clone, Debug)]
 pub struct ClassLoad {
-    /// The class.
+    /// The name of the class.
     pub class: String,
     /// The token of the caller.
     pub token: String,
     /// Whether its calls carry a key.
     pub keyed: bool,
-    /// How long each call runs, in milliseconds.
+    /// The duration of each run, in milliseconds.
     pub run_ms: u64,
-    /// How long the caller keeps trying.
-    pub patience: Duration,
-    /// Its part of all calls.
+    /// The time after which the caller gives up.
+    pub give_up_after: Duration,
+    /// Its share of all calls, relative to the weights of the other classes.
     pub weight: u32,
 }
 
-/// A load.
+/// The settings of a load.
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
     /// Entry VMs, as IP:PORT.
@@ -49,30 +50,30 @@
     pub classes: Vec<ClassLoad>,
     /// The number of calls.
     pub calls: u32,
-    /// Calls in a second, on average.
+    /// The mean number of calls per second; arrivals form a Poisson process.
     pub rate: f64,
-    /// The seed of arrivals and choices.
+    /// The seed of arrivals and random choices.
     pub seed: u64,
 }
 
-/// How a call ended for its caller.
+/// The outcome of a call for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub enum End {
-    /// It was answered.
+pub enum Outcome {
+    /// The call was answered.
     Answered,
-    /// The caller gave up after it was told that the call was not run.
+    /// The caller gave up after a reply that the call was not run.
     Refused,
-    /// The caller gave up without knowing.
+    /// The caller gave up without learning whether the call was run.
     Unknown,
 }
 
-/// How one class fared.
+/// The results of one class.
 #[derive(Clone, Debug)]
 pub struct ClassResult {
-    /// How many calls ended in each way.
-    pub ends: BTreeMap<End, u64>,
-    /// The time from the first try to the answer, less the time the call
-    /// runs, in microseconds.
+    /// The number of calls by outcome.
+    pub outcomes: BTreeMap<Outcome, u64>,
+    /// The time from the first attempt to the answer, less the duration of
+    /// the run, in microseconds.
     pub wait_us: Histogram<u64>,
 }
 
@@ -80,31 +81,31 @@
     fn new() -> ClassResult {
         let wait_us = Histogram::new(3);
         ClassResult {
-            ends: BTreeMap::new(),
-            // Three digits are a precision that the crate accepts.
+            outcomes: BTreeMap::new(),
+            // `Histogram::new` accepts a precision of three digits.
             wait_us: wait_us.unwrap_or_else(|_| unreachable!()),
         }
     }
 }
 
-/// What the callers saw.
+/// The results of a load, as its callers saw them.
 #[derive(Debug, Default)]
 pub struct LoadResult {
-    /// By class.
+    /// The results by class.
     pub classes: BTreeMap<String, ClassResult>,
-    /// Each call by its key or name, with whether it has a key.
-    pub calls: HashMap<String, (bool, End)>,
-    /// Refusals and unknown ends on the way, by reason.
+    /// Each call by its key or name: whether it has a key, and its outcome.
+    pub calls: HashMap<String, (bool, Outcome)>,
+    /// The number of refused and unknown attempts, by reason.
     pub reasons: BTreeMap<String, u64>,
 }
 
-/// One try, as its caller saw it.
-enum Try {
+/// The result of one attempt, with the delay before the next.
+enum Attempt {
     Answered,
     NotRun(Duration),
     Unknown(Duration),
-    /// The entry VM could not be connected to.
-    NoEntry,
+    /// The call was not sent, because the entry VM could not be reached.
+    NotSent,
 }
 
 struct Shared {
@@ -113,8 +114,8 @@
     result: RefCell<LoadResult>,
 }
 
-/// Sends a load and waits for the end of every call. `progress` is told how
-/// many calls have been sent.
+/// Sends a load and waits until every call has ended. `progress` is called with
+/// the number of calls sent so far.
 pub async fn run(
     config: LoadConfig,
     mut progress: impl FnMut(u32),
@@ -133,7 +134,7 @@
         let at = Duration::from_secs_f64(due);
         let early = at.saturating_sub(start.elapsed());
         if early.is_zero() {
-            // A timer would take a millisecond even for nothing.
+            // A timer takes a millisecond even for a delay of zero.
             actix_rt::task::yield_now().await;
         } else {
             actix_rt::time::sleep(early).await;
@@ -141,7 +142,7 @@
         let pick = rng.random_range(0..total_weight.max(1));
         let class = pick_class(&shared.config, pick);
         let seed = rng.random();
-        tasks.push(actix_rt::spawn(one(shared.clone(), class, seed)));
+        tasks.push(actix_rt::spawn(send_call(shared.clone(), class, seed)));
         progress(n + 1);
     }
     for task in tasks {
@@ -164,61 +165,62 @@
     config.classes[0].clone()
 }
 
-/// One call, until it is answered or its caller gives up.
-async fn one(shared: Rc<Shared>, class: ClassLoad, seed: u64) {
+/// Retries one call until it is answered or its caller gives up.
+async fn send_call(shared: Rc<Shared>, class: ClassLoad, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let key = Uuid::now_v7().to_string();
     let start = Instant::now();
-    let mut end = End::Refused;
+    let mut outcome = Outcome::Refused;
     loop {
         let entries = &shared.config.entries;
         let entry = &entries[rng.random_range(0..entries.len())];
         let wait = match attempt(&shared, &class, entry, &key).await {
-            Try::Answered => {
-                end = End::Answered;
+            Attempt::Answered => {
+                outcome = Outcome::Answered;
                 break;
             }
-            Try::NotRun(wait) => {
-                // What was unknown stays so: only a call without a key can
-                // have another fate the second time.
-                if end != End::Unknown || class.keyed {
-                    end = End::Refused;
+            Attempt::NotRun(wait) => {
+                // After an unknown attempt, a refusal is final only for a
+                // call with a key. Without one, each attempt is a call
+                // of its own, and the unknown one may have run.
+                if outcome != Outcome::Unknown || class.keyed {
+                    outcome = Outcome::Refused;
                 }
                 wait
             }
-            Try::Unknown(wait) => {
-                end = End::Unknown;
+            Attempt::Unknown(wait) => {
+                outcome = Outcome::Unknown;
                 wait
             }
-            Try::NoEntry => Duration::from_millis(20),
+            Attempt::NotSent => Duration::from_millis(20),
         };
-        if start.elapsed().saturating_add(wait) >= class.patience {
+        if start.elapsed().saturating_add(wait) >= class.give_up_after {
             break;
         }
         actix_rt::time::sleep(wait).await;
     }
-    note(&shared, &class, key, start, end);
+    record_outcome(&shared, &class, key, start, outcome);
 }
 
-fn note(
+fn record_outcome(
     shared: &Shared,
     class: &ClassLoad,
     key: String,
     start: Instant,
-    end: End,
+    outcome: Outcome,
 ) {
     let mut result = shared.result.borrow_mut();
-    result.calls.insert(key, (class.keyed, end));
+    result.calls.insert(key, (class.keyed, outcome));
     let class_result = result
         .classes
         .entry(class.class.clone())
         .or_insert_with(ClassResult::new);
-    *class_result.ends.entry(end).or_default() += 1;
-    if end == End::Answered {
+    *class_result.outcomes.entry(outcome).or_default() += 1;
+    if outcome == Outcome::Answered {
         let run = Duration::from_millis(class.run_ms);
         let wait = start.elapsed().saturating_sub(run);
         let micros = wait.as_micros() as u64;
-        // The histogram grows by itself, so that recording can't fail.
+        // The histogram resizes automatically, so recording can't fail.
         let _ = class_result.wait_us.record(micros);
     }
 }
@@ -228,7 +230,7 @@
     class: &ClassLoad,
     entry: &str,
     key: &str,
-) -> Try {
+) -> Attempt {
     let body = serde_json::json!({ "name": key, "run_ms": class.run_ms });
     let mut request = shared
         .client
@@ -239,38 +241,38 @@
     }
     let mut response = match request.send_json(&body).await {
         Ok(response) => response,
-        Err(err) if not_sent(&err) => return Try::NoEntry,
+        Err(err) if not_sent(&err) => return Attempt::NotSent,
         Err(_) => {
             count(shared, "entry-lost");
-            return Try::Unknown(Duration::from_millis(100));
+            return Attempt::Unknown(Duration::from_millis(100));
         }
     };
     let headers = response.headers().clone();
     let Ok(body) = response.body().await else {
         count(shared, "entry-lost");
-        return Try::Unknown(Duration::from_millis(100));
+        return Attempt::Unknown(Duration::from_millis(100));
     };
     let retry = header(&headers, "puffinknot-retry-after-ms");
     let retry = retry.and_then(|ms| ms.parse().ok());
-    // Without a time to come back, asking again is of no use.
+    // Without a retry delay in the reply, a retry is of no use.
     let retry = retry.map_or(Duration::MAX, Duration::from_millis);
     match header(&headers, "puffinknot-outcome") {
         Some("answered") => {
-            // The answer has to be the one to this very request.
+            // The answer must belong to this request.
             let text = String::from_utf8_lossy(&body);
             if !text.contains(key) {
                 count(shared, "wrong-answer");
-                return Try::Unknown(retry);
+                return Attempt::Unknown(retry);
             }
-            Try::Answered
+            Attempt::Answered
         }
         outcome => {
             let reason = header(&headers, "puffinknot-reason");
             count(shared, reason.unwrap_or("no-reason"));
             if outcome == Some("not-run") {
-                Try::NotRun(retry)
+                Attempt::NotRun(retry)
             } else {
-                Try::Unknown(retry)
+                Attempt::Unknown(retry)
             }
         }
     }
@@ -281,41 +283,41 @@
     *result.reasons.entry(reason.to_string()).or_default() += 1;
 }
 
-/// What the executors and workers wrote down.
+/// The records of all executors and workers.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    /// Of each executor.
+    /// The record of each executor.
     pub executors: Vec<ExecutorRecord>,
-    /// Of each worker.
+    /// The record of each worker.
     pub workers: Vec<WorkerRecord>,
 }
 
-/// What the records say of a load.
+/// The comparison of a load with the records of its targets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// Calls of the load.
+    /// All calls of the load.
     pub calls: u64,
     /// Calls that were answered.
     pub answered: u64,
     /// Calls whose callers gave up after a refusal.
     pub refused: u64,
-    /// Calls whose callers gave up without knowing.
+    /// Calls whose callers gave up without learning whether they were run.
     pub unknown: u64,
     /// Calls with a key that ran more than once, and tasks that ran in two
     /// places at once.
     pub doubled: u64,
     /// Calls that were answered but did not run.
     pub lost: u64,
-    /// Calls with a key that were said not to be run, but were.
+    /// Calls with a key that were reported as not run, but were run.
     pub falsely_refused: u64,
     /// Tasks that run now.
     pub tasks_running: u64,
-    /// How often a target was given more than it can hold.
+    /// The number of times that a target received more than its capacity.
     pub overcommitted: u64,
 }
 
 impl Verdict {
-    /// Compares what callers saw with what targets wrote down.
+    /// Compares the outcomes for the callers with the records of the targets.
     pub fn new(load: &LoadResult, records: &Records) -> Verdict {
         let mut runs: HashMap<&str, u32> = HashMap::new();
         for record in &records.executors {
@@ -328,33 +330,34 @@
             doubled: overlapping(&records.workers) as u64,
             ..Verdict::default()
         };
-        for (name, (keyed, end)) in &load.calls {
+        for (name, (keyed, outcome)) in &load.calls {
             let ran = runs.get(name.as_str()).copied().unwrap_or(0);
-            verdict.add(*keyed, *end, ran);
+            verdict.add(*keyed, *outcome, ran);
         }
         let executors = records.executors.iter().map(|r| r.overcommitted);
         let workers = records.workers.iter().map(|r| r.overcommitted);
         verdict.overcommitted = executors.chain(workers).sum();
-        let open = records.workers.iter().flat_map(|r| &r.runs);
-        let open = open.filter(|run| run.until.is_none());
-        let tasks: HashSet<&str> = open.map(|run| run.task.as_str()).collect();
+        let unfinished = records.workers.iter().flat_map(|r| &r.runs);
+        let unfinished = unfinished.filter(|run| run.until.is_none());
+        let tasks: HashSet<&str> =
+            unfinished.map(|run| run.task.as_str()).collect();
         verdict.tasks_running = tasks.len() as u64;
         verdict
     }
 
-    fn add(&mut self, keyed: bool, end: End, ran: u32) {
-        match end {
-            End::Answered => self.answered += 1,
-            End::Refused => self.refused += 1,
-            End::Unknown => self.unknown += 1,
+    fn add(&mut self, keyed: bool, outcome: Outcome, ran: u32) {
+        match outcome {
+            Outcome::Answered => self.answered += 1,
+            Outcome::Refused => self.refused += 1,
+            Outcome::Unknown => self.unknown += 1,
         }
         self.doubled += u64::from(keyed && ran > 1);
-        self.lost += u64::from(end == End::Answered && ran == 0);
-        let false_refusal = keyed && end == End::Refused && ran > 0;
+        self.lost += u64::from(outcome == Outcome::Answered && ran == 0);
+        let false_refusal = keyed && outcome == Outcome::Refused && ran > 0;
         self.falsely_refused += u64::from(false_refusal);
     }
 
-    /// Whether nothing was doubled, lost or overcommitted.
+    /// Whether nothing was doubled, lost, overcommitted or falsely refused.
     pub fn is_clean(&self) -> bool {
         self.doubled == 0
             && self.lost == 0
--- a/puffinknot-standin/src/main.rs
+++ b/puffinknot-standin/src/main.rs
@@ -215,7 +215,7 @@
         None => (false, text),
     };
     let parts: Vec<&str> = rest.split(':').collect();
-    let [class, token, run_ms, patience, weight] = parts[..] else {
+    let [class, token, run_ms, give_up_after, weight] = parts[..] else {
         return Err(wrong());
     };
     Ok(ClassLoad {
@@ -223,8 +223,8 @@
         token: token.into(),
         keyed,
         run_ms: run_ms.parse().map_err(|_| wrong())?,
-        patience: Duration::from_millis(
-            patience.parse().map_err(|_| wrong())?,
+        give_up_after: Duration::from_millis(
+            give_up_after.parse().map_err(|_| wrong())?,
         ),
         weight: weight.parse().map_err(|_| wrong())?,
     })
@@ -257,7 +257,8 @@
                 };
                 let result = load::run(one, |_| {}).await;
                 let ends = result.calls.values();
-                if ends.into_iter().all(|(_, e)| *e == load::End::Answered) {
+                if ends.into_iter().all(|(_, e)| *e == load::Outcome::Answered)
+                {
                     break;
                 }
                 if std::time::Instant::now() > until {
@@ -284,7 +285,7 @@
         let wait = &fared.wait_us;
         println!(
             "class {class}: {:?}, waiting time p50 {:.1} ms, p99 {:.1} ms",
-            fared.ends,
+            fared.outcomes,
             wait.value_at_quantile(0.5) as f64 / 1_000.0,
             wait.value_at_quantile(0.99) as f64 / 1_000.0,
         );
--- a/puffinknot-standin/src/worker.rs
+++ b/puffinknot-standin/src/worker.rs
@@ -1,14 +1,15 @@
 /*!
-A stand-in of a worker: a machine that runs tasks under a lease.
+A stand-in for a worker: a machine that runs tasks under a lease.
 
-It has one exchange, `POST /sync`, whose messages are those of
+Its one call, `POST /sync`, exchanges the messages of
 [`puffinknot_core::tasks::message`] in JSON. A request with a lower epoch
 than the highest seen is refused with status 412 and the highest in the
-header `puffinknot-epoch`; one whose number is not new is refused with 409.
-When the lease ends, by the worker's own clock, every task ends.
+header `puffinknot-epoch`. A request whose sequence number is not higher than
+the last is refused with 409. When the lease ends by the clock of the worker,
+all running tasks end.
 
-[`WorkerState`] is the machine without its server. The model checking drives
-it directly.
+[`WorkerState`] is the state machine without the server, which the model
+checker drives directly.
 */
 
 use std::collections::BTreeMap;
@@ -26,9 +27,12 @@
 use crate::record::{TaskRun, WorkerRecord};
 use crate::server::Running;
 
+/// The largest request body that is read, in bytes.
 const MAX_BODY: usize = 1 << 22;
-const WITHIN: Duration = Duration::from_secs(5);
-/// How often the worker looks whether its lease or a task has ended.
+/// The time within which a request body must arrive.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// The interval at which the worker checks whether its lease or a task has
+/// ended.
 const TICK: Duration = Duration::from_millis(10);
 
 /// A task on a worker.
@@ -42,27 +46,31 @@
 /// Why a sync was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// A higher epoch has been seen.
+    /// The worker has seen this higher epoch.
     Stale(Epoch),
-    /// The request is not newer than the last one.
+    /// The sequence number is not higher than the last one of this epoch.
     Old,
 }
 
-/// What a worker does, without its server and clock.
+/// The state machine of a worker, without its server and clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct WorkerState {
     info: WorkerInfo,
+    /// The highest epoch seen.
     highest: Epoch,
+    /// The last sequence number in that epoch.
     last_seq: u64,
+    /// The end of the lease, by the clock of the worker.
     lease_until: Millis,
+    /// Incremented by each change of the tasks.
     counter: u64,
     tasks: BTreeMap<TaskId, Task>,
-    /// How often more was started than there is room for.
+    /// The number of starts that exceeded the capacity.
     pub overcommitted: u64,
 }
 
 impl WorkerState {
-    /// A worker that runs nothing yet.
+    /// Creates a worker without tasks.
     pub fn new(info: WorkerInfo) -> WorkerState {
         WorkerState {
             info,
@@ -75,14 +83,15 @@
         }
     }
 
-    /// The tasks that run.
+    /// The ids of the running tasks.
     pub fn running(&self) -> impl Iterator<Item = &TaskId> {
         let running =
             |(_, task): &(&TaskId, &Task)| task.phase == TaskPhase::Running;
         self.tasks.iter().filter(running).map(|(id, _)| id)
     }
 
-    /// Lets the clock go on to `now`.
+    /// Advances the clock to `now` and ends tasks that are done or whose
+    /// lease has ended.
     pub fn tick(&mut self, now: Millis) {
         for task in self.tasks.values_mut() {
             let run_ms = task.start.run_ms;
@@ -99,11 +108,12 @@
         }
     }
 
-    /// Carries out a request that arrived at `now` by the worker's clock.
+    /// Applies a request that arrived at `now` by the clock of the worker.
     ///
     /// # Errors
     ///
-    /// If the request is not the newest of the highest epoch.
+    /// If a higher epoch has been seen, or the sequence number is not higher
+    /// than the last one of this epoch.
     pub fn sync(
         &mut self,
         now: Millis,
@@ -195,8 +205,8 @@
     started: Instant,
     state: WorkerState,
     record: WorkerRecord,
-    /// Nothing is answered while this is true.
-    cut: bool,
+    /// Whether every sync is refused with status 503.
+    isolated: bool,
 }
 
 impl Shared {
@@ -205,8 +215,9 @@
         1 + self.started.elapsed().as_millis() as Millis
     }
 
-    /// Writes down which tasks have begun and ended.
-    fn note(&mut self, how: &str) {
+    /// Records which tasks have started and ended. Tasks that are gone ended
+    /// by `how`.
+    fn update_record(&mut self, how: &str) {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         let wall = wall.map_or(0, |d| d.as_millis() as u64);
         let running: Vec<String> =
@@ -222,8 +233,8 @@
             run.how = if done { "done" } else { how }.to_string();
         }
         for task in running {
-            let open = |r: &TaskRun| r.task == task && r.until.is_none();
-            if self.record.runs.iter().any(open) {
+            let unfinished = |r: &TaskRun| r.task == task && r.until.is_none();
+            if self.record.runs.iter().any(unfinished) {
                 continue;
             }
             let how = String::new();
@@ -236,7 +247,7 @@
     fn tick(&mut self) {
         let now = self.now();
         self.state.tick(now);
-        self.note("lapsed");
+        self.update_record("lapsed");
     }
 }
 
@@ -247,14 +258,14 @@
 }
 
 impl Worker {
-    /// A worker that runs nothing yet.
+    /// Creates a worker without tasks.
     pub fn new(id: &str, info: WorkerInfo) -> Worker {
         let record = WorkerRecord { id: id.into(), ..WorkerRecord::default() };
         let shared = Shared {
             started: Instant::now(),
             state: WorkerState::new(info),
             record,
-            cut: false,
+            isolated: false,
         };
         Worker { shared: Arc::new(Mutex::new(shared)) }
     }
@@ -283,23 +294,23 @@
         })
     }
 
-    /// What the worker did.
+    /// The record of the worker.
     pub fn record(&self) -> WorkerRecord {
         self.lock().record.clone()
     }
 
-    /// Cuts the worker off, or ends that.
-    pub fn cut(&self, cut: bool) {
-        self.lock().cut = cut;
+    /// Isolates the worker, or ends the isolation.
+    pub fn set_isolated(&self, isolated: bool) {
+        self.lock().isolated = isolated;
     }
 
-    /// Says that the worker takes no new work.
+    /// Makes the worker report that it takes no new work.
     pub fn leave(&self) {
         let mut shared = self.lock();
         shared.state.info.leaving = true;
     }
 
-    /// The tasks that run, by name.
+    /// The ids of the running tasks.
     pub fn running(&self) -> Vec<String> {
         self.lock().state.running().map(|id| id.to_string()).collect()
     }
@@ -307,7 +318,7 @@
     async fn handle(self, mut request: Request) -> Reply {
         let path = request.path().to_string();
         let payload = request.take_payload();
-        let body = match read_body(payload, MAX_BODY, WITHIN).await {
+        let body = match read_body(payload, MAX_BODY, READ_TIMEOUT).await {
             Ok(body) => body,
             Err(_) => return text(StatusCode::BAD_REQUEST, "bad body"),
         };
@@ -316,7 +327,7 @@
             "/sync" => {}
             _ => return text(StatusCode::NOT_FOUND, "no such page"),
         }
-        if self.lock().cut {
+        if self.lock().isolated {
             return text(StatusCode::SERVICE_UNAVAILABLE, "cut off");
         }
         let Ok(request) = serde_json::from_slice::<SyncRequest>(&body) else {
@@ -325,7 +336,7 @@
         let mut shared = self.lock();
         let now = shared.now();
         let result = shared.state.sync(now, &request);
-        shared.note("stopped");
+        shared.update_record("stopped");
         match result {
             Ok(reply) => json(StatusCode::OK, &reply),
             Err(Refusal::Old) => text(StatusCode::CONFLICT, "not the newest"),
