--- a/puffinknot-standin/src/load.rs
+++ b/puffinknot-standin/src/load.rs
@@ -114,8 +114,8 @@
     result: RefCell<LoadResult>,
 }
 
-/// Sends a load and waits until every call has ended. `progress` is called with
-/// the number of calls sent so far.
+/// Sends a load and waits until every call has ended. `progress` is called
+/// with the number of calls sent so far.
 pub async fn run(
     config: LoadConfig,
     mut progress: impl FnMut(u32),
--- a/puffinknot-standin/src/main.rs
+++ b/puffinknot-standin/src/main.rs
@@ -18,7 +18,7 @@
 use puffinknot_standin::platform::{Platform, Vm};
 use puffinknot_standin::worker::Worker;
 
-/// Stand-ins of the systems that puffinknot serves.
+/// Stand-ins for the systems that puffinknot serves.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Cli {
@@ -28,27 +28,27 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// The key-value service and the VM list.
+    /// Run the key-value service and the VM list.
     Platform(PlatformArgs),
-    /// Executors and workers of one data centre.
+    /// Run the executors and workers of one data centre.
     Targets(TargetsArgs),
     /// Wait until every entry VM is ready and serves calls.
     Wait(LoadArgs),
     /// Send calls and check the records of all targets.
     Load(LoadArgs),
-    /// Set what goes wrong at the platform, as JSON.
+    /// Set the faults of the platform.
     Fault(FaultArgs),
 }
 
 #[derive(Debug, Args)]
 struct PlatformArgs {
-    /// Where to listen, as IP:PORT.
+    /// The address to listen on, as IP:PORT.
     #[arg(long)]
     listen: String,
-    /// Reads allowed in a second; 0 for no limit.
+    /// Reads allowed per second; 0 for no limit.
     #[arg(long, default_value_t = 2_000)]
     reads: u32,
-    /// Writes allowed in a second; 0 for no limit.
+    /// Writes allowed per second; 0 for no limit.
     #[arg(long, default_value_t = 300)]
     writes: u32,
 }
@@ -58,19 +58,20 @@
     /// The data centre.
     #[arg(long)]
     dc: String,
-    /// The first three numbers of the targets' IP addresses, as 127.1.1.
+    /// The first three numbers of the IP addresses of the targets, such as
+    /// 127.1.1.
     #[arg(long)]
     net: String,
-    /// The number of executors, at .100 and up.
+    /// The number of executors, at addresses from .100 up.
     #[arg(long, default_value_t = 4)]
     executors: u8,
-    /// The number of workers, at .150 and up.
+    /// The number of workers, at addresses from .150 up.
     #[arg(long, default_value_t = 4)]
     workers: u8,
-    /// The number of workers in a rack.
+    /// The number of workers per rack.
     #[arg(long, default_value_t = 2)]
     rack: u8,
-    /// Accelerators of the last worker.
+    /// The number of accelerators of the last worker; the others have none.
     #[arg(long, default_value_t = 2)]
     accelerators: u32,
     /// The platform, as http://IP:PORT.
@@ -93,13 +94,13 @@
     /// The number of calls.
     #[arg(long, default_value_t = 300)]
     calls: u32,
-    /// Calls in a second.
+    /// The mean number of calls per second.
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
-    /// The seed of arrivals and choices.
+    /// The seed of arrivals and random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The number of tasks to wait for before the records are read.
+    /// The number of running tasks to wait for before the records are read.
     #[arg(long, default_value_t = 0)]
     tasks: usize,
 }
@@ -109,15 +110,15 @@
     /// The platform, as http://IP:PORT.
     #[arg(long)]
     platform: String,
-    /// The faults, as JSON; `{}` ends them all.
+    /// The faults, as JSON; `{}` ends all faults.
     faults: String,
 }
 
 /// The port of every target.
 const PORT: u16 = 9000;
-/// How long `wait` and the wait for tasks may take.
-const WAIT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(100);
+/// The timeout of `wait` and of the wait for running tasks.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
@@ -193,46 +194,55 @@
     Ok(true)
 }
 
-/// The platform knows its VMs by itself; its stand-in has to be told.
+/// Registers VMs with the stand-in for the platform. The real platform knows
+/// its VMs without registration.
 async fn register(platform: String, vms: Vec<Vm>) -> eyre::Result<bool> {
     let url = format!("{platform}/standin/vms");
     let sent = Client::default().post(url).send_json(&vms).await;
-    sent.map_err(|err| eyre!("the platform can't be told: {err}"))?;
+    sent.map_err(|err| {
+        eyre!("can't register the VMs with the platform: {err}")
+    })?;
     Ok(true)
 }
 
 async fn fault(args: FaultArgs) -> eyre::Result<bool> {
     let url = format!("{}/standin/faults", args.platform);
     let sent = Client::default().post(url).send_body(args.faults).await;
-    let response = sent.map_err(|err| eyre!("no answer: {err}"))?;
+    let response = sent
+        .map_err(|err| eyre!("can't set the faults of the platform: {err}"))?;
     Ok(response.status().is_success())
 }
 
-fn class(text: &str) -> eyre::Result<ClassLoad> {
-    let wrong = || eyre!("{text:?}: use NAME:TOKEN:RUN_MS:PATIENCE_MS:WEIGHT");
+fn parse_class(text: &str) -> eyre::Result<ClassLoad> {
+    let invalid = || {
+        eyre!(
+            "invalid class {text:?}: \
+             expected NAME:TOKEN:RUN_MS:PATIENCE_MS:WEIGHT"
+        )
+    };
     let (keyed, rest) = match text.strip_prefix("key:") {
         Some(rest) => (true, rest),
         None => (false, text),
     };
     let parts: Vec<&str> = rest.split(':').collect();
     let [class, token, run_ms, give_up_after, weight] = parts[..] else {
-        return Err(wrong());
+        return Err(invalid());
     };
     Ok(ClassLoad {
         class: class.into(),
         token: token.into(),
         keyed,
-        run_ms: run_ms.parse().map_err(|_| wrong())?,
+        run_ms: run_ms.parse().map_err(|_| invalid())?,
         give_up_after: Duration::from_millis(
-            give_up_after.parse().map_err(|_| wrong())?,
+            give_up_after.parse().map_err(|_| invalid())?,
         ),
-        weight: weight.parse().map_err(|_| wrong())?,
+        weight: weight.parse().map_err(|_| invalid())?,
     })
 }
 
 fn load_config(args: &LoadArgs) -> eyre::Result<LoadConfig> {
     let classes: eyre::Result<Vec<ClassLoad>> =
-        args.classes.iter().map(|text| class(text)).collect();
+        args.classes.iter().map(|text| parse_class(text)).collect();
     Ok(LoadConfig {
         entries: args.entries.clone(),
         classes: classes?,
@@ -245,7 +255,7 @@
 /// Waits until each entry VM has answered a call of each class.
 async fn wait(args: LoadArgs) -> eyre::Result<bool> {
     let config = load_config(&args)?;
-    let until = std::time::Instant::now() + WAIT;
+    let until = std::time::Instant::now() + WAIT_TIMEOUT;
     for entry in &config.entries {
         for class in &config.classes {
             loop {
@@ -265,7 +275,7 @@
                     let reasons = result.reasons;
                     return Err(eyre!("{entry} is not ready: {reasons:?}"));
                 }
-                actix_rt::time::sleep(POLL).await;
+                actix_rt::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
@@ -281,17 +291,17 @@
         }
     })
     .await;
-    for (class, fared) in &result.classes {
-        let wait = &fared.wait_us;
+    for (class, class_result) in &result.classes {
+        let wait = &class_result.wait_us;
         println!(
             "class {class}: {:?}, waiting time p50 {:.1} ms, p99 {:.1} ms",
-            fared.outcomes,
+            class_result.outcomes,
             wait.value_at_quantile(0.5) as f64 / 1_000.0,
             wait.value_at_quantile(0.99) as f64 / 1_000.0,
         );
     }
     println!("turned away on the way: {:?}", result.reasons);
-    let records = records_with(&args).await?;
+    let records = await_records(&args).await?;
     for worker in &records.workers {
         let open = worker.runs.iter().filter(|run| run.until.is_none());
         let names: Vec<&str> = open.map(|run| run.task.as_str()).collect();
@@ -316,9 +326,10 @@
     Ok(v.is_clean())
 }
 
-/// The records, once as many tasks run as are waited for.
-async fn records_with(args: &LoadArgs) -> eyre::Result<Records> {
-    let until = std::time::Instant::now() + WAIT;
+/// Fetches the records of all targets, once `args.tasks` tasks run or the wait
+/// times out.
+async fn await_records(args: &LoadArgs) -> eyre::Result<Records> {
+    let until = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         let records = fetch_records(&args.platform).await?;
         let running = Verdict::new(&Default::default(), &records);
@@ -326,7 +337,7 @@
         if enough || std::time::Instant::now() > until {
             return Ok(records);
         }
-        actix_rt::time::sleep(POLL).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/puffinknot-standin/src/platform/kv_http.rs
+++ b/puffinknot-standin/src/platform/kv_http.rs
@@ -1,7 +1,7 @@
 //! The JSON form of etcd's version 3 interface.
 //!
-//! Numbers of 64 bits are strings and bytes are base64, as its gateway
-//! writes them.
+//! As in the JSON gateway of etcd, 64-bit numbers are strings and bytes are
+//! base64.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -19,8 +19,8 @@
 use super::store::{Change, Compare, Kv, Put, Range, Store, Watcher};
 use super::{Platform, State};
 
-/// A response whose connection is cut before it is whole.
-pub(super) fn cut_connection() -> Reply {
+/// A response whose connection is aborted before the body is complete.
+pub(super) fn abort_connection() -> Reply {
     let broken = stream::once(async {
         Err::<Bytes, std::io::Error>(std::io::Error::other("cut"))
     });
@@ -53,7 +53,7 @@
             "/v3/lease/grant" => grant(&mut state, &request),
             "/v3/lease/keepalive" => keep_alive(&mut state, &request),
             "/v3/lease/revoke" => {
-                let id = number(&request["ID"]);
+                let id = parse_number(&request["ID"]);
                 state.store.revoke(id);
                 Ok(json!({ "header": header(&state.store) }))
             }
@@ -64,7 +64,7 @@
             && state.faults.lose_answers > 0
         {
             state.faults.lose_answers -= 1;
-            return cut_connection();
+            return abort_connection();
         }
         match reply {
             Ok(value) => {
@@ -76,7 +76,7 @@
     }
 }
 
-type Answer = Result<Value, (StatusCode, u32, &'static str)>;
+type KvResult = Result<Value, (StatusCode, u32, &'static str)>;
 
 fn error(status: StatusCode, code: u32, message: &str) -> Reply {
     let body = json!({ "error": message, "code": code, "message": message });
@@ -92,19 +92,19 @@
     })
 }
 
-fn number(value: &Value) -> u64 {
+fn parse_number(value: &Value) -> u64 {
     match value {
         Value::String(s) => s.parse().unwrap_or(0),
         other => other.as_u64().unwrap_or(0),
     }
 }
 
-fn bytes(value: &Value) -> Vec<u8> {
+fn decode_bytes(value: &Value) -> Vec<u8> {
     let text = value.as_str().unwrap_or_default();
     BASE64_STANDARD.decode(text).unwrap_or_default()
 }
 
-/// A field by its name in either of the two spellings that are allowed.
+/// A field by its name in snake case or, if that is absent, in camel case.
 fn field<'a>(value: &'a Value, snake: &str, camel: &str) -> &'a Value {
     match &value[snake] {
         Value::Null => &value[camel],
@@ -126,16 +126,16 @@
     value
 }
 
-fn read_range(request: &Value) -> Range {
+fn parse_range(request: &Value) -> Range {
     Range {
-        key: bytes(&request["key"]),
-        end: bytes(field(request, "range_end", "rangeEnd")),
+        key: decode_bytes(&request["key"]),
+        end: decode_bytes(field(request, "range_end", "rangeEnd")),
     }
 }
 
-fn range(store: &Store, request: &Value) -> Answer {
+fn range(store: &Store, request: &Value) -> KvResult {
     let min = field(request, "min_mod_revision", "minModRevision");
-    let kvs = store.range(&read_range(request), number(min));
+    let kvs = store.range(&parse_range(request), parse_number(min));
     let kvs: Vec<Value> = kvs.iter().map(kv_json).collect();
     Ok(json!({
         "header": header(store),
@@ -144,36 +144,36 @@
     }))
 }
 
-fn read_put(request: &Value) -> Put {
+fn parse_put(request: &Value) -> Put {
     Put {
-        key: bytes(&request["key"]),
-        value: bytes(&request["value"]),
-        lease: number(&request["lease"]),
+        key: decode_bytes(&request["key"]),
+        value: decode_bytes(&request["value"]),
+        lease: parse_number(&request["lease"]),
     }
 }
 
-fn put(store: &mut Store, request: &Value) -> Answer {
-    let put = read_put(request);
+fn put(store: &mut Store, request: &Value) -> KvResult {
+    let put = parse_put(request);
     match store.txn(&[], &[put]) {
         Ok(_) => Ok(json!({ "header": header(store) })),
         Err(message) => Err((StatusCode::NOT_FOUND, 5, message)),
     }
 }
 
-fn txn(store: &mut Store, request: &Value) -> Answer {
+fn txn(store: &mut Store, request: &Value) -> KvResult {
     let none = Vec::new();
     let compare = request["compare"].as_array().unwrap_or(&none);
     let compare: Vec<Compare> = compare
         .iter()
         .map(|c| Compare {
-            key: bytes(&c["key"]),
-            modified: number(field(c, "mod_revision", "modRevision")),
+            key: decode_bytes(&c["key"]),
+            modified: parse_number(field(c, "mod_revision", "modRevision")),
         })
         .collect();
     let success = request["success"].as_array().unwrap_or(&none);
     let puts: Vec<Put> = success
         .iter()
-        .map(|op| read_put(field(op, "request_put", "requestPut")))
+        .map(|op| parse_put(field(op, "request_put", "requestPut")))
         .collect();
     match store.txn(&compare, &puts) {
         Ok(true) => Ok(json!({ "header": header(store), "succeeded": true })),
@@ -182,8 +182,8 @@
     }
 }
 
-fn grant(state: &mut State, request: &Value) -> Answer {
-    let ttl = number(&request["TTL"]).max(1);
+fn grant(state: &mut State, request: &Value) -> KvResult {
+    let ttl = parse_number(&request["TTL"]).max(1);
     let now = state.now();
     let id = state.store.grant(now, ttl * 1_000);
     Ok(json!({
@@ -193,24 +193,24 @@
     }))
 }
 
-fn keep_alive(state: &mut State, request: &Value) -> Answer {
-    let id = number(&request["ID"]);
+fn keep_alive(state: &mut State, request: &Value) -> KvResult {
+    let id = parse_number(&request["ID"]);
     let now = state.now();
-    let left = state.store.keep_alive(now, id) / 1_000;
+    let ttl = state.store.keep_alive(now, id) / 1_000;
     let mut result = json!({
         "header": header(&state.store),
         "ID": id.to_string(),
     });
-    if left > 0 {
-        result["TTL"] = json!(left.to_string());
+    if ttl > 0 {
+        result["TTL"] = json!(ttl.to_string());
     }
     Ok(json!({ "result": result }))
 }
 
 fn watch(state: &mut State, request: &Value, source: &str) -> Reply {
     let create = field(request, "create_request", "createRequest");
-    let range = read_range(create);
-    let from = number(field(create, "start_revision", "startRevision"));
+    let range = parse_range(create);
+    let from = parse_number(field(create, "start_revision", "startRevision"));
     let (tx, rx) = mpsc::unbounded_channel();
     let watcher = Watcher { range, tx, source: source.to_string() };
     let first = match state.store.watch(watcher, from) {
@@ -224,13 +224,13 @@
             "compact_revision": oldest.to_string(),
         }}),
     };
-    let lines = stream::once(async move { line(&first) });
+    let first_line = stream::once(async move { line(&first) });
     let changes = stream::unfold(rx, |mut rx| async move {
         let (revision, changes) = rx.recv().await?;
         Some((line(&changes_json(revision, &changes)), rx))
     });
     let all: Pin<Box<dyn Stream<Item = Result<Bytes, Infallible>>>> =
-        Box::pin(lines.chain(changes));
+        Box::pin(first_line.chain(changes));
     Response::build(StatusCode::OK)
         .insert_header((CONTENT_TYPE, "application/json"))
         .body(BodyStream::new(all))
--- a/puffinknot-standin/src/platform/mod.rs
+++ b/puffinknot-standin/src/platform/mod.rs
@@ -1,13 +1,13 @@
 /*!
-A stand-in of the platform: its key-value service and its VM list.
+A stand-in for the platform: its key-value service and its VM list.
 
 The key-value service speaks the JSON form of etcd's version 3 interface, as
 far as puffinknot uses it: `range`, `put`, `txn`, `lease/grant`,
 `lease/keepalive`, `lease/revoke` and `watch`. The VM list is served at
 `/vms` in the form of Prometheus' HTTP service discovery.
 
-Every call is counted, and a waiting watch counts as one. What goes wrong can
-be set while it runs, by `POST /standin/faults`: see [`Faults`].
+Every call is counted, and a watch counts as one call. Faults can be set at
+run time by `POST /standin/faults`: see [`Faults`].
 */
 
 mod kv_http;
@@ -24,34 +24,37 @@
 use self::store::Store;
 use crate::server::Running;
 
-/// The largest request, in bytes; etcd's own limit is of this size.
+/// The largest request, in bytes, which is about the limit of etcd.
 const MAX_REQUEST: usize = 1_500_000;
-/// A request must arrive within this time.
-const WITHIN: Duration = Duration::from_secs(5);
-/// How often leases are looked at.
+/// The time within which a request must arrive.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// The interval at which leases are checked.
 const LEASE_TICK: Duration = Duration::from_millis(20);
 
-/// What goes wrong at the platform.
+/// The faults of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Nothing is answered; connections are cut.
+    /// Calls to the key-value service are not answered, and their connections
+    /// are aborted.
     pub down: bool,
-    /// The VM list is not answered either.
+    /// Reads of the VM list are not answered.
     pub list_down: bool,
-    /// Each call takes this much longer, in milliseconds.
+    /// The extra delay of each call, in milliseconds.
     pub delay_ms: u64,
-    /// This many writes are made without an answer.
+    /// The number of following writes that get no answer. They take effect.
     pub lose_answers: u32,
-    /// Clients whose IP address begins with one of these are cut off.
+    /// Clients whose IP address starts with one of these prefixes are
+    /// isolated from the platform.
     pub cut: Vec<String>,
-    /// Leases lapse during an outage instead of beginning anew after it.
+    /// Whether leases lapse during an outage. Otherwise each gets its full
+    /// duration again after it.
     pub lapse_when_down: bool,
-    /// The VM list is this much older than reality, in milliseconds.
+    /// The age of the VM list, in milliseconds.
     pub list_lag_ms: u64,
-    /// Reads allowed in a second; zero for no limit.
+    /// Reads allowed per second; zero for no limit.
     pub reads_per_s: u32,
-    /// Writes allowed in a second; zero for no limit.
+    /// Writes allowed per second; zero for no limit.
     pub writes_per_s: u32,
 }
 
@@ -70,28 +73,29 @@
     pub state: String,
 }
 
-/// How often the platform was called.
+/// Counters of the calls to the platform.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Calls {
     /// Reads of values.
     pub reads: u64,
-    /// Writes of values, leases included.
+    /// Writes of values, and grants and revocations of leases.
     pub writes: u64,
     /// Renewals of leases.
     pub renewals: u64,
     /// Watches that were opened.
     pub watches: u64,
-    /// Watches that wait now.
+    /// Watches that are open now.
     pub waiting: u64,
     /// Reads of the VM list.
     pub lists: u64,
     /// Calls refused because of the rate limit.
     pub limited: u64,
-    /// Bytes of requests and answers.
+    /// Bytes of request bodies, and of successful answers of the key-value
+    /// service other than watches.
     pub bytes: u64,
 }
 
-/// One second's worth of calls.
+/// The calls in the current second.
 #[derive(Debug, Default)]
 struct Rate {
     second: u64,
@@ -99,7 +103,7 @@
     writes: u32,
 }
 
-/// Everything the platform is.
+/// The state of the platform.
 struct State {
     started: Instant,
     store: Store,
@@ -107,8 +111,8 @@
     calls: Calls,
     rate: Rate,
     vms: BTreeMap<String, Vm>,
-    /// Earlier states of the list, with the time of each change.
-    listed: Vec<(u64, BTreeMap<String, Vm>)>,
+    /// Every state of the list with the time of its change, oldest first.
+    list_history: Vec<(u64, BTreeMap<String, Vm>)>,
 }
 
 impl State {
@@ -124,8 +128,9 @@
         self.faults = faults;
         let faults = &self.faults;
         self.store.watchers.retain(|watcher| {
-            let cut = |prefix: &String| watcher.source.starts_with(prefix);
-            !faults.down && !faults.cut.iter().any(cut)
+            let isolated =
+                |prefix: &String| watcher.source.starts_with(prefix);
+            !faults.down && !faults.cut.iter().any(isolated)
         });
     }
 
@@ -138,7 +143,7 @@
         self.store.watchers.retain(|watcher| !watcher.tx.is_closed());
     }
 
-    /// Whether a call may be made now under the rate limit.
+    /// Counts a call against the rate limit and returns whether it is allowed.
     fn allow(&mut self, write: bool) -> bool {
         let second = self.now() / 1_000;
         if self.rate.second != second {
@@ -157,18 +162,19 @@
 
     fn put_vm(&mut self, vm: Vm) {
         self.vms.insert(vm.id.clone(), vm);
-        self.listed.push((self.now(), self.vms.clone()));
+        self.list_history.push((self.now(), self.vms.clone()));
     }
 
     fn remove_vm(&mut self, id: &str) {
         self.vms.remove(id);
-        self.listed.push((self.now(), self.vms.clone()));
+        self.list_history.push((self.now(), self.vms.clone()));
     }
 
-    /// The list as it was some time ago.
+    /// The list as it was `list_lag_ms` ago.
     fn list(&self) -> Vec<Vm> {
         let until = self.now().saturating_sub(self.faults.list_lag_ms);
-        let before = self.listed.iter().rev().find(|(at, _)| *at <= until);
+        let before =
+            self.list_history.iter().rev().find(|(at, _)| *at <= until);
         before.map_or(Vec::new(), |(_, vms)| vms.values().cloned().collect())
     }
 }
@@ -186,7 +192,7 @@
 }
 
 impl Platform {
-    /// A platform that holds nothing yet.
+    /// Creates a platform without keys and VMs.
     pub fn new() -> Platform {
         let state = State {
             started: Instant::now(),
@@ -195,7 +201,7 @@
             calls: Calls::default(),
             rate: Rate::default(),
             vms: BTreeMap::new(),
-            listed: Vec::new(),
+            list_history: Vec::new(),
         };
         Platform { state: Arc::new(Mutex::new(state)) }
     }
@@ -212,27 +218,27 @@
     pub fn serve(&self, addr: &str) -> std::io::Result<Running> {
         let platform = self.clone();
         let ticking = self.clone();
-        std::thread::spawn(move || ticking.tick_for_ever());
+        std::thread::spawn(move || ticking.run_ticks());
         Running::start(addr, move || {
             let platform = platform.clone();
             move |request| platform.clone().handle(request)
         })
     }
 
-    fn tick_for_ever(&self) {
-        // The last other owner is gone when the server has stopped.
+    fn run_ticks(&self) {
+        // Once the server has stopped, this thread is the only owner left.
         while Arc::strong_count(&self.state) > 1 {
             self.lock().tick();
             std::thread::sleep(LEASE_TICK);
         }
     }
 
-    /// Sets what goes wrong.
+    /// Sets the faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().set_faults(faults);
     }
 
-    /// Changes what goes wrong.
+    /// Changes some of the faults.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         let mut state = self.lock();
         let mut faults = state.faults.clone();
@@ -240,24 +246,24 @@
         state.set_faults(faults);
     }
 
-    /// How often the platform was called.
+    /// The counters of the calls to the platform.
     pub fn calls(&self) -> Calls {
         let state = self.lock();
         let waiting = state.store.watchers.len() as u64;
         Calls { waiting, ..state.calls.clone() }
     }
 
-    /// Adds or changes a VM in the list.
+    /// Adds a VM to the list or replaces it.
     pub fn put_vm(&self, vm: Vm) {
         self.lock().put_vm(vm);
     }
 
-    /// Takes a VM out of the list.
+    /// Removes a VM from the list.
     pub fn remove_vm(&self, id: &str) {
         self.lock().remove_vm(id);
     }
 
-    /// The value of a key, as text.
+    /// The value of a key as text, or `None` if the key is absent.
     pub fn value(&self, key: &str) -> Option<String> {
         let range = store::Range { key: key.into(), end: Vec::new() };
         let kv = self.lock().store.range(&range, 0).pop()?;
@@ -269,33 +275,33 @@
         let source = request.peer_addr().map(|a| a.ip().to_string());
         let source = source.unwrap_or_default();
         let payload = request.take_payload();
-        let body = match read_body(payload, MAX_REQUEST, WITHIN).await {
+        let body = match read_body(payload, MAX_REQUEST, READ_TIMEOUT).await {
             Ok(body) => body,
             Err(_) => return text(StatusCode::BAD_REQUEST, "bad body"),
         };
         if let Some(rest) = path.strip_prefix("/standin/") {
             return self.control(rest, &body);
         }
-        let (faults, cut) = {
+        let (faults, isolated) = {
             let mut state = self.lock();
             state.calls.bytes += body.len() as u64;
             let faults = state.faults.clone();
-            let off = |prefix: &String| source.starts_with(prefix);
-            let cut = faults.cut.iter().any(off);
-            (faults, cut)
+            let matches = |prefix: &String| source.starts_with(prefix);
+            let isolated = faults.cut.iter().any(matches);
+            (faults, isolated)
         };
         if faults.delay_ms > 0 {
             let delay = Duration::from_millis(faults.delay_ms);
             actix_rt::time::sleep(delay).await;
         }
         if path == "/vms" {
-            if faults.list_down || cut {
-                return kv_http::cut_connection();
+            if faults.list_down || isolated {
+                return kv_http::abort_connection();
             }
             return self.vm_list();
         }
-        if faults.down || cut {
-            return kv_http::cut_connection();
+        if faults.down || isolated {
+            return kv_http::abort_connection();
         }
         self.kv(&path, &body, &source)
     }
@@ -321,23 +327,23 @@
         json(StatusCode::OK, &list)
     }
 
-    /// What a test or script may change and ask.
+    /// Handles the calls by which a test or script controls the platform.
     fn control(&self, path: &str, body: &[u8]) -> Reply {
-        let bad = |err: serde_json::Error| {
+        let bad_request = |err: serde_json::Error| {
             text(StatusCode::BAD_REQUEST, &err.to_string())
         };
         match path {
             "faults" => match serde_json::from_slice(body) {
                 Ok(faults) => self.set_faults(faults),
-                Err(err) => return bad(err),
+                Err(err) => return bad_request(err),
             },
             "vms" => match serde_json::from_slice::<Vec<Vm>>(body) {
                 Ok(vms) => vms.into_iter().for_each(|vm| self.put_vm(vm)),
-                Err(err) => return bad(err),
+                Err(err) => return bad_request(err),
             },
             "gone" => match serde_json::from_slice::<String>(body) {
                 Ok(id) => self.remove_vm(&id),
-                Err(err) => return bad(err),
+                Err(err) => return bad_request(err),
             },
             "calls" => return json(StatusCode::OK, &self.calls()),
             _ => return text(StatusCode::NOT_FOUND, "no such page"),
--- a/puffinknot-standin/src/platform/store.rs
+++ b/puffinknot-standin/src/platform/store.rs
@@ -1,12 +1,12 @@
-//! The key-value service itself: revisions, leases and watches.
+//! The state of the key-value service: revisions, leases and watches.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Bound;
 
 use tokio::sync::mpsc::UnboundedSender;
 
-/// The number of changes that a watch can look back on.
-const HISTORY: usize = 10_000;
+/// The number of past revisions from which a watch can start.
+const MAX_HISTORY: usize = 10_000;
 
 /// A value with its revisions.
 #[derive(Clone, Debug)]
@@ -19,28 +19,28 @@
     pub create: u64,
     /// The revision of the last change.
     pub modified: u64,
-    /// The number of changes since it was created.
+    /// The number of writes since the key was created, that one included.
     pub version: u64,
-    /// The lease it is under; zero for none.
+    /// The lease of the key; zero for none.
     pub lease: u64,
 }
 
 /// A change of one key.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// The value put, or what is left of a deleted one.
+    /// The new value. For a deleted key, its value is empty.
     pub kv: Kv,
     /// Whether the key was deleted.
     pub deleted: bool,
 }
 
-/// Keys from a first one up to, and without, an end. An empty end means the
-/// one key alone.
+/// A range of keys from a first key to an exclusive end. An empty end selects
+/// the first key only.
 #[derive(Clone, Debug)]
 pub struct Range {
     /// The first key.
     pub key: Vec<u8>,
-    /// The end.
+    /// The exclusive end; empty for the first key only.
     pub end: Vec<u8>,
 }
 
@@ -53,12 +53,12 @@
     }
 }
 
-/// The condition of a transaction: the key was last changed at a revision.
+/// A condition of a transaction: the key was last changed at this revision.
 #[derive(Clone, Debug)]
 pub struct Compare {
     /// The key.
     pub key: Vec<u8>,
-    /// The revision; zero if it has to be absent.
+    /// The revision; zero if the key must be absent.
     pub modified: u64,
 }
 
@@ -69,25 +69,25 @@
     pub key: Vec<u8>,
     /// The value.
     pub value: Vec<u8>,
-    /// The lease to put it under; zero for none.
+    /// The lease to attach; zero for none.
     pub lease: u64,
 }
 
-/// A lease.
+/// A lease, with its end in milliseconds since the start of the platform.
 #[derive(Clone, Debug)]
 struct Lease {
     ttl_ms: u64,
     expires: u64,
 }
 
-/// A watch that waits for changes.
+/// An open watch.
 #[derive(Debug)]
 pub struct Watcher {
-    /// What is watched.
+    /// The keys that are watched.
     pub range: Range,
-    /// Where changes go: the revision, and the changes made at it.
+    /// Receives each revision with its changes in the range.
     pub tx: UnboundedSender<(u64, Vec<Change>)>,
-    /// Who watches.
+    /// The IP address of the client.
     pub source: String,
 }
 
@@ -100,7 +100,7 @@
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
     history: VecDeque<(u64, Vec<Change>)>,
-    /// The watches.
+    /// The open watches.
     pub watchers: Vec<Watcher>,
 }
 
@@ -116,7 +116,8 @@
         found.cloned().collect()
     }
 
-    /// Makes the puts if every comparison holds. Returns whether it did.
+    /// Applies the puts if every comparison holds, and returns whether all
+    /// hold.
     ///
     /// # Errors
     ///
@@ -174,16 +175,17 @@
             seen.is_empty() || watcher.tx.send((revision, seen)).is_ok()
         });
         self.history.push_back((revision, changes));
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
     }
 
-    /// Adds a watch and sends it what it has missed since `from`.
+    /// Adds a watch and sends it all changes from revision `from` on. Zero
+    /// starts with the next change.
     ///
     /// # Errors
     ///
-    /// The oldest revision that can still be watched from.
+    /// The oldest revision from which a watch can start, if `from` is older.
     pub fn watch(&mut self, watcher: Watcher, from: u64) -> Result<(), u64> {
         let oldest = self.history.front().map_or(1, |(r, _)| *r);
         if from > 0 && from < oldest && oldest > 1 {
@@ -214,7 +216,7 @@
         self.next_lease
     }
 
-    /// Renews a lease. Returns its length in milliseconds, or zero if it
+    /// Renews a lease. Returns its time to live in milliseconds, or zero if it
     /// has lapsed.
     pub fn keep_alive(&mut self, now: u64, id: u64) -> u64 {
         let Some(lease) = self.leases.get_mut(&id) else { return 0 };
@@ -222,7 +224,7 @@
         lease.ttl_ms
     }
 
-    /// Ends a lease and deletes the keys under it.
+    /// Ends a lease and deletes its keys.
     pub fn revoke(&mut self, id: u64) {
         if self.leases.remove(&id).is_none() {
             return;
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Gives every lease its full length, as after an outage.
+    /// Renews every lease, as after an outage.
     pub fn refresh_leases(&mut self, now: u64) {
         for lease in self.leases.values_mut() {
             lease.expires = now + lease.ttl_ms;
--- a/puffinknot-standin/src/worker.rs
+++ b/puffinknot-standin/src/worker.rs
@@ -215,8 +215,8 @@
         1 + self.started.elapsed().as_millis() as Millis
     }
 
-    /// Records which tasks have started and ended. Tasks that are gone ended
-    /// by `how`.
+    /// Records which tasks have started and ended. The record of a task that
+    /// is gone without being done gets `how` as its end.
     fn update_record(&mut self, how: &str) {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         let wall = wall.map_or(0, |d| d.as_millis() as u64);
