--- a/tests/crash_rate.rs
+++ b/tests/crash_rate.rs
@@ -1,4 +1,4 @@
-//! How often executors crash by something else than a task.
+//! Tests of the rate of executor crashes that no task causes.
 
 use std::collections::BTreeSet;
 
@@ -13,8 +13,8 @@
     jobs.iter().map(|job| task(*job)).collect()
 }
 
-/// Ten executors that have lived for so long.
-fn watched(rate: &mut CrashRate, until: u64) {
+/// Records that ten executors are alive up to this time.
+fn record_ten_alive(rate: &mut CrashRate, until: u64) {
     for now in (0..=until).step_by(200) {
         rate.record_alive(10, now);
     }
@@ -23,16 +23,16 @@
 #[test]
 fn at_first_executors_may_crash_often() {
     let mut rate = CrashRate::default();
-    watched(&mut rate, 200);
+    record_ten_alive(&mut rate, 200);
     assert!(rate.rate_without(task(1), 200) > 1.5 * MIN_CRASH_RATE);
-    watched(&mut rate, 20_000);
+    record_ten_alive(&mut rate, 20_000);
     assert_eq!(rate.rate_without(task(1), 20_000), MIN_CRASH_RATE);
 }
 
 #[test]
 fn a_crash_under_suspicion_counts_for_all_other_tasks() {
     let mut rate = CrashRate::default();
-    watched(&mut rate, 5_000);
+    record_ten_alive(&mut rate, 5_000);
     for _ in 0..5 {
         rate.record_crash(suspects(&[1, 2]), 5_000);
     }
@@ -45,7 +45,7 @@
 #[test]
 fn what_a_task_has_done_counts_for_nobody() {
     let mut rate = CrashRate::default();
-    watched(&mut rate, 5_000);
+    record_ten_alive(&mut rate, 5_000);
     for _ in 0..5 {
         rate.record_crash(suspects(&[1]), 5_000);
     }
@@ -60,6 +60,6 @@
 #[test]
 fn a_rate_of_long_ago_is_not_known() {
     let mut rate = CrashRate::default();
-    watched(&mut rate, 100_000);
+    record_ten_alive(&mut rate, 100_000);
     assert_eq!(rate.known_rate_without(task(1), 10_000, 100_000), None);
 }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `puffinknot explain`, on lines from a day that was played.
+//! Tests of `puffinknot explain` on recorded and constructed log lines.
 
 use clap::Parser;
 use puffinknot::client::{run, Cli, Report, DONE, WRONG};
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -1,5 +1,6 @@
-//! Workers that were taken for gone, or their leases for lapsed, while they
-//! went on: tasks ran on two workers at once.
+//! Tests that guard against running a task on two workers at once because a
+//! live worker is considered gone or its lease expired, and against reusing
+//! the slot of a call that still runs.
 
 use puffinknot_core::config::{Config, Resources};
 use puffinknot_core::contract::Scope;
@@ -15,7 +16,7 @@
 
 const FILE: &str = include_str!("../testdata/fuzz.toml");
 const DC: &str = "goya";
-/// The lease of a worker.
+/// The lease of a worker, in milliseconds.
 const LEASE: u64 = 10_000;
 
 fn config() -> Config {
@@ -29,12 +30,12 @@
 fn placer(number: u64, confirmed: bool, targets: &[TargetId]) -> Placer {
     let epoch = Epoch { number, holder: VmId(format!("vm{number}")) };
     let unseen = targets.iter().cloned().collect();
-    let tenure = Term::new(epoch, 1, confirmed, unseen);
+    let term = Term::new(epoch, 1, confirmed, unseen);
     let old = config();
     let mut placer = Placer::new(
         PlacerConfig::default(),
         DC.into(),
-        tenure,
+        term,
         Some(&old),
         Progress::default(),
     );
@@ -45,25 +46,25 @@
     placer
 }
 
-fn to(
+fn sync_for(
     syncs: Vec<(TargetId, SyncRequest)>,
     target: &TargetId,
 ) -> Option<SyncRequest> {
     syncs.into_iter().find(|(at, _)| at == target).map(|(_, sync)| sync)
 }
 
-/// What a worker answers.
+/// Advances a worker to `now` and returns its reply.
 fn answer(state: &mut WorkerState, now: u64, sync: &SyncRequest) -> SyncReply {
     state.tick(now);
     state.sync(now, sync).expect("an epoch that is not refused")
 }
 
-/// Tasks ran on two workers while a contract changed hands and the platform
-/// was down. A VM had claimed the contract alone, and one worker had answered
-/// it, once: it ran tasks under the lease of the former holder. The other
-/// worker had not been reached yet, so that no lease could be given. Then the
-/// first was cut off, the platform came back and confirmed the claim, and the
-/// end of a lease that was never given, zero, counted as lapsed.
+/// Guards against running tasks on two workers after a takeover during a
+/// platform outage. A VM claims the contract without the platform. One worker,
+/// which runs tasks under the former holder's lease, answers it once and then
+/// becomes unreachable. The VM has granted no lease, since it has not reached
+/// the other worker. When the platform confirms the claim, the expiry of the
+/// lease that was never granted is zero and must not count as passed.
 #[test]
 fn a_lease_of_a_former_holder_has_not_lapsed_before_its_time() {
     let both = [worker(0), worker(1)];
@@ -77,11 +78,11 @@
         leaving: false,
     };
     let mut states = [WorkerState::new(info.clone()), WorkerState::new(info)];
-    // The former holder has all tasks run on one worker.
+    // The former holder runs all tasks on one worker.
     let mut former = placer(1, true, &both[..1]);
     let mut now = 1_000;
     for _ in 0..20 {
-        if let Some(sync) = to(former.step(now), &both[0]) {
+        if let Some(sync) = sync_for(former.step(now), &both[0]) {
             let reply = answer(&mut states[0], now, &sync);
             former.sync_replied(now, &both[0], reply);
         }
@@ -89,37 +90,41 @@
     }
     let ran: Vec<TaskId> = states[0].running().cloned().collect();
     assert!(!ran.is_empty());
-    // Another VM claims the contract alone. One worker answers, once.
-    let mut heir = placer(2, false, &both);
-    let sync = to(heir.step(now), &both[0]).expect("a sync");
+    // Another VM claims the contract without the platform. One worker
+    // answers, once.
+    let mut successor = placer(2, false, &both);
+    let sync = sync_for(successor.step(now), &both[0]).expect("a sync");
     let reply = answer(&mut states[0], now, &sync);
-    heir.sync_replied(now, &both[0], reply);
-    let heard = now;
-    while now < heard + 5_000 {
+    successor.sync_replied(now, &both[0], reply);
+    let heard_at = now;
+    while now < heard_at + 5_000 {
         now += 100;
-        heir.step(now);
+        successor.step(now);
     }
-    // The platform confirms the claim, and the other worker is reached.
-    heir.term.confirmed = true;
-    while now < heard + 7_000 {
+    // The platform confirms the claim, and the VM reaches the other worker.
+    successor.term.confirmed = true;
+    while now < heard_at + 7_000 {
         now += 100;
-        heir.confirm_contract(now);
-        if let Some(sync) = to(heir.step(now), &both[1]) {
+        successor.confirm_contract(now);
+        if let Some(sync) = sync_for(successor.step(now), &both[1]) {
             let reply = answer(&mut states[1], now, &sync);
-            heir.sync_replied(now, &both[1], reply);
+            successor.sync_replied(now, &both[1], reply);
         }
         states[0].tick(now);
         let twice = states[1].running().find(|t| ran.contains(t)).cloned();
         let first: Vec<TaskId> = states[0].running().cloned().collect();
         let twice = twice.filter(|task| first.contains(task));
-        let after = now - heard;
-        assert_eq!(twice, None, "runs twice {after} ms after it was heard");
+        let after = now - heard_at;
+        assert_eq!(
+            twice, None,
+            "runs twice {after} ms after the first answer"
+        );
     }
-    assert!(now < heard + LEASE);
+    assert!(now < heard_at + LEASE);
 }
 
-/// The same in a cell: the former holder reached the worker all the time, and
-/// neither the other VM nor the platform; then it was killed.
+/// The same failure in a whole cell. The former holder always reaches the
+/// worker, but neither the other VM nor the platform; then it is killed.
 #[test]
 fn a_claim_made_alone_takes_no_lease_for_lapsed_once_it_is_confirmed() {
     let mut cell = Cell::new(FILE);
@@ -129,44 +134,47 @@
     let vms = [cell.start("vm0", DC), cell.start("vm1", DC)];
     cell.run_in_order(8_000);
     let holder = cell.holder(DC, Scope::Tasks).expect("a holder");
-    let heir = vms.iter().find(|vm| **vm != holder).expect("another VM");
+    let successor = vms.iter().find(|vm| **vm != holder).expect("another VM");
     let busy = cell.workers.iter().find(|(_, w)| w.running().count() > 0);
     let busy = busy.map(|(id, _)| id.clone()).expect("a worker at work");
     let idle = cell.workers.keys().find(|id| **id != busy).cloned();
     let idle = idle.expect("another worker");
     let now = cell.now;
     cell.platform.set_down(true, now);
-    cell.cut(holder.as_str(), heir.as_str(), true);
-    cell.cut(heir.as_str(), idle.as_str(), true);
+    cell.cut(holder.as_str(), successor.as_str(), true);
+    cell.cut(successor.as_str(), idle.as_str(), true);
     cell.cut_platform(&holder, true);
-    let hears = |cell: &Cell| {
-        let placer = cell.vms[heir].node.placer();
+    let hears_worker = |cell: &Cell| {
+        let placer = cell.vms[successor].node.placer();
         let workers = placer.map(|placer| placer.workers());
         workers.is_some_and(|all| all.iter().any(|w| w.ready))
     };
-    while !hears(&cell) {
+    while !hears_worker(&cell) {
         cell.run_in_order(100);
-        assert!(cell.now < now + 60_000, "the claim made alone");
+        assert!(
+            cell.now < now + 60_000,
+            "no worker is ready after a claim without the platform"
+        );
     }
-    let heard = cell.now;
+    let heard_at = cell.now;
     cell.kill(&holder);
-    cell.cut(heir.as_str(), busy.as_str(), true);
+    cell.cut(successor.as_str(), busy.as_str(), true);
     cell.run_in_order(5_000);
     let now = cell.now;
     cell.platform.set_down(false, now);
-    // Of the leases of members, only that of the former holder has run out.
-    cell.platform.renew(heir, now + 600_000);
+    // Only the former holder's membership lease has expired.
+    cell.platform.renew(successor, now + 600_000);
     cell.platform.lapse(&holder);
-    cell.cut(heir.as_str(), idle.as_str(), false);
+    cell.cut(successor.as_str(), idle.as_str(), false);
     cell.run_in_order(3_000);
-    assert!(cell.now < heard + LEASE);
+    assert!(cell.now < heard_at + LEASE);
     assert!(cell.faults.is_empty(), "{:?}", cell.faults);
 }
 
-/// Tasks ran on two workers. One reading of the VM list lacked the worker
-/// that ran them; after that the list could not be read for three seconds.
-/// The worker was taken for gone for good, as one is that the list has not
-/// named for three seconds of readings, though there was one such reading.
+/// Guards against running tasks on two workers after a single reading of the
+/// VM list that lacks a worker. A worker counts as gone for good when readings
+/// lack it for three seconds; three seconds in which the list can't be read
+/// after one such reading must not count.
 #[test]
 fn one_reading_that_lacks_a_worker_is_no_three_seconds_of_readings() {
     let mut cell = Cell::new(FILE);
@@ -193,10 +201,10 @@
     }
 }
 
-/// An executor ran more calls than it has slots. Its word on what it runs was
-/// given before a call arrived there, and came after the connection of that
-/// call had been lost. The call was known to run on, unseen; the earlier word
-/// did not name it, and its slot was taken for free.
+/// Guards against running more calls on an executor than it has slots. The
+/// executor reports what it runs before a call arrives there, and the report
+/// is delivered after the connection of that call is lost. The call still
+/// runs; the earlier report does not name it and must not free its slot.
 #[test]
 fn an_earlier_word_of_an_executor_frees_no_slot_of_a_lost_call() {
     let mut cell = Cell::new(FILE);
@@ -209,19 +217,20 @@
             cell.deliver(index);
         }
     };
-    let asked = |cell: &Cell| {
+    let report_request = |cell: &Cell| {
         let mut all = cell.net.iter();
         all.position(|message| matches!(message, Message::Ask(..)))
     };
-    while asked(&cell).is_none() {
+    while report_request(&cell).is_none() {
         deliver_all(&mut cell);
         cell.pass(50);
         cell.housekeep(&vm);
     }
-    let index = asked(&cell).expect("a question");
+    let index = report_request(&cell).expect("a request for a report");
     cell.deliver(index);
-    // The answer is on its way while a call begins, and is lost.
-    let early = cell.net.pop().expect("an answer");
+    // The report is in transit while a call starts and its connection is
+    // lost.
+    let early_report = cell.net.pop().expect("a report");
     let call = |cell: &mut Cell| {
         let key = cell.new_key("coop");
         cell.call(&vm, "coop", "vent-check", Some(key))
@@ -233,7 +242,7 @@
     cell.cut(vm.as_str(), "x0", true);
     deliver_all(&mut cell);
     cell.cut(vm.as_str(), "x0", false);
-    cell.net.push(early);
+    cell.net.push(early_report);
     deliver_all(&mut cell);
     call(&mut cell);
     deliver_all(&mut cell);
--- a/tests/lib.rs
+++ b/tests/lib.rs
@@ -1,4 +1,4 @@
-//! The integration tests, one module for each topic.
+//! Integration tests, one module per topic.
 
 mod backlog;
 mod cell;
--- a/tests/losses.rs
+++ b/tests/losses.rs
@@ -1,9 +1,10 @@
-//! What the crashes under a task weigh.
+//! Tests of the weight of executor crashes as evidence against a task.
 
 use puffinknot_core::jobs::crash_evidence::CrashEvidence;
 use puffinknot_core::jobs::RunLoss;
 
-/// A run that was lost alone with an executor, so long after its start.
+/// The loss of a run that was alone on its executor, `ran` milliseconds after
+/// its start.
 fn loss(run: u64, address: &str, ran: u64, executors: u32) -> RunLoss {
     RunLoss {
         run,
@@ -18,16 +19,16 @@
 }
 
 fn weight(losses: &[RunLoss]) -> u32 {
-    let mut sum = CrashEvidence::default();
+    let mut evidence = CrashEvidence::default();
     for loss in losses {
-        assert!(sum.add(loss, 1_000));
-        sum.weigh(|_| Some(0.05));
+        assert!(evidence.add(loss, 1_000));
+        evidence.weigh(|_| Some(0.05));
     }
-    sum.weight
+    evidence.weight
 }
 
-/// Guards against a gang that is given up for one loss of power: its members
-/// are lost at one age, which tells nothing.
+/// Guards against giving up a gang after one power failure: its members are
+/// lost at the same age, which is no evidence against the task.
 #[test]
 fn a_run_that_is_lost_with_two_executors_weighs_as_one() {
     let one = weight(&[loss(1, "x0", 20, 2)]);
@@ -52,5 +53,8 @@
     assert!(losses.weight < before);
     let known = losses.weight;
     losses.weigh(|_| None);
-    assert_eq!(losses.weight, known, "what is forgotten keeps its weight");
+    assert_eq!(
+        losses.weight, known,
+        "the weight stays if no rate is known any more"
+    );
 }
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -1,4 +1,4 @@
-//! What is known from answers to orders.
+//! Tests of what the answers to an order establish.
 
 use puffinknot::cell::order::{certain_answer, Reply};
 use puffinknot_core::jobs::{ExecutorReport, OrderFailure};
@@ -24,9 +24,10 @@
     assert_eq!(certain_answer(Ok(Reply::Done), false), Ok(Reply::Done));
 }
 
-/// A relay was cut off after an executor had begun a task. The order was given
-/// again by another way, which did not reach the executor, and the task was
-/// started elsewhere since this one order had not been sent.
+/// Guards against starting a task twice. A relay is cut off after an executor
+/// has started the task. The order is sent again by another route, which does
+/// not reach the executor; that this second order was not sent does not show
+/// that the first had no effect, so the task must not start elsewhere.
 #[test]
 fn a_second_try_that_fails_tells_nothing_of_the_first() {
     for failure in FAILURES {
@@ -40,6 +41,6 @@
             "{failure:?}"
         );
     }
-    let account = Reply::Account(ExecutorReport::default());
-    assert_eq!(certain_answer(Ok(account.clone()), true), Ok(account));
+    let report = Reply::Account(ExecutorReport::default());
+    assert_eq!(certain_answer(Ok(report.clone()), true), Ok(report));
 }
--- a/tests/regression.rs
+++ b/tests/regression.rs
@@ -1,5 +1,5 @@
-//! Faults that were found once, each by the test that found it or one made
-//! for it. Those found in a small cell are in `failures`.
+//! Regression tests, one for each fault. Those that use the simulated cell
+//! are in `failures`.
 
 use std::cell::RefCell;
 
@@ -7,9 +7,9 @@
 use puffinknot_core::store::{Key, Value, Write};
 use puffinknot_standin::platform::Platform;
 
-/// The first message of a watch carries the revision of the service. Taken
-/// for one that has been seen, it hid the changes made between the read and
-/// the watch, and a VM did not know a member for ever.
+/// The first message of a watch carries the current revision of the service.
+/// A client that considers this revision seen misses the changes made between
+/// its read and the watch, and a VM never learns of a member.
 #[test]
 fn changes_between_a_read_and_its_watch_are_seen() {
     let platform = Platform::new();
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -1,4 +1,4 @@
-//! In which order a node tries others on its way to the leader.
+//! Tests of the order in which a node tries addresses to find the leader.
 
 use std::net::SocketAddr;
 
@@ -14,8 +14,9 @@
     Leader { node, life: 1, address: address(number), revision }
 }
 
-/// After all had lost power, half of the nodes tried one that was still
-/// starting although they knew the leader, and were linked 0.8 s late.
+/// Guards against late connections after a power failure of the whole cell:
+/// half of the nodes tried a node that was still starting although they knew
+/// the leader, and connected 0.8 s late.
 #[test]
 fn a_leader_that_was_just_heard_of_is_tried_first() {
     for earlier in 0..4 {
@@ -36,10 +37,13 @@
     let mut search = LeaderSearch::default();
     let old = leader(1, 5);
     let others = [address(8), address(9)];
-    let tried: Vec<_> =
+    let tried_addresses: Vec<_> =
         (0..8).filter_map(|_| search.next(Some(&old), &others)).collect();
     for node in [1, 8, 9] {
-        assert!(tried.contains(&address(node)), "{node} is not tried");
+        assert!(
+            tried_addresses.contains(&address(node)),
+            "{node} is not tried"
+        );
     }
 }
 
--- a/tests/turn.rs
+++ b/tests/turn.rs
@@ -1,4 +1,4 @@
-//! What is measured of the leader's loop.
+//! Tests of the statistics of the leader's event loop.
 
 use puffinknot::cell::iteration::{
     Clocks, InputKind, Iteration, IterationStats, SlowIterations,
@@ -17,8 +17,8 @@
     InputKind::Listed,
     InputKind::Other,
 ];
-/// A time at which tests begin, in microseconds.
-const BEGIN: u64 = 5_000_000;
+/// The time at which tests begin, in microseconds.
+const START_US: u64 = 5_000_000;
 
 fn clocks(mono: u64, cpu: u64) -> Clocks {
     Clocks { mono, cpu }
@@ -28,8 +28,8 @@
     PlacementStats::default()
 }
 
-/// The figure on the line that begins so.
-fn figure(stats: &Stats, line: &str) -> Option<u64> {
+/// The value of the metric whose line starts with this text.
+fn metric(stats: &Stats, line: &str) -> Option<u64> {
     let text = stats.render();
     let line = text.lines().find_map(|l| l.strip_prefix(line))?;
     Some(line.trim().parse().expect("a number"))
@@ -37,43 +37,54 @@
 
 fn total(stats: &Stats, family: &str, what: &str, of: &str) -> u64 {
     let line = format!("puffinknot_{family}_{of}{{what=\"{what}\"}} ");
-    figure(stats, &line).unwrap_or_default()
+    metric(stats, &line).unwrap_or_default()
 }
 
-fn most(stats: &Stats, family: &str, what: &str) -> Option<u64> {
+fn maximum(stats: &Stats, family: &str, what: &str) -> Option<u64> {
     let labels = format!("what=\"{what}\",quantile=\"1\"");
-    figure(stats, &format!("puffinknot_{family}{{{labels}}} "))
+    metric(stats, &format!("puffinknot_{family}{{{labels}}} "))
 }
 
-/// A turn that began at a time and took so long, with one input that had
-/// waited.
-fn turn(stats: &Stats, began: u64, took: u64, waited: u64) -> IterationStats {
-    let mut turn = Iteration::begin(clocks(began, 0), idle());
-    turn.begin_input(stats, InputKind::LeaseRenewal, began - waited, began);
-    turn.finish_input(stats, began);
-    turn.end(stats, clocks(began + took, took), idle())
+/// The statistics of an iteration with one input; all times are in
+/// microseconds.
+fn iteration(
+    stats: &Stats,
+    began: u64,
+    took: u64,
+    waited: u64,
+) -> IterationStats {
+    let mut iteration = Iteration::begin(clocks(began, 0), idle());
+    iteration.begin_input(
+        stats,
+        InputKind::LeaseRenewal,
+        began - waited,
+        began,
+    );
+    iteration.finish_input(stats, began);
+    iteration.end(stats, clocks(began + took, took), idle())
 }
 
-/// Answers of executors that wait behind requests look like slow executors.
+/// Guards against mistaking executor answers that wait behind requests for
+/// slow executors.
 #[test]
 fn each_kind_of_input_has_its_own_waits_and_times() {
     let stats = Stats::default();
     for round in 1..=3 {
-        let mut turn = Iteration::begin(clocks(BEGIN, 0), idle());
+        let mut iteration = Iteration::begin(clocks(START_US, 0), idle());
         for (place, kind) in KINDS.into_iter().enumerate() {
-            let at = BEGIN + 1_000 * place as u64;
-            turn.begin_input(&stats, kind, at - 20_000, at);
+            let at = START_US + 1_000 * place as u64;
+            iteration.begin_input(&stats, kind, at - 20_000, at);
         }
-        let at = BEGIN + 1_000 * KINDS.len() as u64;
-        turn.finish_input(&stats, at);
-        turn.finish_input(&stats, at + 1_000);
-        turn.end(&stats, clocks(at, 0), idle());
+        let at = START_US + 1_000 * KINDS.len() as u64;
+        iteration.finish_input(&stats, at);
+        iteration.finish_input(&stats, at + 1_000);
+        iteration.end(&stats, clocks(at, 0), idle());
         for kind in KINDS {
             let wait = format!("wait_{}", kind.name());
             let handle = format!("handle_{}", kind.name());
             assert_eq!(total(&stats, "latency_ms", &wait, "count"), round);
             assert_eq!(total(&stats, "latency_ms", &wait, "sum"), 20 * round);
-            assert_eq!(most(&stats, "latency_ms", &wait), Some(20));
+            assert_eq!(maximum(&stats, "latency_ms", &wait), Some(20));
             assert_eq!(total(&stats, "time_us", &handle, "count"), round);
             let sum = total(&stats, "time_us", &handle, "sum");
             assert_eq!(sum, 1_000 * round);
@@ -81,7 +92,8 @@
     }
 }
 
-/// Long turns in which little processor time went by were not given it.
+/// A long iteration with little CPU time shows that the thread was not
+/// scheduled, rather than busy.
 #[test]
 fn a_turn_is_measured_on_both_clocks_and_by_what_it_did() {
     let stats = Stats::default();
@@ -93,12 +105,22 @@
         executors: 900,
         runs: 40,
     };
-    let mut turn = Iteration::begin(clocks(BEGIN, 100), before);
-    turn.begin_input(&stats, InputKind::Started, BEGIN - 9_000, BEGIN);
-    turn.begin_input(&stats, InputKind::Stopped, BEGIN - 30_000, BEGIN + 500);
-    turn.finish_input(&stats, BEGIN + 700);
-    turn.record_advance(&stats, BEGIN + 800, BEGIN + 40_800);
-    let took = turn.end(&stats, clocks(BEGIN + 90_000, 12_100), after);
+    let mut iteration = Iteration::begin(clocks(START_US, 100), before);
+    iteration.begin_input(
+        &stats,
+        InputKind::Started,
+        START_US - 9_000,
+        START_US,
+    );
+    iteration.begin_input(
+        &stats,
+        InputKind::Stopped,
+        START_US - 30_000,
+        START_US + 500,
+    );
+    iteration.finish_input(&stats, START_US + 700);
+    iteration.record_advance(&stats, START_US + 800, START_US + 40_800);
+    let took = iteration.end(&stats, clocks(START_US + 90_000, 12_100), after);
     let oldest = (30_500, InputKind::Stopped);
     assert_eq!((took.duration, took.cpu), (90_000, 12_000));
     assert_eq!((took.advance, took.inputs), (40_000, 2));
@@ -118,25 +140,27 @@
     }
 }
 
-/// A turn in which nothing was placed would make rounds look cheap.
+/// Counting iterations without a placement round would make rounds look
+/// cheap.
 #[test]
 fn only_turns_with_a_round_count_as_rounds() {
     let stats = Stats::default();
-    let put_off = PlacementStats { rounds: 1, deferred: 1, ..idle() };
-    for looked in [idle(), put_off] {
-        let turn = Iteration::begin(clocks(BEGIN, 0), idle());
-        turn.end(&stats, clocks(BEGIN, 0), looked);
+    let deferred = PlacementStats { rounds: 1, deferred: 1, ..idle() };
+    for placement in [idle(), deferred] {
+        let iteration = Iteration::begin(clocks(START_US, 0), idle());
+        iteration.end(&stats, clocks(START_US, 0), placement);
     }
     assert_eq!(total(&stats, "size", "turn_inputs", "count"), 2);
     assert_eq!(total(&stats, "size", "round_steps", "count"), 0);
 }
 
-/// A line for each slow turn would slow a leader that is behind further.
+/// Logging each slow iteration would slow down an overloaded leader further.
 #[test]
 fn the_worst_of_the_slow_turns_is_told_once_a_second() {
     let stats = Stats::default();
     let mut slow = SlowIterations::new(30);
-    let took = |at, took, waited| turn(&stats, BEGIN + at, took, waited);
+    let took =
+        |at, took, waited| iteration(&stats, START_US + at, took, waited);
     assert_eq!(slow.observe(took(0, 29_999, 29_999)), None);
     let first = took(40_000, 30_000, 0);
     assert_eq!(slow.observe(first), Some((1, first)));
