--- a/tests/cell/mod.rs
+++ b/tests/cell/mod.rs
@@ -1,6 +1,6 @@
-//! A small cell for fuzzing and model checking: the real nodes and the real
-//! worker state, with fakes of the platform, of executors and of the
-//! network between them. Nothing happens by itself; a test says what does.
+//! A simulated cell for fuzzing and model checking. It joins the real nodes
+//! and the real worker state with fakes of the platform, the executors and
+//! the network. Time passes and messages arrive only when a test says so.
 
 mod platform;
 
@@ -27,69 +27,76 @@
 
 use self::platform::Platform;
 
-/// The time since 1970 at which every test begins.
+/// The wall clock's time when the simulated clock is zero, in milliseconds
+/// since the Unix epoch.
 pub const EPOCH_WALL: Millis = 1_700_000_000_000;
-/// How often a node is told that time has passed.
+/// The interval of the nodes' tick events.
 const TICK: Millis = 50;
+/// The length of a member's lease.
 const LEASE: Millis = 3_000;
 
-/// A message on its way.
+/// A message in transit. The first VM is the sender, except in `Event`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Message {
-    /// A write, to the platform.
+    /// Writes a value to the platform.
     Write(VmId, Write),
-    /// A read of everything, to the platform.
+    /// Reads all values from the platform.
     Read(VmId),
-    /// To a node, from the platform or from a target that answers it.
+    /// Delivers an event to a node, from a caller, the platform, a target or
+    /// a peer.
     Event(VmId, Event),
-    /// To an executor: an epoch.
+    /// Presents an epoch to an executor and asks what it runs.
     Ask(VmId, TargetId, Epoch),
-    /// To an executor: a call, and when it was sent.
+    /// Sends a call to an executor, with the time of sending.
     Dispatch(VmId, CallId, TargetId, Epoch, Millis),
-    /// To a worker.
+    /// Sends a sync request to a worker.
     Sync(VmId, TargetId, SyncRequest),
-    /// From peer to peer: a call.
+    /// Forwards a call to a peer.
     Forward(VmId, CallId, VmId, Scope, Call),
-    /// From peer to peer: the end of a call.
+    /// Returns the outcome of a forwarded call to a peer.
     Ended(VmId, VmId, CallId, Outcome),
-    /// From peer to peer.
+    /// Sends a node's summary to a peer.
     Summary(VmId, VmId, Summary),
-    /// From peer to peer: what is known of the platform's values.
+    /// Sends the known values of the platform to a peer.
     Learned(VmId, VmId, Vec<StoredEntry>),
-    /// From peer to peer.
+    /// Hands a contract's idempotency keys over to a peer.
     Bequest(VmId, VmId, Scope, Epoch, KeySnapshot),
 }
 
-/// A node with its surroundings.
+/// A node and the simulated state of its VM.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Vm {
     pub node: Node,
     pub paused: bool,
-    /// Cut off from the platform.
+    /// Whether the VM is isolated from the platform.
     pub cut: bool,
-    /// The revision up to which the watch has told it; `None` if it has to
-    /// read first.
+    /// The revision up to which the watch has delivered changes; `None` if
+    /// the VM has to read all values first.
     watched: Option<Revision>,
+    /// Whether the VM has ever had a lease.
     lease: bool,
+    /// The time of the last lease renewal; zero forces the next one.
     renewed: Millis,
     draining: bool,
-    /// Revisions of the file that came into force, the last one only.
-    in_force: Revision,
+    /// The latest revision of the configuration that the node has applied.
+    config_revision: Revision,
 }
 
 /// A fake of an executor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Executor {
+    /// The highest epoch presented to the executor.
     pub highest: Epoch,
     pub slots: u32,
     pub running: BTreeMap<String, Run>,
     pub leaving: bool,
-    /// When it was told to leave.
+    /// When the executor started to leave.
     pub left_at: Option<Millis>,
+    /// Calls that arrived while all slots were in use.
     pub overcommitted: u32,
 }
 
-/// A call at an executor.
+/// A call that runs on an executor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Run {
     vm: VmId,
@@ -97,18 +104,18 @@
     ends: Millis,
 }
 
-/// A call as its caller knows it.
+/// The state of a call as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Asked {
+pub struct CallState {
     pub key: Option<CallKey>,
     pub answers: Vec<Outcome>,
-    /// How often the key had run when the caller asked.
+    /// How often the key had already run when the caller sent the call.
     pub ran_before: u32,
     pub entry: VmId,
     pub waiting: bool,
 }
 
-/// Everything.
+/// The state of the whole simulation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Cell {
     pub now: Millis,
@@ -116,31 +123,34 @@
     pub platform: Platform,
     pub executors: BTreeMap<TargetId, Executor>,
     pub workers: BTreeMap<TargetId, WorkerState>,
+    /// The VM list's current entries of targets.
     pub listed: BTreeMap<TargetId, ListedTarget>,
-    /// The list as the nodes see it.
+    /// The entries that the nodes read; updated once a second.
     pub list_seen: BTreeMap<TargetId, ListedTarget>,
+    /// Messages in transit, in the order they were sent.
     pub net: Vec<Message>,
-    pub asked: BTreeMap<CallId, Asked>,
-    /// Runs of calls with a key.
+    pub calls: BTreeMap<CallId, CallState>,
+    /// The number of runs of each call key.
     pub runs: BTreeMap<CallKey, u32>,
-    /// Pairs that can't talk, as VM and VM or VM and target.
+    /// Pairs that can't reach each other: two VMs, or a VM and a target.
     pub cuts: BTreeSet<(String, String)>,
-    /// Forwarded calls: who waits, for whose call.
+    /// Forwarded calls: the sender and its call, to the receiver and its
+    /// call.
     hops: BTreeMap<(VmId, CallId), (VmId, CallId)>,
     next_call: u64,
     next_vm: u64,
-    /// VMs whose messages to targets and peers are held up.
-    pub held: BTreeSet<VmId>,
-    /// The number of call contracts of a data centre.
+    /// VMs whose messages to targets and peers are delayed.
+    pub delayed: BTreeSet<VmId>,
+    /// The number of call contracts per data centre.
     pub call_scopes: u16,
     /// How long a call runs.
     pub run_ms: Millis,
-    /// What was seen to be wrong.
+    /// Violated invariants.
     pub faults: Vec<String>,
 }
 
 impl Cell {
-    /// A cell without VMs and targets, with this file in force.
+    /// Creates a cell without VMs and targets that uses this configuration.
     pub fn new(file: &str) -> Cell {
         let mut platform = Platform::default();
         platform.put(Key::Config, Value::Config(file.to_string()));
@@ -153,13 +163,13 @@
             listed: BTreeMap::new(),
             list_seen: BTreeMap::new(),
             net: Vec::new(),
-            asked: BTreeMap::new(),
+            calls: BTreeMap::new(),
             runs: BTreeMap::new(),
             cuts: BTreeSet::new(),
             hops: BTreeMap::new(),
             next_call: 0,
             next_vm: 0,
-            held: BTreeSet::new(),
+            delayed: BTreeSet::new(),
             call_scopes: 1,
             run_ms: 100,
             faults: Vec::new(),
@@ -170,7 +180,7 @@
         Now { mono: self.now, wall: EPOCH_WALL + self.now }
     }
 
-    /// Starts a VM and returns its name.
+    /// Starts a VM and returns its id.
     pub fn start(&mut self, name: &str, dc: &str) -> VmId {
         self.next_vm += 1;
         let id = VmId(format!("{name}.{}", self.next_vm));
@@ -184,7 +194,7 @@
             lease: false,
             renewed: 0,
             draining: false,
-            in_force: 0,
+            config_revision: 0,
         };
         self.vms.insert(id.clone(), vm);
         id
@@ -225,7 +235,7 @@
         self.listed.insert(id, listed);
     }
 
-    /// Ends a VM at once.
+    /// Ends a VM abruptly.
     pub fn kill(&mut self, vm: &VmId) {
         self.vms.remove(vm);
         self.net.retain(|message| match message {
@@ -245,10 +255,10 @@
                 self.net.push(Message::Event(to, event));
             }
         }
-        for asked in self.asked.values_mut() {
-            if asked.entry == *vm && asked.waiting {
+        for state in self.calls.values_mut() {
+            if state.entry == *vm && state.waiting {
                 // The caller's connection is closed.
-                asked.waiting = false;
+                state.waiting = false;
             }
         }
     }
@@ -258,7 +268,7 @@
         self.cuts.contains(&(a.to_string(), b.to_string()))
     }
 
-    /// Cuts two parties off from each other, or heals that.
+    /// Breaks the link between two VMs, or a VM and a target, or repairs it.
     pub fn cut(&mut self, a: &str, b: &str, cut: bool) {
         let (a, b) = if a < b { (a, b) } else { (b, a) };
         let pair = (a.to_string(), b.to_string());
@@ -302,7 +312,7 @@
         }
     }
 
-    /// A key that is made now.
+    /// Creates a call key with the current time.
     pub fn new_key(&mut self, caller: &str) -> CallKey {
         self.next_call += 1;
         let stamp = u128::from(EPOCH_WALL + self.now) << 80;
@@ -310,7 +320,7 @@
         CallKey { uuid, caller: caller.into() }
     }
 
-    /// A caller asks an entry VM.
+    /// Sends a call to an entry VM.
     pub fn call(
         &mut self,
         entry: &VmId,
@@ -321,14 +331,14 @@
         self.next_call += 1;
         let id = CallId(self.next_call);
         let ran = key.as_ref().and_then(|key| self.runs.get(key));
-        let asked = Asked {
+        let state = CallState {
             ran_before: ran.copied().unwrap_or(0),
             key: key.clone(),
             answers: Vec::new(),
             entry: entry.clone(),
             waiting: true,
         };
-        self.asked.insert(id, asked);
+        self.calls.insert(id, state);
         let call = Call {
             caller: caller.into(),
             class: class.into(),
@@ -340,8 +350,8 @@
         id
     }
 
-    /// Tells a node something and takes note of what it wants done.
-    pub fn tell(&mut self, vm: &VmId, event: Event) {
+    /// Passes an event to a node and performs the resulting actions.
+    pub fn handle_event(&mut self, vm: &VmId, event: Event) {
         let now = self.clocks();
         let Some(state) = self.vms.get_mut(vm) else { return };
         let actions = state.node.handle(now, event);
@@ -386,10 +396,12 @@
             }
             Action::ConfigApplied(revision) => {
                 let Some(state) = self.vms.get_mut(vm) else { return };
-                if revision <= state.in_force {
-                    self.faults.push(format!("{vm} went back to {revision}"));
+                if revision <= state.config_revision {
+                    self.faults.push(format!(
+                        "{vm} went back to configuration {revision}"
+                    ));
                 }
-                state.in_force = revision;
+                state.config_revision = revision;
             }
         }
     }
@@ -409,12 +421,12 @@
     }
 
     fn answer(&mut self, vm: &VmId, id: CallId, outcome: Outcome) {
-        if let Some(asked) = self.asked.get_mut(&id) {
-            if asked.entry == *vm {
-                asked.waiting = false;
-                asked.answers.push(outcome.clone());
-                let asked = asked.clone();
-                self.check_answer(id, &asked, &outcome);
+        if let Some(state) = self.calls.get_mut(&id) {
+            if state.entry == *vm {
+                state.waiting = false;
+                state.answers.push(outcome.clone());
+                let state = state.clone();
+                self.check_answer(id, &state, &outcome);
                 return;
             }
         }
@@ -428,16 +440,21 @@
         }
     }
 
-    fn check_answer(&mut self, id: CallId, asked: &Asked, outcome: &Outcome) {
-        if asked.answers.len() > 1 {
+    fn check_answer(
+        &mut self,
+        id: CallId,
+        state: &CallState,
+        outcome: &Outcome,
+    ) {
+        if state.answers.len() > 1 {
             self.faults.push(format!("{id:?} was answered twice"));
         }
         let not_run = matches!(outcome, Outcome::NotRun { .. });
-        if not_run && asked.ran_before > 0 {
+        if not_run && state.ran_before > 0 {
             self.faults.push(format!("{id:?} ran, but {outcome:?}"));
         }
         if *outcome == Outcome::Answered {
-            let key = asked.key.as_ref();
+            let key = state.key.as_ref();
             let ran = key.is_none_or(|key| self.runs.contains_key(key));
             if !ran {
                 self.faults.push(format!("{id:?} answered without a run"));
@@ -445,16 +462,16 @@
         }
     }
 
-    /// Whether a message can be delivered now. Those to a paused VM wait.
+    /// Whether the receiver of a message is not paused.
     pub fn deliverable(&self, message: &Message) -> bool {
-        let awake = |vm: &VmId| self.vms.get(vm).is_none_or(|vm| !vm.paused);
+        let running = |vm: &VmId| self.vms.get(vm).is_none_or(|vm| !vm.paused);
         match message {
-            Message::Event(to, _) => awake(to),
-            Message::Forward(_, _, to, ..) => awake(to),
+            Message::Event(to, _) => running(to),
+            Message::Forward(_, _, to, ..) => running(to),
             Message::Ended(_, to, ..)
             | Message::Summary(_, to, _)
             | Message::Learned(_, to, _)
-            | Message::Bequest(_, to, ..) => awake(to),
+            | Message::Bequest(_, to, ..) => running(to),
             _ => true,
         }
     }
@@ -462,12 +479,12 @@
     /// Delivers one message.
     pub fn deliver(&mut self, index: usize) {
         let message = self.net.remove(index);
-        self.hand_over(message);
+        self.dispatch_message(message);
     }
 
-    fn hand_over(&mut self, message: Message) {
+    fn dispatch_message(&mut self, message: Message) {
         match message {
-            Message::Event(to, event) => self.tell(&to, event),
+            Message::Event(to, event) => self.handle_event(&to, event),
             Message::Write(vm, write) => self.write(vm, write),
             Message::Read(vm) => self.read(vm),
             Message::Ask(vm, target, epoch) => self.ask(vm, target, epoch),
@@ -486,32 +503,31 @@
             }
             Message::Ended(from, to, id, outcome) => {
                 if self.linked(&from, &to) {
-                    self.tell(&to, Event::HopEnded(id, outcome));
+                    self.handle_event(&to, Event::HopEnded(id, outcome));
                 } else {
                     let event = Event::HopFailed { id, sent: true };
-                    self.tell(&to, event);
+                    self.handle_event(&to, event);
                 }
             }
             Message::Summary(from, to, summary) => {
                 if !self.is_cut(from.as_str(), to.as_str()) {
-                    self.tell(&to, Event::SummaryReceived(summary));
+                    self.handle_event(&to, Event::SummaryReceived(summary));
                 }
             }
             Message::Learned(from, to, stored) => {
                 if !self.is_cut(from.as_str(), to.as_str()) {
-                    self.tell(&to, Event::ValuesReceived(stored));
+                    self.handle_event(&to, Event::ValuesReceived(stored));
                 }
             }
             Message::Bequest(from, to, scope, epoch, memory) => {
-                let taken = self.linked(&from, &to);
-                if taken {
-                    self.tell(
+                let acknowledged = self.linked(&from, &to);
+                if acknowledged {
+                    self.handle_event(
                         &to,
                         Event::HandoverReceived { scope, epoch, memory },
                     );
                 }
-                let event =
-                    Event::HandoverEnded { scope, acknowledged: taken };
+                let event = Event::HandoverEnded { scope, acknowledged };
                 self.net.push(Message::Event(from, event));
             }
         }
@@ -535,7 +551,7 @@
 
     fn read(&mut self, vm: VmId) {
         if !self.platform_answers(&vm) {
-            // The daemon tries until it succeeds.
+            // The daemon retries until it succeeds.
             if self.vms.contains_key(&vm) {
                 self.net.push(Message::Read(vm));
             }
@@ -595,8 +611,9 @@
         self.executors.get(target).map_or(0, |e| e.running.len())
     }
 
-    /// A call was taken that was sent at this time. How long it was on its
-    /// way is the network's affair.
+    /// Checks that an executor that accepted a call was not leaving for too
+    /// long. The time of sending counts, since the sender can't control the
+    /// time in transit.
     fn check_leaving(&mut self, target: &TargetId, sent: Millis) {
         let Some(executor) = self.executors.get(target) else { return };
         let Some(left) = executor.left_at else { return };
@@ -606,7 +623,7 @@
         }
     }
 
-    /// The key of a call, wherever its caller asked.
+    /// The key of a call, also if peers forwarded it.
     fn key_of(&self, vm: &VmId, id: CallId) -> Option<CallKey> {
         let mut at = (vm.clone(), id);
         while let Some(((from, from_id), _)) =
@@ -614,7 +631,7 @@
         {
             at = (from.clone(), *from_id);
         }
-        self.asked.get(&at.1)?.key.clone()
+        self.calls.get(&at.1)?.key.clone()
     }
 
     fn sync(&mut self, vm: VmId, target: TargetId, request: SyncRequest) {
@@ -649,32 +666,32 @@
         }
         self.next_call += 1;
         let remote = CallId(self.next_call);
-        let asked = Asked {
+        let state = CallState {
             key: call.key.clone(),
             answers: Vec::new(),
             ran_before: 0,
             entry: VmId::default(),
             waiting: false,
         };
-        self.asked.insert(remote, asked);
+        self.calls.insert(remote, state);
         self.hops.insert((from, id), (to.clone(), remote));
-        self.tell(&to, Event::Hop(remote, scope, call));
+        self.handle_event(&to, Event::Hop(remote, scope, call));
     }
 
-    /// Lets time pass for everything that has a clock of its own.
-    pub fn pass(&mut self, span: Millis) {
+    /// Advances the clock. Leases lapse, and calls and workers make progress.
+    pub fn advance_clock(&mut self, span: Millis) {
         self.now += span;
         self.platform.expire(self.now);
         let mut ended = Vec::new();
         for (target, executor) in &mut self.executors {
             let now = self.now;
-            let over: Vec<String> = executor
+            let ended_ids: Vec<String> = executor
                 .running
                 .iter()
                 .filter(|(_, run)| run.ends <= now)
                 .map(|(id, _)| id.clone())
                 .collect();
-            for id in over {
+            for id in ended_ids {
                 if let Some(run) = executor.running.remove(&id) {
                     ended.push((target.clone(), run));
                 }
@@ -691,7 +708,7 @@
         }
     }
 
-    /// Lets a VM do what its daemon does from time to time.
+    /// Performs a daemon's periodic work: lease renewal, watch and tick.
     pub fn housekeep(&mut self, vm: &VmId) {
         let Some(state) = self.vms.get(vm) else { return };
         if state.paused {
@@ -701,10 +718,11 @@
             self.renew(vm);
             self.watch(vm);
         }
-        self.tell(vm, Event::Tick);
+        self.handle_event(vm, Event::Tick);
     }
 
-    /// What a daemon does every second.
+    /// Performs a daemon's work of every second: it sends its summary to the
+    /// peers and reads the VM list.
     pub fn gossip(&mut self, vm: &VmId) {
         let now = self.clocks();
         let Some(state) = self.vms.get(vm) else { return };
@@ -719,7 +737,7 @@
             self.net.push(message);
         }
         let listed = self.list_seen.values().cloned().collect();
-        self.tell(vm, Event::Listed(listed));
+        self.handle_event(vm, Event::Listed(listed));
     }
 
     fn renew(&mut self, vm: &VmId) {
@@ -740,13 +758,13 @@
         state.lease = true;
         let alive = self.platform.renew(vm, now + LEASE);
         if had_lease && !alive {
-            self.tell(vm, Event::LeaseLost);
+            self.handle_event(vm, Event::LeaseLost);
         }
         self.platform.put_member(dc, vm.clone(), member, now + LEASE);
-        self.tell(vm, Event::Renewed { sent_at: now });
+        self.handle_event(vm, Event::Renewed { sent_at: now });
     }
 
-    /// Brings a VM what the platform's watch has for it.
+    /// Delivers the platform's pending changes to a VM.
     pub fn watch(&mut self, vm: &VmId) {
         let revision = self.platform.revision;
         let Some(state) = self.vms.get_mut(vm) else { return };
@@ -759,15 +777,16 @@
             Some(_) => return,
         };
         state.watched = Some(revision);
-        self.tell(vm, event);
+        self.handle_event(vm, event);
     }
 
-    /// Lets time pass in small steps, in which every message is delivered
-    /// in an order that `pick` chooses.
+    /// Advances time tick by tick and delivers all messages of a tick. Of `n`
+    /// deliverable messages, the one at index `pick(n)` is next. Stops at a
+    /// violated invariant.
     pub fn run(&mut self, span: Millis, mut pick: impl FnMut(usize) -> usize) {
         let until = self.now + span;
         while self.now < until {
-            self.pass(TICK);
+            self.advance_clock(TICK);
             let vms: Vec<VmId> = self.vms.keys().cloned().collect();
             for vm in &vms {
                 self.housekeep(vm);
@@ -787,8 +806,8 @@
     }
 
     fn deliver_all(&mut self, pick: &mut impl FnMut(usize) -> usize) {
-        // A read that can't succeed now is put back, so the rounds are
-        // bounded.
+        // A read that can't succeed now is sent again, so the number of
+        // deliveries is bounded.
         for _ in 0..MAX_DELIVERIES {
             let ready: Vec<usize> = (0..self.net.len())
                 .filter(|i| self.deliverable(&self.net[*i]))
@@ -802,12 +821,14 @@
         }
     }
 
-    /// The oldest message that can be delivered.
+    /// The index of the oldest message that can be delivered.
     pub fn next_useful(&self) -> Option<usize> {
         let mut all = self.net.iter();
         all.position(|m| self.deliverable(m) && self.useful(m))
     }
 
+    /// Whether delivering a message has an effect: reads that would fail and
+    /// messages of delayed VMs wait.
     pub fn useful(&self, message: &Message) -> bool {
         match message {
             Message::Read(vm) => {
@@ -817,12 +838,12 @@
             | Message::Dispatch(vm, ..)
             | Message::Sync(vm, ..)
             | Message::Forward(vm, ..)
-            | Message::Bequest(vm, ..) => !self.held.contains(vm),
+            | Message::Bequest(vm, ..) => !self.delayed.contains(vm),
             _ => true,
         }
     }
 
-    /// Checks what must hold at every moment.
+    /// Checks the invariants of targets and tasks.
     pub fn check(&mut self) {
         let mut places: BTreeMap<&TaskId, &TargetId> = BTreeMap::new();
         for (target, worker) in &self.workers {
@@ -843,12 +864,12 @@
         }
     }
 
-    /// The number of tasks that run.
+    /// The number of running tasks.
     pub fn tasks_running(&self) -> usize {
         self.workers.values().map(|w| w.running().count()).sum()
     }
 
-    /// The VM that holds a contract, as the platform has it.
+    /// The holder of a contract according to the platform.
     pub fn holder(&self, dc: &str, scope: Scope) -> Option<VmId> {
         let key = Key::Contracts(dc.into());
         let (_, stored) = self.platform.read();
@@ -857,23 +878,24 @@
         map.epoch(scope).map(|epoch| epoch.holder.clone())
     }
 
-    /// Runs for a while, delivering messages in the order they were sent.
+    /// Runs for a time and delivers messages in the order they were sent.
     pub fn run_in_order(&mut self, span: Millis) {
         self.run(span, |_| 0);
     }
 
     /// The last answer to a call.
     pub fn answer_to(&self, id: CallId) -> Option<&Outcome> {
-        self.asked[&id].answers.last()
+        self.calls[&id].answers.last()
     }
 
-    /// The calls whose callers still wait.
+    /// The calls whose callers still wait for an answer.
     pub fn waiting(&self) -> Vec<CallId> {
-        let waits = self.asked.iter().filter(|(_, asked)| asked.waiting);
+        let waits = self.calls.iter().filter(|(_, state)| state.waiting);
         waits.map(|(id, _)| *id).collect()
     }
 
-    /// Puts a file into force, as an operator would.
+    /// Applies a configuration, as an operator does. Returns whether it was
+    /// accepted.
     pub fn apply(&mut self, file: &str) -> bool {
         if self.platform.down || Config::parse(file).is_err() {
             return false;
@@ -882,10 +904,10 @@
         true
     }
 
-    /// Ends every fault.
+    /// Ends all outages, broken links, delays and pauses.
     pub fn heal(&mut self) {
         self.cuts.clear();
-        self.held.clear();
+        self.delayed.clear();
         self.platform.set_down(false, self.now);
         self.platform.lose_answers = 0;
         for vm in self.vms.values_mut() {
@@ -898,8 +920,9 @@
     }
 }
 
-/// A leaving target may be given work for this long.
+/// How long a leaving target may still get calls.
 const GRACE: Millis = 4_000;
+/// The most messages that are delivered in one tick.
 const MAX_DELIVERIES: usize = 100_000;
 
 impl Executor {
--- a/tests/cell/platform.rs
+++ b/tests/cell/platform.rs
@@ -1,4 +1,4 @@
-//! A fake of the platform: values with revisions, and leases of members.
+//! A fake of the platform: values with revisions, and members' leases.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,19 @@
     Key, Member, StoredEntry, Value, Write, WriteResult,
 };
 
-/// The platform.
+/// The state of the fake platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Platform {
     pub revision: Revision,
     values: BTreeMap<Key, (Revision, Value)>,
-    /// When the key was deleted last.
+    /// The revision of each key's last deletion.
     deleted: BTreeMap<Key, Revision>,
+    /// The expiry of each member's lease.
     leases: BTreeMap<VmId, Millis>,
     pub down: bool,
-    /// This many writes are made without an answer.
+    /// The number of coming writes whose answers are lost.
     pub lose_answers: u32,
-    /// Leases lapse during an outage.
+    /// Whether leases lapse during an outage.
     pub lapse_when_down: bool,
 }
 
@@ -60,7 +61,7 @@
         (self.revision, stored.collect())
     }
 
-    /// What was changed after a revision, as a watch tells it.
+    /// The changes after a revision, as a watch reports them.
     pub fn since(&self, seen: Revision) -> Event {
         let (revision, stored) = self.read();
         let new = |stored: &StoredEntry| stored.revision > seen;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Renews a member's lease. Returns whether it still stood.
+    /// Renews a member's lease. Returns whether the member had one.
     pub fn renew(&mut self, vm: &VmId, until: Millis) -> bool {
         self.leases.insert(vm.clone(), until).is_some()
     }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Ends a member's lease.
+    /// Ends a member's lease and deletes its entry.
     pub fn lapse(&mut self, vm: &VmId) {
         self.leases.remove(vm);
         let entry = |key: &&Key| matches!(key, Key::Member(_, v) if v == vm);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,7 +1,7 @@
-//! One failure at a time, each brought about step by step in a small cell.
+//! Tests of single failures in a simulated cell, each reproduced step by step.
 //!
-//! Every test is named after what must hold. Most were written to fail when
-//! one safeguard is taken out; docs/PROOFS.md says which.
+//! Each test is named after the property it checks. Most fail when one
+//! safeguard is removed; docs/PROOFS.md lists which.
 
 use puffinknot_core::calls::CallId;
 use puffinknot_core::contract::Scope;
@@ -16,7 +16,7 @@
 const DC: &str = "goya";
 const CALLS: Scope = Scope::Calls(0);
 
-/// A cell of one data centre that has come to rest.
+/// Creates a cell of one data centre and runs it until it is settled.
 fn cell(vms: usize, executors: usize, workers: usize) -> (Cell, Vec<VmId>) {
     let mut cell = Cell::new(FILE);
     for n in 0..executors {
@@ -39,13 +39,13 @@
     vms.iter().find(|vm| *vm != than).cloned().expect("another VM")
 }
 
-fn vent(cell: &mut Cell, entry: &VmId) -> CallId {
+fn send_vent_check(cell: &mut Cell, entry: &VmId) -> CallId {
     let key = cell.new_key("coop");
     cell.call(entry, "coop", "vent-check", Some(key))
 }
 
 fn resend(cell: &mut Cell, entry: &VmId, of: CallId) -> CallId {
-    let key = cell.asked[&of].key.clone();
+    let key = cell.calls[&of].key.clone();
     cell.call(entry, "coop", "vent-check", key)
 }
 
@@ -54,7 +54,7 @@
 }
 
 fn runs(cell: &Cell, id: CallId) -> u32 {
-    let key = cell.asked[&id].key.as_ref().expect("a key");
+    let key = cell.calls[&id].key.as_ref().expect("a key");
     cell.runs.get(key).copied().unwrap_or(0)
 }
 
@@ -72,7 +72,7 @@
     let (mut cell, vms) = cell(2, 1, 0);
     let holder = cell.holder(DC, CALLS).expect("a holder");
     let entry = other(&vms, &holder);
-    let id = vent(&mut cell, &entry);
+    let id = send_vent_check(&mut cell, &entry);
     cell.run_in_order(1_000);
     assert_eq!(cell.answer_to(id), Some(&Outcome::Answered));
     assert_eq!(runs(&cell, id), 1);
@@ -83,17 +83,17 @@
 fn a_slot_is_counted_until_the_late_answer_arrives() {
     let (mut cell, vms) = cell(1, 1, 0);
     cell.run_ms = 5_000;
-    let late = vent(&mut cell, &vms[0]);
-    vent(&mut cell, &vms[0]);
+    let late = send_vent_check(&mut cell, &vms[0]);
+    send_vent_check(&mut cell, &vms[0]);
     cell.run_in_order(2_500);
     assert_eq!(reason(&cell, late), Some(Reason::LateAnswer));
-    let third = vent(&mut cell, &vms[0]);
+    let third = send_vent_check(&mut cell, &vms[0]);
     cell.run_in_order(500);
     assert_eq!(reason(&cell, third), Some(Reason::NoSlot));
     cell.run_in_order(5_000);
-    let fourth = vent(&mut cell, &vms[0]);
+    let fourth = send_vent_check(&mut cell, &vms[0]);
     cell.run_in_order(100);
-    assert_eq!(cell.asked[&fourth].answers, []);
+    assert_eq!(cell.calls[&fourth].answers, []);
     no_faults(&cell);
 }
 
@@ -101,14 +101,14 @@
 fn a_new_holder_counts_what_still_runs() {
     let (mut cell, vms) = cell(2, 1, 0);
     let holder = cell.holder(DC, CALLS).expect("a holder");
-    let heir = other(&vms, &holder);
+    let successor = other(&vms, &holder);
     cell.run_ms = 20_000;
-    vent(&mut cell, &holder);
-    vent(&mut cell, &holder);
+    send_vent_check(&mut cell, &holder);
+    send_vent_check(&mut cell, &holder);
     cell.run_in_order(500);
     cell.kill(&holder);
     cell.run_in_order(8_000);
-    let id = vent(&mut cell, &heir);
+    let id = send_vent_check(&mut cell, &successor);
     cell.run_in_order(500);
     assert_eq!(reason(&cell, id), Some(Reason::NoSlot));
     no_faults(&cell);
@@ -118,17 +118,17 @@
 fn a_holder_that_wakes_is_refused_by_the_targets() {
     let (mut cell, vms) = cell(2, 1, 0);
     let holder = cell.holder(DC, CALLS).expect("a holder");
-    let heir = other(&vms, &holder);
-    // The call has been sent, but is held up on its way.
-    cell.held.insert(holder.clone());
-    let id = vent(&mut cell, &holder);
+    let successor = other(&vms, &holder);
+    // The call has been sent, but is delayed in transit.
+    cell.delayed.insert(holder.clone());
+    let id = send_vent_check(&mut cell, &holder);
     cell.run_in_order(100);
     cell.pause(&holder, true);
     cell.run_in_order(10_000);
-    let later = vent(&mut cell, &heir);
+    let later = send_vent_check(&mut cell, &successor);
     cell.run_in_order(300);
     assert_eq!(cell.answer_to(later), Some(&Outcome::Answered));
-    cell.held.clear();
+    cell.delayed.clear();
     cell.pause(&holder, false);
     cell.run_in_order(1_000);
     assert_eq!(runs(&cell, id), 0, "the executor took a stale epoch");
@@ -139,19 +139,19 @@
 fn a_key_runs_once_though_one_executor_has_not_seen_the_new_home() {
     let (mut cell, vms) = cell(2, 2, 0);
     let home = cell.holder(DC, CALLS).expect("a home");
-    let heir = other(&vms, &home);
-    // The home is cut off from the platform and from its heir, and reaches
-    // one executor that the heir does not.
-    cell.cut(heir.as_str(), "x0", true);
+    let successor = other(&vms, &home);
+    // The home is isolated from the platform and from its successor. It
+    // reaches one executor that the successor does not.
+    cell.cut(successor.as_str(), "x0", true);
     cell.cut(home.as_str(), "x1", true);
-    cell.cut(home.as_str(), heir.as_str(), true);
+    cell.cut(home.as_str(), successor.as_str(), true);
     cell.cut_platform(&home, true);
     cell.run_in_order(10_000);
-    assert_eq!(cell.holder(DC, CALLS), Some(heir.clone()));
-    let id = vent(&mut cell, &home);
+    assert_eq!(cell.holder(DC, CALLS), Some(successor.clone()));
+    let id = send_vent_check(&mut cell, &home);
     cell.run_in_order(1_000);
     assert_eq!(runs(&cell, id), 1);
-    let again = resend(&mut cell, &heir, id);
+    let again = resend(&mut cell, &successor, id);
     cell.run_in_order(1_000);
     assert_eq!(reason(&cell, again), Some(Reason::BeforeTenure));
     assert_eq!(runs(&cell, id), 1);
@@ -162,16 +162,16 @@
 fn a_superseded_home_does_not_say_not_run() {
     let (mut cell, vms) = cell(2, 2, 0);
     let home = cell.holder(DC, CALLS).expect("a home");
-    let heir = other(&vms, &home);
-    cell.cut(home.as_str(), heir.as_str(), true);
+    let successor = other(&vms, &home);
+    cell.cut(home.as_str(), successor.as_str(), true);
     cell.cut(home.as_str(), "x0", true);
     cell.cut(home.as_str(), "x1", true);
     cell.cut_platform(&home, true);
     cell.run_in_order(10_000);
-    let id = vent(&mut cell, &heir);
+    let id = send_vent_check(&mut cell, &successor);
     cell.run_in_order(1_000);
     assert_eq!(cell.answer_to(id), Some(&Outcome::Answered));
-    // The old home has no slot for it, but it has run.
+    // The old home has no slot for the call, but the call has run.
     let again = resend(&mut cell, &home, id);
     cell.run_in_order(1_000);
     let answer = cell.answer_to(again).expect("an answer");
@@ -183,7 +183,7 @@
 fn a_call_with_a_key_is_not_sent_again_after_a_lost_connection() {
     let (mut cell, vms) = cell(1, 2, 0);
     cell.run_ms = 500;
-    let id = vent(&mut cell, &vms[0]);
+    let id = send_vent_check(&mut cell, &vms[0]);
     cell.run_in_order(200);
     cell.cut(vms[0].as_str(), "x0", true);
     cell.cut(vms[0].as_str(), "x1", true);
@@ -216,16 +216,17 @@
 fn keys_are_passed_on_at_a_planned_stop() {
     let (mut cell, vms) = cell(2, 1, 0);
     let home = cell.holder(DC, CALLS).expect("a home");
-    let heir = other(&vms, &home);
-    let id = vent(&mut cell, &home);
+    let successor = other(&vms, &home);
+    let id = send_vent_check(&mut cell, &home);
     cell.run_in_order(500);
-    cell.tell(&home, Event::Drain);
+    cell.handle_event(&home, Event::Drain);
     cell.run_in_order(2_000);
-    assert_eq!(cell.holder(DC, CALLS), Some(heir.clone()));
+    assert_eq!(cell.holder(DC, CALLS), Some(successor.clone()));
     assert!(cell.vms[&home].node.is_drained());
-    let again = resend(&mut cell, &heir, id);
-    // A call stamped long before the handover is served at once.
-    let new = vent(&mut cell, &heir);
+    let again = resend(&mut cell, &successor, id);
+    // The new home serves a new call at once, without a waiting time after
+    // the handover.
+    let new = send_vent_check(&mut cell, &successor);
     cell.run_in_order(500);
     assert_eq!(reason(&cell, again), Some(Reason::AlreadyRan));
     assert_eq!(cell.answer_to(new), Some(&Outcome::Answered));
@@ -239,9 +240,9 @@
     cell.run_ms = 1_500;
     let ids: Vec<CallId> =
         (0..2).map(|_| cell.call(&home, "coop", "overnight", None)).collect();
-    let keyed = vent(&mut cell, &other(&vms, &home));
+    let keyed = send_vent_check(&mut cell, &other(&vms, &home));
     cell.run_in_order(300);
-    cell.tell(&home, Event::Drain);
+    cell.handle_event(&home, Event::Drain);
     assert!(!cell.vms[&home].node.is_drained());
     cell.run_in_order(12_000);
     for id in ids {
@@ -252,9 +253,9 @@
     no_faults(&cell);
 }
 
-/// The platform is down and three VMs disagree: a holder that hears nobody,
-/// and one that has claimed its contract alone. Returns the cell, the old
-/// holder, the one that claimed, and the third.
+/// Creates a cell in which the platform is down and three VMs disagree: the
+/// holder is isolated, and another VM has claimed its contract without the
+/// platform. Returns the cell, the old holder, the claimant and the third VM.
 fn claimed_alone() -> (Cell, VmId, VmId, VmId) {
     let (mut cell, vms) = cell(3, 1, 0);
     let home = cell.holder(DC, CALLS).expect("a home");
@@ -264,7 +265,7 @@
         if *vm != home {
             cell.cut(home.as_str(), vm.as_str(), true);
         }
-        // A watch that was cut has to read again.
+        // A VM whose watch was interrupted has to read again.
         cell.cut_platform(vm, false);
     }
     cell.cut(home.as_str(), "x0", true);
@@ -282,7 +283,7 @@
 #[test]
 fn a_contract_is_taken_over_while_the_platform_is_down() {
     let (mut cell, _, claimant, third) = claimed_alone();
-    let id = vent(&mut cell, &third);
+    let id = send_vent_check(&mut cell, &third);
     cell.run_in_order(1_000);
     assert_eq!(cell.answer_to(id), Some(&Outcome::Answered));
     let now = cell.now;
@@ -302,16 +303,16 @@
 #[test]
 fn keys_passed_on_by_a_home_that_was_overtaken_are_not_trusted() {
     let (mut cell, home, claimant, third) = claimed_alone();
-    let id = vent(&mut cell, &claimant);
+    let id = send_vent_check(&mut cell, &claimant);
     cell.run_in_order(1_000);
     assert_eq!(runs(&cell, id), 1);
     cell.kill(&claimant);
-    // The platform returns, and the old home, which knows of nothing, stops
-    // as planned and passes its keys on to the third.
+    // The platform is available again. The old home, which has not learned of
+    // the claim, drains and hands its keys over to the third VM.
     let now = cell.now;
     cell.platform.set_down(false, now);
     cell.cut(home.as_str(), third.as_str(), false);
-    cell.tell(&home, Event::Drain);
+    cell.handle_event(&home, Event::Drain);
     cell.run_in_order(10_000);
     let again = resend(&mut cell, &third, id);
     cell.run_in_order(1_000);
@@ -331,11 +332,12 @@
     no_faults(&cell);
 }
 
-/// Lets a VM read the VM list, and time pass without another reading.
+/// Passes a reading of the VM list to a VM and lets time pass without
+/// another reading.
 fn read_list(cell: &mut Cell, vm: &VmId, event: Event, span: u64) {
-    cell.tell(vm, event);
+    cell.handle_event(vm, event);
     for _ in 0..span / 100 {
-        cell.pass(100);
+        cell.advance_clock(100);
         cell.housekeep(vm);
         while let Some(index) = cell.next_useful() {
             cell.deliver(index);
@@ -344,14 +346,14 @@
     }
 }
 
-/// Whether a VM that places tasks counts a worker among its own.
+/// Whether a VM that places tasks knows a worker.
 fn knows(cell: &Cell, vm: &VmId, worker: &TargetId) -> bool {
     let placer = cell.vms[vm].node.placer().expect("a placer");
     placer.worker_ids().any(|id| id == worker)
 }
 
-/// Readings of the VM list that lack a worker end it, but not with a time in
-/// between in which there was none.
+/// A worker counts as gone after successive readings of the VM list lack it.
+/// Time in which there was no reading must not count.
 #[test]
 fn readings_with_a_gap_between_them_end_no_worker() {
     let (mut cell, vms) = cell(1, 0, 2);
@@ -368,8 +370,8 @@
     assert!(!knows(&cell, &vms[0], &worker));
 }
 
-/// Readings of the VM list lacked a worker, and had an entry that could not be
-/// read: the worker's own, or one that might have been. It was taken for gone.
+/// Guards against considering a worker gone when the VM list has an unreadable
+/// entry that is the worker's own, or may be since it has no id.
 #[test]
 fn a_worker_whose_entry_may_be_unread_is_not_gone() {
     let (mut cell, vms) = cell(1, 0, 2);
@@ -384,15 +386,15 @@
         }
         knows(cell, &vms[0], &worker)
     };
-    let nameless =
+    let unidentified =
         UnreadableEntries { unidentified: 1, ..UnreadableEntries::default() };
-    assert!(read(&mut cell, &nameless));
+    assert!(read(&mut cell, &unidentified));
     let named = [worker.clone()].into();
     assert!(read(
         &mut cell,
         &UnreadableEntries { targets: named, unidentified: 0 }
     ));
-    // A missing worker comes to its end though others can't be read.
+    // An unreadable entry of another target does not keep a missing worker.
     let named = [TargetId("other".into())].into();
     no_faults(&cell);
     assert!(!read(
@@ -408,8 +410,8 @@
     let before = place(&cell, "model/0");
     cell.kill(&holder);
     cell.run_in_order(20_000);
-    let heir = other(&vms, &holder);
-    assert_eq!(cell.holder(DC, Scope::Tasks), Some(heir));
+    let successor = other(&vms, &holder);
+    assert_eq!(cell.holder(DC, Scope::Tasks), Some(successor));
     assert_eq!(place(&cell, "model/0"), before);
     assert_eq!(cell.tasks_running(), 3);
     no_faults(&cell);
@@ -419,11 +421,12 @@
 fn a_superseded_holder_takes_no_worker_for_dead() {
     let (mut cell, vms) = cell(2, 0, 2);
     let holder = cell.holder(DC, Scope::Tasks).expect("a holder");
-    let heir = other(&vms, &holder);
-    // Each holder reaches one worker; the old one knows of nothing.
-    cell.cut(holder.as_str(), heir.as_str(), true);
+    let successor = other(&vms, &holder);
+    // Each holder reaches one worker; the old holder does not learn of the
+    // takeover.
+    cell.cut(holder.as_str(), successor.as_str(), true);
     cell.cut(holder.as_str(), "w0", true);
-    cell.cut(heir.as_str(), "w1", true);
+    cell.cut(successor.as_str(), "w1", true);
     cell.cut_platform(&holder, true);
     cell.run_in_order(60_000);
     no_faults(&cell);
@@ -437,21 +440,21 @@
 fn a_claim_made_alone_renews_nothing_before_every_worker_has_seen_it() {
     let (mut cell, vms) = cell(2, 0, 2);
     let holder = cell.holder(DC, Scope::Tasks).expect("a holder");
-    let heir = other(&vms, &holder);
+    let successor = other(&vms, &holder);
     let now = cell.now;
     cell.platform.set_down(true, now);
     for vm in &vms {
         cell.cut_platform(vm, false);
     }
-    cell.cut(holder.as_str(), heir.as_str(), true);
+    cell.cut(holder.as_str(), successor.as_str(), true);
     cell.cut(holder.as_str(), "w0", true);
-    cell.cut(heir.as_str(), "w1", true);
+    cell.cut(successor.as_str(), "w1", true);
     cell.run_in_order(14_000);
-    // The platform comes back for the old holder only, and confirms it.
-    cell.cut_platform(&heir, true);
+    // Only the old holder reaches the platform again, which confirms it.
+    cell.cut_platform(&successor, true);
     let now = cell.now;
     cell.platform.set_down(false, now);
-    cell.platform.renew(&heir, now + 600_000);
+    cell.platform.renew(&successor, now + 600_000);
     cell.run_in_order(60_000);
     no_faults(&cell);
     cell.heal();
@@ -464,14 +467,15 @@
 fn a_start_that_is_held_up_does_nothing_later() {
     let (mut cell, vms) = cell(2, 0, 2);
     let holder = cell.holder(DC, Scope::Tasks).expect("a holder");
-    // One more task is wanted; its start is held up on the way.
-    cell.held.insert(holder.clone());
+    // The configuration asks for one more task; its start is delayed in
+    // transit.
+    cell.delayed.insert(holder.clone());
     cell.apply(&FILE.replace("tasks = 2", "tasks = 3"));
     cell.run_in_order(1_000);
     cell.pause(&holder, true);
     cell.run_in_order(12_000);
     assert_ne!(cell.holder(DC, Scope::Tasks), Some(holder.clone()));
-    cell.held.clear();
+    cell.delayed.clear();
     cell.run_in_order(5_000);
     cell.pause(&holder, false);
     cell.run_in_order(5_000);
@@ -496,9 +500,9 @@
 fn no_task_is_restarted_while_it_may_run_on_a_worker_not_yet_seen() {
     let (mut cell, vms) = cell(2, 0, 2);
     let holder = cell.holder(DC, Scope::Tasks).expect("a holder");
-    let heir = other(&vms, &holder);
+    let successor = other(&vms, &holder);
     let worker = place(&cell, "api/0").expect("a place");
-    cell.cut(heir.as_str(), worker.as_str(), true);
+    cell.cut(successor.as_str(), worker.as_str(), true);
     cell.kill(&holder);
     cell.run_in_order(20_000);
     no_faults(&cell);
@@ -512,7 +516,7 @@
 fn a_late_start_of_a_former_holder_is_refused_by_the_worker() {
     let (mut cell, _) = cell(2, 0, 3);
     let holder = cell.holder(DC, Scope::Tasks).expect("a holder");
-    cell.held.insert(holder.clone());
+    cell.delayed.insert(holder.clone());
     cell.apply(&FILE.replace("tasks = 2", "tasks = 3"));
     cell.run_in_order(500);
     let start = cell.net.iter().find_map(|message| match message {
@@ -522,14 +526,14 @@
         _ => None,
     });
     let worker = start.expect("a start on its way");
-    // The new holder has to choose the other worker.
+    // The new holder has to choose another worker.
     let listed = cell.listed.get_mut(&worker).expect("a listed worker");
     listed.leaving = true;
     cell.pause(&holder, true);
     cell.platform.lapse(&holder);
     cell.run_in_order(6_000);
     assert_ne!(place(&cell, "api/2"), None);
-    cell.held.clear();
+    cell.delayed.clear();
     cell.run_in_order(1_000);
     no_faults(&cell);
 }
@@ -538,15 +542,15 @@
 fn a_slot_stays_counted_when_the_connection_is_lost() {
     let (mut cell, vms) = cell(1, 1, 0);
     cell.run_ms = 5_000;
-    vent(&mut cell, &vms[0]);
-    vent(&mut cell, &vms[0]);
+    send_vent_check(&mut cell, &vms[0]);
+    send_vent_check(&mut cell, &vms[0]);
     cell.run_in_order(200);
     cell.cut(vms[0].as_str(), "x0", true);
     cell.cuts.clear();
     while let Some(index) = cell.next_useful() {
         cell.deliver(index);
     }
-    let third = vent(&mut cell, &vms[0]);
+    let third = send_vent_check(&mut cell, &vms[0]);
     while let Some(index) = cell.next_useful() {
         cell.deliver(index);
     }
@@ -566,9 +570,9 @@
         value: Value::Config(FILE.to_string()),
         revision: before - 1,
     };
-    cell.tell(&vms[0], Event::ValuesReceived(vec![old.clone()]));
+    cell.handle_event(&vms[0], Event::ValuesReceived(vec![old.clone()]));
     let stored = vec![old];
-    cell.tell(&vms[0], Event::Snapshot { revision: before, stored });
+    cell.handle_event(&vms[0], Event::Snapshot { revision: before, stored });
     let after = cell.vms[&vms[0]].node.view().config_revision();
     assert_eq!(after, before);
     no_faults(&cell);
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -1,10 +1,11 @@
-//! Stateful fuzzing of the real nodes in a small cell.
+//! Stateful fuzzing of the real nodes in a simulated cell.
 //!
-//! The oracle is in `cell`: no target over its limits, no task in two
-//! places, no key twice, no false refusal, no revision back, no new work for
-//! a target that is leaving. At the end of each sequence every fault is
-//! healed, and then every call has to end, every contract to be held and
-//! settled, and every task to run.
+//! The oracle in `cell` checks that no target is overcommitted, no task runs
+//! in two places, no key runs twice, no call that ran is answered as not run,
+//! no node returns to an older configuration, and no leaving executor gets new
+//! calls. At the end of each sequence all faults are repaired; then each call
+//! has to end, each contract has to be held and settled, and each task has to
+//! run.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Runner, RngAlgorithm, TestRng};
@@ -21,7 +22,7 @@
 const VMS: usize = 3;
 const TASKS: usize = 5;
 
-/// One thing that happens.
+/// A step of a sequence: a fault, its repair, load, or time.
 #[derive(Clone, Debug)]
 pub enum Step {
     Run(Millis),
@@ -37,12 +38,12 @@
     CutVms(usize, usize),
     CutTarget(usize, usize),
     HealLinks,
-    Leave(usize),
-    Gone(usize),
+    StartLeaving(usize),
+    RemoveTarget(usize),
     Apply(bool),
     Drain(usize),
-    Hold(usize),
-    Release,
+    DelayMessages(usize),
+    ReleaseMessages,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -74,16 +75,16 @@
         2 => (vm.clone(), target.clone())
             .prop_map(|(a, b)| Step::CutTarget(a, b)),
         2 => Just(Step::HealLinks),
-        1 => target.clone().prop_map(Step::Leave),
-        1 => target.prop_map(Step::Gone),
+        1 => target.clone().prop_map(Step::StartLeaving),
+        1 => target.prop_map(Step::RemoveTarget),
         1 => any::<bool>().prop_map(Step::Apply),
         1 => vm.clone().prop_map(Step::Drain),
-        3 => vm.prop_map(Step::Hold),
-        2 => Just(Step::Release),
+        3 => vm.prop_map(Step::DelayMessages),
+        2 => Just(Step::ReleaseMessages),
     ]
 }
 
-/// The reference has no state: the oracle checks what must always hold.
+/// The reference model has no state, since the oracle checks invariants only.
 pub struct Reference;
 
 impl ReferenceStateMachine for Reference {
@@ -104,11 +105,12 @@
 /// The cell under test.
 pub struct Fuzzed {
     cell: Cell,
-    /// The running VM at each place, if there is one.
+    /// The running VM at each place, if any.
     places: Vec<Option<VmId>>,
     keys: Vec<IdempotencyKey>,
-    /// Chooses the order of messages; a fixed sequence.
-    lot: u64,
+    /// State of the random generator that chooses the order of messages. It
+    /// starts from a fixed value.
+    rng_state: u64,
 }
 
 impl Fuzzed {
@@ -121,8 +123,12 @@
                 cell.add_worker(&format!("{dc}-worker-{n}"), dc, 4_000);
             }
         }
-        let mut fuzzed =
-            Fuzzed { cell, places: Vec::new(), keys: Vec::new(), lot: 1 };
+        let mut fuzzed = Fuzzed {
+            cell,
+            places: Vec::new(),
+            keys: Vec::new(),
+            rng_state: 1,
+        };
         for n in 0..VMS * DCS.len() {
             let vm = fuzzed.start(n);
             fuzzed.places.push(Some(vm));
@@ -137,12 +143,13 @@
     }
 
     fn run(&mut self, span: Millis) {
-        let mut lot = self.lot;
+        let mut rng_state = self.rng_state;
         self.cell.run(span, |n| {
-            lot = lot.wrapping_mul(6364136223846793005).wrapping_add(1);
-            (lot >> 33) as usize % n
+            rng_state =
+                rng_state.wrapping_mul(6364136223846793005).wrapping_add(1);
+            (rng_state >> 33) as usize % n
         });
-        self.lot = lot;
+        self.rng_state = rng_state;
     }
 
     fn vm(&self, place: usize) -> Option<VmId> {
@@ -194,13 +201,15 @@
                     self.places[place] = Some(vm);
                 }
             }
-            Step::Pause(n) => self.with(n, |cell, vm| cell.pause(vm, true)),
-            Step::Resume(n) => self.with(n, |cell, vm| cell.pause(vm, false)),
+            Step::Pause(n) => self.with_vm(n, |cell, vm| cell.pause(vm, true)),
+            Step::Resume(n) => {
+                self.with_vm(n, |cell, vm| cell.pause(vm, false))
+            }
             Step::CutPlatform(n) => {
-                self.with(n, |cell, vm| cell.cut_platform(vm, true));
+                self.with_vm(n, |cell, vm| cell.cut_platform(vm, true));
             }
             Step::HealPlatform(n) => {
-                self.with(n, |cell, vm| cell.cut_platform(vm, false));
+                self.with_vm(n, |cell, vm| cell.cut_platform(vm, false));
             }
             Step::Platform { down, lapse } => {
                 let now = self.cell.now;
@@ -219,13 +228,13 @@
             }
             Step::CutTarget(n, target) => {
                 let target = self.target(target);
-                self.with(n, |cell, vm| {
+                self.with_vm(n, |cell, vm| {
                     cell.cut(vm.as_str(), target.as_str(), true);
                 });
             }
             Step::HealLinks => self.cell.cuts.clear(),
-            Step::Leave(n) => self.leave(n),
-            Step::Gone(n) => self.gone(n),
+            Step::StartLeaving(n) => self.start_leaving(n),
+            Step::RemoveTarget(n) => self.remove_target(n),
             Step::Apply(more) => {
                 let file = if more {
                     FILE.replace("tasks = 2", "tasks = 3")
@@ -235,27 +244,28 @@
                 self.cell.apply(&file);
             }
             Step::Drain(n) => {
-                self.with(n, |cell, vm| cell.tell(vm, Event::Drain));
+                self.with_vm(n, |cell, vm| {
+                    cell.handle_event(vm, Event::Drain)
+                });
             }
-            Step::Hold(n) => {
-                self.with(n, |cell, vm| {
-                    cell.held.insert(vm.clone());
+            Step::DelayMessages(n) => {
+                self.with_vm(n, |cell, vm| {
+                    cell.delayed.insert(vm.clone());
                 });
             }
-            Step::Release => self.cell.held.clear(),
+            Step::ReleaseMessages => self.cell.delayed.clear(),
         }
         self.check();
     }
 
-    fn with(&mut self, place: usize, act: impl Fn(&mut Cell, &VmId)) {
+    fn with_vm(&mut self, place: usize, act: impl Fn(&mut Cell, &VmId)) {
         if let Some(vm) = self.vm(place) {
             act(&mut self.cell, &vm);
         }
     }
 
-    /// A target starts to leave, if another of its kind and data centre
-    /// stays.
-    fn leave(&mut self, n: usize) {
+    /// Lets an executor start to leave; has no effect on workers.
+    fn start_leaving(&mut self, n: usize) {
         let target = self.target(n);
         if let Some(executor) = self.cell.executors.get_mut(&target) {
             if !executor.leaving {
@@ -265,14 +275,15 @@
         }
     }
 
-    /// A target is gone for good: it stops, and the list loses it.
-    fn gone(&mut self, n: usize) {
+    /// Removes a target and its entry in the VM list, unless it is the last of
+    /// its kind in its data centre.
+    fn remove_target(&mut self, n: usize) {
         let target = self.target(n);
         let listed = self.cell.listed[&target].clone();
-        let same = |l: &&puffinknot_core::node::ListedTarget| {
+        let same_kind = |l: &&puffinknot_core::node::ListedTarget| {
             l.kind == listed.kind && l.dc == listed.dc
         };
-        if self.cell.listed.values().filter(same).count() < 2 {
+        if self.cell.listed.values().filter(same_kind).count() < 2 {
             return;
         }
         self.cell.listed.remove(&target);
@@ -284,7 +295,7 @@
         assert!(self.cell.faults.is_empty(), "{:?}", self.cell.faults);
     }
 
-    /// Ends every fault and checks that the cell comes to rest.
+    /// Repairs all faults and checks that the cell settles.
     pub fn settle(&mut self) {
         self.cell.heal();
         for place in 0..self.places.len() {
@@ -317,7 +328,10 @@
         let revision = file.map_or(0, |stored| stored.revision);
         for (vm, state) in &self.cell.vms {
             let status = state.node.status(self.cell.clocks());
-            assert_eq!(status.config, revision, "{vm} is behind");
+            assert_eq!(
+                status.config, revision,
+                "{vm} has not applied the latest configuration"
+            );
             for home in &status.homes {
                 assert!(home.settled, "{vm} has not settled {}", home.scope);
                 assert!(home.confirmed, "{vm}: {} not confirmed", home.scope);
@@ -342,7 +356,7 @@
     }
 }
 
-/// The state machine that proptest drives.
+/// The state machine test that proptest runs.
 struct Test;
 
 impl StateMachineTest for Test {
@@ -363,14 +377,14 @@
     }
 }
 
-/// The number of sequences, unless `PUFFINKNOT_FUZZ_CASES` says otherwise.
+/// The default number of sequences; `PUFFINKNOT_FUZZ_CASES` overrides it.
 const CASES: u32 = 150;
-/// The seed, unless `PUFFINKNOT_FUZZ_SEED` says otherwise.
+/// The default seed; `PUFFINKNOT_FUZZ_SEED` overrides it.
 const SEED: u64 = 20;
 
-fn setting(name: &str, usual: u64) -> u64 {
+fn setting(name: &str, default: u64) -> u64 {
     let value = std::env::var(name).ok();
-    value.and_then(|value| value.parse().ok()).unwrap_or(usual)
+    value.and_then(|value| value.parse().ok()).unwrap_or(default)
 }
 
 #[test]
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -188,9 +188,9 @@
     let busy = busy.map(|(id, _)| id.clone()).expect("a worker at work");
     let without = cell.listed.values().filter(|listed| listed.id != busy);
     let without: Vec<ListedTarget> = without.cloned().collect();
-    cell.tell(&vm, Event::Listed(without));
+    cell.handle_event(&vm, Event::Listed(without));
     for _ in 0..50 {
-        cell.pass(100);
+        cell.advance_clock(100);
         cell.housekeep(&vm);
         for _ in 0..100 {
             let Some(index) = cell.next_useful() else { break };
@@ -223,7 +223,7 @@
     };
     while report_request(&cell).is_none() {
         deliver_all(&mut cell);
-        cell.pass(50);
+        cell.advance_clock(50);
         cell.housekeep(&vm);
     }
     let index = report_request(&cell).expect("a request for a report");
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -1,4 +1,5 @@
-//! Bad input: files, requests and messages that are wrong in any way.
+//! Tests of invalid input: configuration files, requests, messages and stored
+//! values.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +16,7 @@
 use puffinknot_core::store::{Key, Value};
 use serde::Deserialize;
 
-const GOOD: &str = include_str!("../examples/litoral.toml");
+const VALID_FILE: &str = include_str!("../examples/litoral.toml");
 const CASES: u32 = 2_000;
 
 fn runner() -> TestRunner {
@@ -28,13 +29,13 @@
     TestRunner::new_with_rng(config, rng)
 }
 
-/// A change of a few bytes: where, and what comes there.
+/// Changes of a few bytes, each given by its offset and new value.
 fn mutations() -> impl Strategy<Value = Vec<(usize, u8)>> {
     vec((any::<usize>(), any::<u8>()), 1..8)
 }
 
-fn mutated(good: &[u8], changes: &[(usize, u8)]) -> Vec<u8> {
-    let mut bytes = good.to_vec();
+fn apply_mutations(valid: &[u8], changes: &[(usize, u8)]) -> Vec<u8> {
+    let mut bytes = valid.to_vec();
     for (at, byte) in changes {
         let at = at % bytes.len();
         bytes[at] = *byte;
@@ -45,7 +46,7 @@
 #[test]
 fn a_mutated_file_is_read_or_refused_with_a_remedy() {
     let check = |changes: Vec<(usize, u8)>| {
-        let bytes = mutated(GOOD.as_bytes(), &changes);
+        let bytes = apply_mutations(VALID_FILE.as_bytes(), &changes);
         let text = String::from_utf8_lossy(&bytes);
         if let Err(errors) = Config::parse(&text) {
             prop_assert!(errors.iter().count() > 0);
@@ -74,7 +75,8 @@
         let _ = wire::decode_hello(&bytes);
         let _ = wire::decode::<wire::Response>(&bytes);
         if let Ok(request) = wire::decode::<wire::Request>(&bytes) {
-            let again = wire::encode(&request).expect("it was one");
+            let again =
+                wire::encode(&request).expect("a request that was decoded");
             prop_assert_eq!(wire::decode(&again), Ok(request));
         }
         Ok(())
@@ -94,9 +96,10 @@
         },
         body: vec![1; 100],
     });
-    let good = wire::encode(&request).expect("a message");
+    let valid = wire::encode(&request).expect("a message");
     let check = |changes: Vec<(usize, u8)>| {
-        let _ = wire::decode::<wire::Request>(&mutated(&good, &changes));
+        let _ =
+            wire::decode::<wire::Request>(&apply_mutations(&valid, &changes));
         Ok(())
     };
     runner().run(&mutations(), check).expect("no panic");
@@ -118,8 +121,8 @@
     runner().run(&input, check).expect("no panic");
 }
 
-/// An entry of the VM list that could not be read was dropped, so that its
-/// target looked gone though it was named.
+/// Guards against dropping unreadable entries of the VM list: a target that
+/// the list names would look gone.
 #[test]
 fn an_entry_of_the_list_that_cannot_be_read_is_not_taken_for_absent() {
     let list = br#"[
@@ -156,9 +159,10 @@
     assert_eq!(list.entries.len(), 1);
 }
 
-/// A wrong file and the keys that its errors have to name.
+/// A replacement that makes the example file invalid, and the keys that the
+/// errors have to name.
 #[derive(Deserialize)]
-struct WrongFile {
+struct InvalidFile {
     replace: String,
     by: String,
     keys: Vec<String>,
@@ -167,12 +171,12 @@
 #[test]
 fn wrong_files_name_key_and_remedy_of_every_error() {
     let table = include_str!("../testdata/wrong-files.toml");
-    let cases: BTreeMap<String, WrongFile> =
+    let cases: BTreeMap<String, InvalidFile> =
         toml::from_str(table).expect("a table in order");
     let mut shown = String::new();
     for (name, case) in cases {
-        assert!(GOOD.contains(&case.replace), "{name}");
-        let file = GOOD.replace(&case.replace, &case.by);
+        assert!(VALID_FILE.contains(&case.replace), "{name}");
+        let file = VALID_FILE.replace(&case.replace, &case.by);
         let errors = Config::parse(&file).expect_err(&name);
         let keys: Vec<&str> =
             errors.iter().map(|error| error.key.as_str()).collect();
@@ -185,7 +189,7 @@
 #[test]
 fn wrong_settings_name_flag_and_remedy() {
     use clap::Parser;
-    let good = [
+    let valid = [
         "puffinknotd",
         "--cell",
         "litoral",
@@ -211,12 +215,12 @@
         ("--platform", "127.0.0.1:1"),
         ("--secret", "short"),
     ];
-    let settings = Settings::parse_from(good);
+    let settings = Settings::parse_from(valid);
     settings.validate().expect("settings in order");
     let mut shown = String::new();
     for (flag, value) in cases {
-        let mut args = good;
-        let at = good.iter().position(|arg| *arg == flag).expect("a flag");
+        let mut args = valid;
+        let at = valid.iter().position(|arg| *arg == flag).expect("a flag");
         args[at + 1] = value;
         let settings = Settings::parse_from(args);
         let err = settings.validate().expect_err(flag);
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,8 +1,9 @@
-//! Model checking: every order of events in a small world, by exhaustive
-//! breadth-first search over the real transition functions.
+//! Model checking: an exhaustive breadth-first search through all orders of
+//! events in a small model, which uses the real transition functions.
 //!
-//! A world is as small as its question allows, and its bounds stand beside
-//! it. If an invariant fails, the shortest way there is printed.
+//! Each model is as small as the checked property allows, and its bounds are
+//! defined beside it. If an invariant is violated, the shortest sequence of
+//! events that leads there is printed.
 
 use std::cell::{Cell, RefCell};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -21,73 +22,75 @@
 
 use crate::cell::{Cell as SmallCell, Message};
 
-/// A state of a world, with what led to it.
+/// A state of a model.
 trait World: Clone + Hash {
-    /// Every state that can follow, with what leads there.
+    /// All states that can follow, each with the event that leads to it.
     fn successors(&self) -> Vec<(String, Self)>;
-    /// What is wrong with this state, if anything.
+    /// The invariant that this state violates, if any.
     fn fault(&self) -> Option<String>;
 }
 
-/// A state in the search. It is told from others by a fingerprint of 128
-/// bits, so that the state itself can be dropped once it has been looked at.
+/// A state in the search. States are compared by a fingerprint of 128 bits, so
+/// that the state itself can be dropped once its successors are known.
 #[derive(Clone)]
-struct Found<W> {
-    print: (u64, u64),
-    by: Rc<str>,
+struct SearchNode<W> {
+    fingerprint: (u64, u64),
+    event: Rc<str>,
     fault: Option<Rc<str>>,
     world: Rc<RefCell<Option<W>>>,
 }
 
-impl<W: World> Found<W> {
-    fn new(by: &str, world: W) -> Found<W> {
-        Found {
-            print: (print(0, &world), print(1, &world)),
-            by: by.into(),
+impl<W: World> SearchNode<W> {
+    fn new(event: &str, world: W) -> SearchNode<W> {
+        SearchNode {
+            fingerprint: (fingerprint(0, &world), fingerprint(1, &world)),
+            event: event.into(),
             fault: world.fault().map(Into::into),
             world: Rc::new(RefCell::new(Some(world))),
         }
     }
 }
 
-impl<W> PartialEq for Found<W> {
-    fn eq(&self, other: &Found<W>) -> bool {
-        self.print == other.print
+impl<W> PartialEq for SearchNode<W> {
+    fn eq(&self, other: &SearchNode<W>) -> bool {
+        self.fingerprint == other.fingerprint
     }
 }
 
-impl<W> Eq for Found<W> {}
+impl<W> Eq for SearchNode<W> {}
 
-impl<W> Hash for Found<W> {
+impl<W> Hash for SearchNode<W> {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.print.hash(hasher);
+        self.fingerprint.hash(hasher);
     }
 }
 
-fn print<T: Hash>(salt: u64, value: &T) -> u64 {
+fn fingerprint<T: Hash>(salt: u64, value: &T) -> u64 {
     let mut hasher = DefaultHasher::new();
     salt.hash(&mut hasher);
     value.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Looks at every state that can be reached and returns how many there are.
-fn search<W: World>(start: W, most: usize) -> usize {
+/// Visits all reachable states and returns their number. Panics if there are
+/// more than `max_states`, or if one of them violates an invariant.
+fn search<W: World>(start: W, max_states: usize) -> usize {
     let seen = Cell::new(0_usize);
-    let way = bfs(
-        &Found::new("start", start),
-        |found| {
+    let path = bfs(
+        &SearchNode::new("start", start),
+        |node| {
             seen.set(seen.get() + 1);
-            assert!(seen.get() <= most, "the bounds are too wide");
-            let world = found.world.borrow_mut().take();
+            assert!(seen.get() <= max_states, "the bounds are too wide");
+            let world = node.world.borrow_mut().take();
             let next = world.map_or(Vec::new(), |w| w.successors());
-            next.into_iter().map(|(by, world)| Found::new(&by, world))
+            next.into_iter()
+                .map(|(event, world)| SearchNode::new(&event, world))
         },
-        |found| found.fault.is_some(),
+        |node| node.fault.is_some(),
     );
-    if let Some(way) = way {
-        let steps: Vec<&str> = way.iter().map(|found| &*found.by).collect();
-        let fault = way.last().and_then(|found| found.fault.clone());
+    if let Some(path) = path {
+        let steps: Vec<&str> = path.iter().map(|node| &*node.event).collect();
+        let fault = path.last().and_then(|node| node.fault.clone());
         panic!("{fault:?} after {steps:#?}");
     }
     seen.get()
@@ -109,70 +112,70 @@
     task_lease_ms = 1000
 "#;
 
-/// The length of a step of time; the lease is four of them.
+/// The duration of a tick; the task lease is two and a half ticks.
 const STEP: Millis = 400;
 
-/// A message between a holder and a worker.
+/// A message between a contract holder and a worker, given by their indices.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Letter {
-    Sync(usize, usize, Packed<SyncRequest>),
-    Reply(usize, usize, u64, Packed<Result<SyncReply, Refusal>>),
+enum SyncMessage {
+    Sync(usize, usize, DebugOrdered<SyncRequest>),
+    Reply(usize, usize, u64, DebugOrdered<Result<SyncReply, Refusal>>),
 }
 
-impl Letter {
+impl SyncMessage {
     fn is_reply(&self) -> bool {
-        matches!(self, Letter::Reply(..))
+        matches!(self, SyncMessage::Reply(..))
     }
 
     fn name(&self) -> String {
         match self {
-            Letter::Sync(holder, worker, Packed(request)) => {
+            SyncMessage::Sync(holder, worker, DebugOrdered(request)) => {
                 format!("sync {} of {holder} at {worker}", request.seq)
             }
-            Letter::Reply(holder, worker, seq, _) => {
+            SyncMessage::Reply(holder, worker, seq, _) => {
                 format!("reply {seq} of {worker} at {holder}")
             }
         }
     }
 }
 
-/// A value that is ordered by its debug text, so that sets of messages have
-/// one form only.
+/// A value that is ordered by its debug text, so that equal sets of messages
+/// have the same representation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Packed<T>(T);
+struct DebugOrdered<T>(T);
 
-impl<T: std::fmt::Debug + Eq> PartialOrd for Packed<T> {
+impl<T: std::fmt::Debug + Eq> PartialOrd for DebugOrdered<T> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T: std::fmt::Debug + Eq> Ord for Packed<T> {
+impl<T: std::fmt::Debug + Eq> Ord for DebugOrdered<T> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         format!("{:?}", self.0).cmp(&format!("{:?}", other.0))
     }
 }
 
-/// Two holders, of which the second may take over at any time without the
-/// first knowing, and two workers. Messages may be late, lost, doubled and
-/// overtake each other; holders may pause.
+/// A model of two holders and two workers. The second holder may take over at
+/// any time without the first one's knowledge. Messages may be delayed, lost,
+/// duplicated and reordered; holders may pause.
 #[derive(Clone, Hash)]
 struct Tasks {
     now: Millis,
-    /// How often time may still pass.
+    /// The number of ticks left.
     ticks: u32,
     holders: [Option<Placer>; 2],
     workers: [WorkerState; 2],
-    net: Vec<Letter>,
-    /// How many messages may still be delivered twice.
-    doubles: u32,
+    net: Vec<SyncMessage>,
+    /// The number of messages that may still be delivered twice.
+    duplicates: u32,
 }
 
 impl Tasks {
-    /// Messages on the way; more than these are lost, the oldest first.
+    /// The most messages in transit; a tick drops the first of any more.
     const NET: usize = 2;
 
-    fn new(ticks: u32, doubles: u32) -> Tasks {
+    fn new(ticks: u32, duplicates: u32) -> Tasks {
         let info = WorkerInfo {
             capacity: Resources {
                 cpu_millis: 4_000,
@@ -188,10 +191,10 @@
             holders: [None, None],
             workers: [WorkerState::new(info.clone()), WorkerState::new(info)],
             net: Vec::new(),
-            doubles,
+            duplicates,
         };
         world.holders[0] = Some(Tasks::placer(1, &[]));
-        // The task runs on one of the workers, under the first holder.
+        // Lets the first holder start the task on one of the workers.
         for reach in [Some(0), Some(1), Some(0), Some(1)] {
             world.tick([reach, None]);
             while !world.net.is_empty() {
@@ -206,11 +209,11 @@
         let config = Config::parse(TASK_FILE).expect("a file in order");
         let epoch = Epoch { number, holder: VmId(format!("vm{number}")) };
         let targets = unseen.iter().cloned().collect();
-        let tenure = Term::new(epoch, 1, true, targets);
+        let term = Term::new(epoch, 1, true, targets);
         let mut placer = Placer::new(
             PlacerConfig::default(),
             "goya".into(),
-            tenure,
+            term,
             Some(&config),
             Progress::default(),
         );
@@ -225,8 +228,8 @@
         TargetId(format!("w{n}"))
     }
 
-    /// Time passes. A holder pauses, or does what is due and reaches one of
-    /// the workers; what it sends to the other is lost.
+    /// Advances time. Each holder either pauses or takes a step and reaches
+    /// one of the workers; its messages to the other are lost.
     fn tick(&mut self, reach: [Option<usize>; 2]) {
         self.now += STEP;
         self.ticks -= 1;
@@ -240,8 +243,9 @@
             for (target, request) in holder.step(self.now) {
                 let worker = usize::from(target == Tasks::worker(1));
                 if worker == reached {
-                    let letter = Letter::Sync(n, worker, Packed(request));
-                    self.net.push(letter);
+                    let message =
+                        SyncMessage::Sync(n, worker, DebugOrdered(request));
+                    self.net.push(message);
                 }
             }
         }
@@ -253,20 +257,21 @@
 
     fn delivered(&self, index: usize, keep: bool) -> Tasks {
         let mut next = self.clone();
-        let letter = next.net[index].clone();
+        let message = next.net[index].clone();
         if keep {
-            next.doubles -= 1;
+            next.duplicates -= 1;
         } else {
             next.net.remove(index);
         }
-        match letter {
-            Letter::Sync(holder, worker, Packed(request)) => {
+        match message {
+            SyncMessage::Sync(holder, worker, DebugOrdered(request)) => {
                 let result = next.workers[worker].sync(next.now, &request);
-                let reply = Packed(result);
-                let letter = Letter::Reply(holder, worker, request.seq, reply);
-                next.net.push(letter);
+                let reply = DebugOrdered(result);
+                let message =
+                    SyncMessage::Reply(holder, worker, request.seq, reply);
+                next.net.push(message);
             }
-            Letter::Reply(holder, worker, seq, Packed(result)) => {
+            SyncMessage::Reply(holder, worker, seq, DebugOrdered(result)) => {
                 let target = Tasks::worker(worker);
                 let Some(placer) = &mut next.holders[holder] else {
                     return next;
@@ -274,7 +279,7 @@
                 match result {
                     Ok(reply) => placer.sync_replied(next.now, &target, reply),
                     Err(Refusal::Old) => placer.sync_failed(&target, seq),
-                    // The node drops a placer that was superseded.
+                    // The node drops a superseded placer.
                     Err(Refusal::Stale(_)) => next.holders[holder] = None,
                 }
             }
@@ -283,7 +288,7 @@
         next
     }
 
-    /// The platform confirms the present holder.
+    /// The state after the platform confirms the current holder.
     fn confirmed(&self) -> Option<Tasks> {
         let mut next = self.clone();
         let holder = usize::from(self.taken_over());
@@ -307,24 +312,25 @@
 impl World for Tasks {
     fn successors(&self) -> Vec<(String, Tasks)> {
         let mut all = Vec::new();
-        for (index, letter) in self.net.iter().enumerate() {
-            let name = letter.name();
+        for (index, message) in self.net.iter().enumerate() {
+            let name = message.name();
             let delivered = self.delivered(index, false);
-            if let Letter::Sync(..) = letter {
-                // The answer comes at once, or is lost.
+            if let SyncMessage::Sync(..) = message {
+                // The reply arrives at once, or is lost.
                 let mut lost = delivered.clone();
                 let mut answered = delivered;
                 let last = answered.net.len() - 1;
-                let reply = answered.net.iter().position(Letter::is_reply);
+                let reply =
+                    answered.net.iter().position(SyncMessage::is_reply);
                 let reply = reply.unwrap_or(last);
                 lost.net.remove(reply);
                 answered = answered.delivered(reply, false);
                 all.push((format!("{name}, answer lost"), lost));
                 all.push((name.clone(), answered));
             }
-            if self.doubles > 0 {
+            if self.duplicates > 0 {
                 let mut kept = self.delivered(index, true);
-                kept.net.retain(|letter| !letter.is_reply());
+                kept.net.retain(|message| !message.is_reply());
                 all.push((format!("{name}, kept"), kept));
             }
         }
@@ -355,24 +361,25 @@
 
 #[test]
 fn no_task_runs_in_two_places_in_any_order_of_events() {
-    for (ticks, doubles) in [(3, 0), (2, 1)] {
-        let states = search(Tasks::new(ticks, doubles), 900_000);
-        println!("{ticks} ticks, {doubles} doubles: {states} states");
+    for (ticks, duplicates) in [(3, 0), (2, 1)] {
+        let states = search(Tasks::new(ticks, duplicates), 900_000);
+        println!("{ticks} ticks, {duplicates} doubles: {states} states");
         assert!(states > 1_000, "only {states} states: nothing happens");
     }
 }
 
 const CALL_FILE: &str = include_str!("../testdata/fuzz.toml");
 
-/// Two entry VMs, two executors of one slot, and one call with a key that
-/// is sent once through each VM. The first VM's lease has lapsed without its
-/// knowledge. Either VM may pause, and messages come in any order.
+/// A model of two entry VMs, two executors with one slot each, and one call
+/// with a key that is sent once through each VM. The first VM's lease has
+/// lapsed without its knowledge. Either VM may pause, and messages arrive in
+/// any order.
 #[derive(Clone, Hash)]
 struct Calls {
     cell: SmallCell,
     vms: [VmId; 2],
     key: Option<puffinknot_core::idempotency::IdempotencyKey>,
-    /// Through which VMs the call may still be sent.
+    /// Whether the call may still be sent through each VM.
     sends: [bool; 2],
     ticks: u32,
 }
@@ -392,8 +399,8 @@
         let home = cell.holder("goya", Scope::Calls(0)).expect("a home");
         let [a, b] = vms;
         let vms = if a == home { [a, b] } else { [b, a] };
-        // The home of the key loses its contract and can't hear of it. Each
-        // VM reaches one executor; one of them both, if `overlap` says so.
+        // The home of the key loses its contract and can't learn of it. Each
+        // VM reaches one executor; with `overlap`, the home reaches both.
         cell.cut(vms[0].as_str(), vms[1].as_str(), true);
         cell.cut(vms[1].as_str(), "x0", true);
         if !overlap {
@@ -401,10 +408,10 @@
         }
         cell.cut_platform(&vms[0], true);
         cell.platform.lapse(&vms[0]);
-        // The other VM has taken the contract over and has presented its
-        // epoch where it can.
+        // The other VM takes the contract over and presents its epoch to the
+        // executors that it reaches.
         for _ in 0..4 {
-            cell.pass(50);
+            cell.advance_clock(50);
             cell.housekeep(&vms[1]);
             while let Some(index) = cell.next_useful() {
                 cell.deliver(index);
@@ -428,8 +435,8 @@
         next
     }
 
-    /// Delivers at once what the order of events can't matter for: all but
-    /// calls on their way, their ends, and epochs that reach an executor.
+    /// Delivers all messages whose order does not matter: all but calls in
+    /// transit, their ends, and epochs that reach an executor.
     fn deliver_at_once(&mut self) {
         let matters = |cell: &SmallCell, message: &Message| match message {
             Message::Ask(vm, target, _) => {
@@ -454,7 +461,7 @@
 
     fn ticked(&self, awake: [bool; 2]) -> Calls {
         let mut next = self.clone();
-        next.cell.pass(Calls::STEP);
+        next.cell.advance_clock(Calls::STEP);
         for (vm, awake) in next.vms.clone().iter().zip(awake) {
             if awake {
                 next.cell.housekeep(vm);
@@ -491,7 +498,7 @@
         for (_, next) in &mut all {
             next.deliver_at_once();
             next.cell.check();
-            // The order in which messages were sent is no part of a state.
+            // States that differ only in the order of sending are the same.
             next.cell.net.sort_by_cached_key(|m| format!("{m:?}"));
             next.cell.net.dedup();
         }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,8 +1,8 @@
-//! Real processes and sockets: `puffinknotd` as it is shipped, with the
-//! stand-ins of the platform and of targets on threads of the test.
+//! Tests with real processes and sockets: the `puffinknotd` binary, with
+//! stand-ins for the platform and the targets on threads of the test.
 //!
-//! Every wait is for an event, with a limit only so that a fault ends the
-//! test.
+//! Each wait is for a condition; its time limit only ends a test that would
+//! otherwise hang.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -23,10 +23,10 @@
 use uuid::Uuid;
 
 const SECRET: &str = "process-secret";
-const LIMIT: Duration = Duration::from_secs(60);
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 const FILE: &str = include_str!("../examples/litoral.toml");
 
-/// A daemon process.
+/// A running `puffinknotd` process.
 struct Daemon {
     name: String,
     child: Child,
@@ -51,7 +51,8 @@
     }
 }
 
-/// A cell of processes, with one data centre unless a test adds more.
+/// A cell of daemon processes and stand-ins. It has one data centre unless a
+/// test adds more.
 struct World {
     platform: Platform,
     base: String,
@@ -59,7 +60,8 @@
     workers: Vec<Worker>,
     daemons: Vec<Daemon>,
     servers: Vec<Running>,
-    /// The third number of the loopback addresses of this test.
+    /// The third octet of this test's loopback addresses, which keeps tests
+    /// apart.
     net: u8,
 }
 
@@ -112,7 +114,7 @@
         self.servers.push(server);
     }
 
-    /// Starts a daemon on an address of its own.
+    /// Starts a daemon on its own loopback address.
     fn start(&mut self, dc: &str, name: &str, host: u8) {
         let ip = format!("127.9.{}.{host}", self.net);
         let list = format!("{}/vms", self.base);
@@ -132,7 +134,7 @@
         self.daemons.push(Daemon { name: name.into(), child, ip });
     }
 
-    /// Runs the operators' client and returns its exit code and text.
+    /// Runs the command line client and returns its exit code and output.
     fn client(&self, args: &[&str]) -> (u8, String) {
         let cell = ["--platform", &self.base, "--cell", "local"];
         command(&[args, &cell].concat())
@@ -151,7 +153,8 @@
         status(&self.daemons[daemon].ip)
     }
 
-    /// Waits until every daemon of the list serves calls.
+    /// Waits until all contracts are settled, all daemons have a configuration
+    /// and all targets are ready.
     fn ready(&self) {
         wait("every contract is settled", || {
             let all: Vec<NodeStatus> = (0..self.daemons.len())
@@ -174,7 +177,7 @@
         });
     }
 
-    /// The daemon that holds a contract of its data centre.
+    /// The index of the daemon that holds a contract.
     fn holder(&self, scope: &str) -> usize {
         let holds = |n: &usize| {
             let status = self.status(*n);
@@ -189,7 +192,7 @@
         call(&self.daemons[daemon].ip, class, key, 5)
     }
 
-    /// The runs of a key over all executors.
+    /// The number of runs of a key on all executors.
     fn runs(&self, key: &str) -> u32 {
         let records = self.executors.iter().map(Executor::record);
         records.map(|r| r.keyed_runs.get(key).copied().unwrap_or(0)).sum()
@@ -212,7 +215,7 @@
     }
 }
 
-/// Runs a command of the operators' client.
+/// Runs a command of the command line client.
 fn command(args: &[&str]) -> (u8, String) {
     use clap::Parser;
     let all = [&["puffinknot"], args].concat();
@@ -223,7 +226,7 @@
     }
 }
 
-/// What a caller sees.
+/// The parts of a call's response that tests check.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Answer {
     outcome: String,
@@ -235,7 +238,7 @@
 fn wait(what: &str, mut done: impl FnMut() -> bool) {
     let start = Instant::now();
     while !done() {
-        assert!(start.elapsed() < LIMIT, "{what} did not happen");
+        assert!(start.elapsed() < WAIT_LIMIT, "{what} did not happen");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -291,7 +294,7 @@
     Uuid::now_v7().to_string()
 }
 
-/// A cell of three daemons that serves calls and runs tasks.
+/// Creates a cell of three daemons that serves calls and runs tasks.
 fn running(net: u8) -> World {
     let mut world = World::new(net);
     for _ in 0..2 {
@@ -304,7 +307,7 @@
     let (code, text) = world.apply(FILE);
     assert_eq!(code, client::DONE, "{text}");
     world.ready();
-    // Keys that were made before the contract was settled are not served.
+    // Calls whose keys are older than the settled contract are refused.
     wait("a vent check is answered", || {
         world.call(0, "vent-check", Some(&key())).outcome == "answered"
     });
@@ -325,7 +328,7 @@
     );
     world.daemons[holder].child.kill().expect("it is killed");
     world.daemons[holder].child.wait().expect("it ends");
-    // A resend is never run again, whoever is asked and whenever.
+    // A resent call never runs again, at any VM and at any time.
     let again = world.call(entry, "vent-check", Some(&sent));
     assert_eq!(again.outcome, "unknown", "{again:?}");
     wait("a new holder serves vent checks", || {
@@ -358,7 +361,7 @@
         world.call(others[0], "vent-check", Some(&key())).outcome == "answered"
     });
     world.daemons[holder].signal("-CONT");
-    // The old holder is asked at once, while it may still know of nothing.
+    // Calls the old holder at once, while it may not know of its successor.
     for _ in 0..20 {
         let sent = key();
         let answer = world.call(holder, "vent-check", Some(&sent));
@@ -384,7 +387,7 @@
         let answer = world.call(n, "vent-check", Some(&key()));
         assert_eq!(answer.outcome, "answered", "{answer:?}");
     }
-    // A VM that dies meanwhile is replaced without the platform.
+    // A VM that dies during the outage is replaced without the platform.
     let holder = world.holder("calls-0");
     world.daemons[holder].child.kill().expect("it is killed");
     let _ = world.daemons[holder].child.wait();
@@ -393,7 +396,7 @@
         world.call(entry, "vent-check", Some(&key())).outcome == "answered"
     });
     assert_eq!(world.tasks(), 10);
-    // A fresh VM starts from what its peers know.
+    // A new VM starts from the values that its peers know.
     let dead = world.daemons.remove(holder);
     drop(dead);
     world.start("goya", "goya-4", 4);
@@ -446,7 +449,7 @@
         executor.hold(false);
     }
     assert_eq!(unkeyed.join().expect("an answer").outcome, "answered");
-    // The invitation's home is in a data centre without any VM here.
+    // The invitation's home is in a data centre without VMs in this test.
     assert_eq!(running.join().expect("an answer").outcome, "unknown");
     let ended = world.daemons[holder].child.wait().expect("it ends");
     assert!(ended.success(), "{ended}");
@@ -461,7 +464,7 @@
     let before = world.status(0).expect("a status").config;
     let (code, _) = world.apply(&first);
     assert_eq!(code, client::DONE);
-    // The other operator had looked at the revision before.
+    // The other operator read the revision before the first one's change.
     let path = std::env::temp_dir()
         .join(format!("puffinknot-{}.toml", Uuid::new_v4()));
     std::fs::write(&path, &second).expect("a temporary file");
@@ -544,7 +547,7 @@
         response.map(|response| response.status().as_u16())
     });
     assert_eq!(status.expect("an answer"), 413);
-    // A sender that stops in the middle holds nothing up.
+    // A client that stops in the middle of a request blocks no other.
     let mut slow =
         TcpStream::connect(format!("{ip}:8080")).expect("connected");
     let head = "POST /call/overnight HTTP/1.1\r\nhost: x\r\n\
