--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -59,7 +59,7 @@
 }
 
 /// The worker on which a task runs.
-fn place(cell: &Cell, task: &str) -> Option<TargetId> {
+fn worker_of(cell: &Cell, task: &str) -> Option<TargetId> {
     let runs = |worker: &puffinknot_standin::worker::WorkerState| {
         worker.running().any(|id| id.as_str() == task)
     };
@@ -256,7 +256,7 @@
 /// Creates a cell in which the platform is down and three VMs disagree: the
 /// holder is isolated, and another VM has claimed its contract without the
 /// platform. Returns the cell, the old holder, the claimant and the third VM.
-fn claimed_alone() -> (Cell, VmId, VmId, VmId) {
+fn cell_with_unconfirmed_claim() -> (Cell, VmId, VmId, VmId) {
     let (mut cell, vms) = cell(3, 1, 0);
     let home = cell.holder(DC, CALLS).expect("a home");
     let now = cell.now;
@@ -282,7 +282,7 @@
 
 #[test]
 fn a_contract_is_taken_over_while_the_platform_is_down() {
-    let (mut cell, _, claimant, third) = claimed_alone();
+    let (mut cell, _, claimant, third) = cell_with_unconfirmed_claim();
     let id = send_vent_check(&mut cell, &third);
     cell.run_in_order(1_000);
     assert_eq!(cell.answer_to(id), Some(&Outcome::Answered));
@@ -302,7 +302,7 @@
 
 #[test]
 fn keys_passed_on_by_a_home_that_was_overtaken_are_not_trusted() {
-    let (mut cell, home, claimant, third) = claimed_alone();
+    let (mut cell, home, claimant, third) = cell_with_unconfirmed_claim();
     let id = send_vent_check(&mut cell, &claimant);
     cell.run_in_order(1_000);
     assert_eq!(runs(&cell, id), 1);
@@ -323,10 +323,10 @@
 #[test]
 fn tasks_go_on_elsewhere_after_a_worker_is_lost() {
     let (mut cell, vms) = cell(1, 0, 2);
-    let worker = place(&cell, "api/0").expect("a place");
+    let worker = worker_of(&cell, "api/0").expect("a place");
     cell.cut(vms[0].as_str(), worker.as_str(), true);
     cell.run_in_order(30_000);
-    let now = place(&cell, "api/0").expect("a place");
+    let now = worker_of(&cell, "api/0").expect("a place");
     assert_ne!(now, worker);
     assert_eq!(cell.tasks_running(), 3);
     no_faults(&cell);
@@ -347,7 +347,7 @@
 }
 
 /// Whether a VM that places tasks knows a worker.
-fn knows(cell: &Cell, vm: &VmId, worker: &TargetId) -> bool {
+fn knows_worker(cell: &Cell, vm: &VmId, worker: &TargetId) -> bool {
     let placer = cell.vms[vm].node.placer().expect("a placer");
     placer.worker_ids().any(|id| id == worker)
 }
@@ -357,17 +357,17 @@
 #[test]
 fn readings_with_a_gap_between_them_end_no_worker() {
     let (mut cell, vms) = cell(1, 0, 2);
-    let worker = place(&cell, "api/0").expect("a place");
+    let worker = worker_of(&cell, "api/0").expect("a place");
     let without = cell.listed.values().filter(|l| l.id != worker);
     let without: Vec<ListedTarget> = without.cloned().collect();
     for span in [5_000, 1_000, 5_000, 2_000, 1_000] {
         let event = Event::Listed(without.clone());
         read_list(&mut cell, &vms[0], event, span);
-        assert!(knows(&cell, &vms[0], &worker));
+        assert!(knows_worker(&cell, &vms[0], &worker));
         no_faults(&cell);
     }
     read_list(&mut cell, &vms[0], Event::Listed(without), 1_000);
-    assert!(!knows(&cell, &vms[0], &worker));
+    assert!(!knows_worker(&cell, &vms[0], &worker));
 }
 
 /// Guards against considering a worker gone when the VM list has an unreadable
@@ -375,7 +375,7 @@
 #[test]
 fn a_worker_whose_entry_may_be_unread_is_not_gone() {
     let (mut cell, vms) = cell(1, 0, 2);
-    let worker = place(&cell, "api/0").expect("a place");
+    let worker = worker_of(&cell, "api/0").expect("a place");
     let without = cell.listed.values().filter(|l| l.id != worker);
     let without: Vec<ListedTarget> = without.cloned().collect();
     let read = |cell: &mut Cell, unread: &UnreadableEntries| {
@@ -384,7 +384,7 @@
             let event = Event::ListedPartially(listed, unread);
             read_list(cell, &vms[0], event, 1_000);
         }
-        knows(cell, &vms[0], &worker)
+        knows_worker(cell, &vms[0], &worker)
     };
     let unidentified =
         UnreadableEntries { unidentified: 1, ..UnreadableEntries::default() };
@@ -407,12 +407,12 @@
 fn tasks_stay_where_they_are_when_their_holder_dies() {
     let (mut cell, vms) = cell(2, 0, 2);
     let holder = cell.holder(DC, Scope::Tasks).expect("a holder");
-    let before = place(&cell, "model/0");
+    let before = worker_of(&cell, "model/0");
     cell.kill(&holder);
     cell.run_in_order(20_000);
     let successor = other(&vms, &holder);
     assert_eq!(cell.holder(DC, Scope::Tasks), Some(successor));
-    assert_eq!(place(&cell, "model/0"), before);
+    assert_eq!(worker_of(&cell, "model/0"), before);
     assert_eq!(cell.tasks_running(), 3);
     no_faults(&cell);
 }
@@ -487,12 +487,12 @@
 #[test]
 fn a_leaving_worker_is_emptied_and_gets_nothing_new() {
     let (mut cell, _) = cell(1, 0, 2);
-    let worker = place(&cell, "api/0").expect("a place");
+    let worker = worker_of(&cell, "api/0").expect("a place");
     let listed = cell.listed.get_mut(&worker).expect("a listed worker");
     listed.leaving = true;
     cell.run_in_order(10_000);
     assert_eq!(cell.workers[&worker].running().count(), 0);
-    assert!(place(&cell, "api/0").is_some());
+    assert!(worker_of(&cell, "api/0").is_some());
     no_faults(&cell);
 }
 
@@ -501,7 +501,7 @@
     let (mut cell, vms) = cell(2, 0, 2);
     let holder = cell.holder(DC, Scope::Tasks).expect("a holder");
     let successor = other(&vms, &holder);
-    let worker = place(&cell, "api/0").expect("a place");
+    let worker = worker_of(&cell, "api/0").expect("a place");
     cell.cut(successor.as_str(), worker.as_str(), true);
     cell.kill(&holder);
     cell.run_in_order(20_000);
@@ -532,7 +532,7 @@
     cell.pause(&holder, true);
     cell.platform.lapse(&holder);
     cell.run_in_order(6_000);
-    assert_ne!(place(&cell, "api/2"), None);
+    assert_ne!(worker_of(&cell, "api/2"), None);
     cell.delayed.clear();
     cell.run_in_order(1_000);
     no_faults(&cell);
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -363,7 +363,7 @@
 fn no_task_runs_in_two_places_in_any_order_of_events() {
     for (ticks, duplicates) in [(3, 0), (2, 1)] {
         let states = search(Tasks::new(ticks, duplicates), 900_000);
-        println!("{ticks} ticks, {duplicates} doubles: {states} states");
+        println!("{ticks} ticks, {duplicates} duplicates: {states} states");
         assert!(states > 1_000, "only {states} states: nothing happens");
     }
 }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -290,12 +290,12 @@
     })
 }
 
-fn key() -> String {
+fn new_key() -> String {
     Uuid::now_v7().to_string()
 }
 
 /// Creates a cell of three daemons that serves calls and runs tasks.
-fn running(net: u8) -> World {
+fn running_cell(net: u8) -> World {
     let mut world = World::new(net);
     for _ in 0..2 {
         world.add_executor("goya");
@@ -309,7 +309,7 @@
     world.ready();
     // Calls whose keys are older than the settled contract are refused.
     wait("a vent check is answered", || {
-        world.call(0, "vent-check", Some(&key())).outcome == "answered"
+        world.call(0, "vent-check", Some(&new_key())).outcome == "answered"
     });
     wait("every task runs", || world.tasks() == 10);
     world
@@ -317,10 +317,10 @@
 
 #[test]
 fn a_killed_holder_is_replaced_and_nothing_runs_twice() {
-    let mut world = running(1);
+    let mut world = running_cell(1);
     let holder = world.holder("calls-0");
     let before = world.tasks();
-    let sent = key();
+    let sent = new_key();
     let entry = (holder + 1) % 3;
     assert_eq!(
         world.call(entry, "vent-check", Some(&sent)).outcome,
@@ -332,7 +332,7 @@
     let again = world.call(entry, "vent-check", Some(&sent));
     assert_eq!(again.outcome, "unknown", "{again:?}");
     wait("a new holder serves vent checks", || {
-        world.call(entry, "vent-check", Some(&key())).outcome == "answered"
+        world.call(entry, "vent-check", Some(&new_key())).outcome == "answered"
     });
     let again = world.call(entry, "vent-check", Some(&sent));
     assert_eq!(again.outcome, "unknown", "{again:?}");
@@ -343,7 +343,7 @@
 
 #[test]
 fn a_frozen_holder_that_wakes_does_no_harm() {
-    let world = running(2);
+    let world = running_cell(2);
     let holder = world.holder("calls-0");
     let others: Vec<usize> = (0..3).filter(|n| *n != holder).collect();
     world.daemons[holder].signal("-STOP");
@@ -358,12 +358,13 @@
         })
     });
     wait("it serves vent checks", || {
-        world.call(others[0], "vent-check", Some(&key())).outcome == "answered"
+        world.call(others[0], "vent-check", Some(&new_key())).outcome
+            == "answered"
     });
     world.daemons[holder].signal("-CONT");
     // Calls the old holder at once, while it may not know of its successor.
     for _ in 0..20 {
-        let sent = key();
+        let sent = new_key();
         let answer = world.call(holder, "vent-check", Some(&sent));
         if answer.outcome == "not-run" {
             assert_eq!(world.runs(&sent), 0);
@@ -371,20 +372,21 @@
         assert!(world.runs(&sent) <= 1);
     }
     wait("it serves as an entry VM again", || {
-        world.call(holder, "vent-check", Some(&key())).outcome == "answered"
+        world.call(holder, "vent-check", Some(&new_key())).outcome
+            == "answered"
     });
     world.check();
 }
 
 #[test]
 fn an_outage_of_the_platform_stops_no_call_and_no_task() {
-    let mut world = running(3);
+    let mut world = running_cell(3);
     world.platform.change_faults(|faults| faults.down = true);
     wait("every VM has noticed", || {
         (0..3).all(|n| world.status(n).is_some_and(|s| !s.platform))
     });
     for n in 0..3 {
-        let answer = world.call(n, "vent-check", Some(&key()));
+        let answer = world.call(n, "vent-check", Some(&new_key()));
         assert_eq!(answer.outcome, "answered", "{answer:?}");
     }
     // A VM that dies during the outage is replaced without the platform.
@@ -393,7 +395,7 @@
     let _ = world.daemons[holder].child.wait();
     let entry = (holder + 1) % 3;
     wait("another VM serves vent checks", || {
-        world.call(entry, "vent-check", Some(&key())).outcome == "answered"
+        world.call(entry, "vent-check", Some(&new_key())).outcome == "answered"
     });
     assert_eq!(world.tasks(), 10);
     // A new VM starts from the values that its peers know.
@@ -421,13 +423,13 @@
 
 #[test]
 fn a_planned_stop_under_load_cuts_no_call() {
-    let mut world = running(4);
+    let mut world = running_cell(4);
     let holder = world.holder("calls-0");
     for executor in &world.executors {
         executor.hold(true);
     }
     let ip = world.daemons[holder].ip.clone();
-    let sent = key();
+    let sent = new_key();
     let running = {
         let (ip, sent) = (ip.clone(), sent.clone());
         std::thread::spawn(move || call(&ip, "invitation", Some(&sent), 5))
@@ -458,7 +460,7 @@
 
 #[test]
 fn of_two_operators_one_wins_and_the_other_is_told() {
-    let world = running(5);
+    let world = running_cell(5);
     let first = FILE.replace("tasks = 4", "tasks = 5");
     let second = FILE.replace("tasks = 4", "tasks = 6");
     let before = world.status(0).expect("a status").config;
@@ -484,7 +486,7 @@
 
 #[test]
 fn an_apply_whose_answer_is_lost_is_settled_by_reading_back() {
-    let world = running(6);
+    let world = running_cell(6);
     world.platform.change_faults(|faults| faults.lose_answers = 1);
     let (code, text) = world.apply(&FILE.replace("tasks = 4", "tasks = 5"));
     assert_eq!(code, client::DONE, "{text}");
@@ -494,7 +496,7 @@
 
 #[test]
 fn foreign_and_garbage_peers_are_refused_without_harm() {
-    let world = running(7);
+    let world = running_cell(7);
     let ip = world.daemons[0].ip.clone();
     let addr: std::net::SocketAddr =
         format!("{ip}:8081").parse().expect("an address");
@@ -519,14 +521,14 @@
     let refusal = refusal.expect_err("a stranger is refused");
     assert!(!refusal.sent);
     assert!(refusal.problem.contains("--cell"), "{}", refusal.problem);
-    let answer = world.call(0, "vent-check", Some(&key()));
+    let answer = world.call(0, "vent-check", Some(&new_key()));
     assert_eq!(answer.outcome, "answered", "{answer:?}");
     world.check();
 }
 
 #[test]
 fn bad_requests_get_a_typed_refusal() {
-    let world = running(8);
+    let world = running_cell(8);
     let cases = [
         ("vent-check", None, "no-key"),
         ("vent-check", Some("not-a-uuid"), "bad-key"),
@@ -561,7 +563,7 @@
 
 #[test]
 fn a_leaving_executor_gets_no_new_calls() {
-    let world = running(9);
+    let world = running_cell(9);
     world.executors[0].leave();
     let holder = world.holder("calls-0");
     wait("its holder has noticed", || {
@@ -571,7 +573,7 @@
     });
     let before = world.executors[0].record().after_leaving;
     for n in 0..30 {
-        let answer = world.call(n % 3, "vent-check", Some(&key()));
+        let answer = world.call(n % 3, "vent-check", Some(&new_key()));
         assert_eq!(answer.outcome, "answered", "{answer:?}");
     }
     assert_eq!(world.executors[0].record().after_leaving, before);
@@ -580,7 +582,7 @@
 
 #[test]
 fn operators_see_the_cell_and_stop_a_vm() {
-    let mut world = running(10);
+    let mut world = running_cell(10);
     let (code, text) = world.client(&["status", "--secret", SECRET]);
     assert_eq!(code, client::DONE, "{text}");
     for part in ["holds calls-0", "holds tasks", "job clima-api"] {
@@ -606,7 +608,7 @@
     assert!(ended.success(), "{ended}");
     let entry = (stopped + 1) % 3;
     wait("the others serve vent checks", || {
-        world.call(entry, "vent-check", Some(&key())).outcome == "answered"
+        world.call(entry, "vent-check", Some(&new_key())).outcome == "answered"
     });
     assert_eq!(world.tasks(), 10);
     world.check();
