--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,8 +1,8 @@
-//! Real processes and sockets: `puffinknotd` as it is shipped, with the
-//! stand-ins of the platform and of targets on threads of the test.
+//! Tests with real processes and sockets: the `puffinknotd` binary, with
+//! stand-ins for the platform and the targets on threads of the test.
 //!
-//! Every wait is for an event, with a limit only so that a fault ends the
-//! test.
+//! Each wait is for a condition; its time limit only ends a test that would
+//! otherwise hang.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -23,10 +23,10 @@
 use uuid::Uuid;
 
 const SECRET: &str = "process-secret";
-const LIMIT: Duration = Duration::from_secs(60);
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 const FILE: &str = include_str!("../examples/litoral.toml");
 
-/// A daemon process.
+/// A running `puffinknotd` process.
 struct Daemon {
     name: String,
     child: Child,
@@ -51,7 +51,8 @@
     }
 }
 
-/// A cell of processes, with one data centre unless a test adds more.
+/// A cell of daemon processes and stand-ins. It has one data centre unless a
+/// test adds more.
 struct World {
     platform: Platform,
     base: String,
@@ -59,7 +60,8 @@
     workers: Vec<Worker>,
     daemons: Vec<Daemon>,
     servers: Vec<Running>,
-    /// The third number of the loopback addresses of this test.
+    /// The third octet of this test's loopback addresses, which keeps tests
+    /// apart.
     net: u8,
 }
 
@@ -112,7 +114,7 @@
         self.servers.push(server);
     }
 
-    /// Starts a daemon on an address of its own.
+    /// Starts a daemon on its own loopback address.
     fn start(&mut self, dc: &str, name: &str, host: u8) {
         let ip = format!("127.9.{}.{host}", self.net);
         let list = format!("{}/vms", self.base);
@@ -132,7 +134,7 @@
         self.daemons.push(Daemon { name: name.into(), child, ip });
     }
 
-    /// Runs the operators' client and returns its exit code and text.
+    /// Runs the command line client and returns its exit code and output.
     fn client(&self, args: &[&str]) -> (u8, String) {
         let cell = ["--platform", &self.base, "--cell", "local"];
         command(&[args, &cell].concat())
@@ -151,7 +153,8 @@
         status(&self.daemons[daemon].ip)
     }
 
-    /// Waits until every daemon of the list serves calls.
+    /// Waits until all contracts are settled, all daemons have a configuration
+    /// and all targets are ready.
     fn ready(&self) {
         wait("every contract is settled", || {
             let all: Vec<NodeStatus> = (0..self.daemons.len())
@@ -174,7 +177,7 @@
         });
     }
 
-    /// The daemon that holds a contract of its data centre.
+    /// The index of the daemon that holds a contract.
     fn holder(&self, scope: &str) -> usize {
         let holds = |n: &usize| {
             let status = self.status(*n);
@@ -189,7 +192,7 @@
         call(&self.daemons[daemon].ip, class, key, 5)
     }
 
-    /// The runs of a key over all executors.
+    /// The number of runs of a key on all executors.
     fn runs(&self, key: &str) -> u32 {
         let records = self.executors.iter().map(Executor::record);
         records.map(|r| r.keyed_runs.get(key).copied().unwrap_or(0)).sum()
@@ -212,7 +215,7 @@
     }
 }
 
-/// Runs a command of the operators' client.
+/// Runs a command of the command line client.
 fn command(args: &[&str]) -> (u8, String) {
     use clap::Parser;
     let all = [&["puffinknot"], args].concat();
@@ -223,7 +226,7 @@
     }
 }
 
-/// What a caller sees.
+/// The parts of a call's response that tests check.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Answer {
     outcome: String,
@@ -235,7 +238,7 @@
 fn wait(what: &str, mut done: impl FnMut() -> bool) {
     let start = Instant::now();
     while !done() {
-        assert!(start.elapsed() < LIMIT, "{what} did not happen");
+        assert!(start.elapsed() < WAIT_LIMIT, "{what} did not happen");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -287,12 +290,12 @@
     })
 }
 
-fn key() -> String {
+fn new_key() -> String {
     Uuid::now_v7().to_string()
 }
 
-/// A cell of three daemons that serves calls and runs tasks.
-fn running(net: u8) -> World {
+/// Creates a cell of three daemons that serves calls and runs tasks.
+fn running_cell(net: u8) -> World {
     let mut world = World::new(net);
     for _ in 0..2 {
         world.add_executor("goya");
@@ -304,9 +307,9 @@
     let (code, text) = world.apply(FILE);
     assert_eq!(code, client::DONE, "{text}");
     world.ready();
-    // Keys that were made before the contract was settled are not served.
+    // Calls whose keys are older than the settled contract are refused.
     wait("a vent check is answered", || {
-        world.call(0, "vent-check", Some(&key())).outcome == "answered"
+        world.call(0, "vent-check", Some(&new_key())).outcome == "answered"
     });
     wait("every task runs", || world.tasks() == 10);
     world
@@ -314,10 +317,10 @@
 
 #[test]
 fn a_killed_holder_is_replaced_and_nothing_runs_twice() {
-    let mut world = running(1);
+    let mut world = running_cell(1);
     let holder = world.holder("calls-0");
     let before = world.tasks();
-    let sent = key();
+    let sent = new_key();
     let entry = (holder + 1) % 3;
     assert_eq!(
         world.call(entry, "vent-check", Some(&sent)).outcome,
@@ -325,11 +328,11 @@
     );
     world.daemons[holder].child.kill().expect("it is killed");
     world.daemons[holder].child.wait().expect("it ends");
-    // A resend is never run again, whoever is asked and whenever.
+    // A resent call never runs again, at any VM and at any time.
     let again = world.call(entry, "vent-check", Some(&sent));
     assert_eq!(again.outcome, "unknown", "{again:?}");
     wait("a new holder serves vent checks", || {
-        world.call(entry, "vent-check", Some(&key())).outcome == "answered"
+        world.call(entry, "vent-check", Some(&new_key())).outcome == "answered"
     });
     let again = world.call(entry, "vent-check", Some(&sent));
     assert_eq!(again.outcome, "unknown", "{again:?}");
@@ -340,7 +343,7 @@
 
 #[test]
 fn a_frozen_holder_that_wakes_does_no_harm() {
-    let world = running(2);
+    let world = running_cell(2);
     let holder = world.holder("calls-0");
     let others: Vec<usize> = (0..3).filter(|n| *n != holder).collect();
     world.daemons[holder].signal("-STOP");
@@ -355,12 +358,13 @@
         })
     });
     wait("it serves vent checks", || {
-        world.call(others[0], "vent-check", Some(&key())).outcome == "answered"
+        world.call(others[0], "vent-check", Some(&new_key())).outcome
+            == "answered"
     });
     world.daemons[holder].signal("-CONT");
-    // The old holder is asked at once, while it may still know of nothing.
+    // Calls the old holder at once, while it may not know of its successor.
     for _ in 0..20 {
-        let sent = key();
+        let sent = new_key();
         let answer = world.call(holder, "vent-check", Some(&sent));
         if answer.outcome == "not-run" {
             assert_eq!(world.runs(&sent), 0);
@@ -368,32 +372,33 @@
         assert!(world.runs(&sent) <= 1);
     }
     wait("it serves as an entry VM again", || {
-        world.call(holder, "vent-check", Some(&key())).outcome == "answered"
+        world.call(holder, "vent-check", Some(&new_key())).outcome
+            == "answered"
     });
     world.check();
 }
 
 #[test]
 fn an_outage_of_the_platform_stops_no_call_and_no_task() {
-    let mut world = running(3);
+    let mut world = running_cell(3);
     world.platform.change_faults(|faults| faults.down = true);
     wait("every VM has noticed", || {
         (0..3).all(|n| world.status(n).is_some_and(|s| !s.platform))
     });
     for n in 0..3 {
-        let answer = world.call(n, "vent-check", Some(&key()));
+        let answer = world.call(n, "vent-check", Some(&new_key()));
         assert_eq!(answer.outcome, "answered", "{answer:?}");
     }
-    // A VM that dies meanwhile is replaced without the platform.
+    // A VM that dies during the outage is replaced without the platform.
     let holder = world.holder("calls-0");
     world.daemons[holder].child.kill().expect("it is killed");
     let _ = world.daemons[holder].child.wait();
     let entry = (holder + 1) % 3;
     wait("another VM serves vent checks", || {
-        world.call(entry, "vent-check", Some(&key())).outcome == "answered"
+        world.call(entry, "vent-check", Some(&new_key())).outcome == "answered"
     });
     assert_eq!(world.tasks(), 10);
-    // A fresh VM starts from what its peers know.
+    // A new VM starts from the values that its peers know.
     let dead = world.daemons.remove(holder);
     drop(dead);
     world.start("goya", "goya-4", 4);
@@ -418,13 +423,13 @@
 
 #[test]
 fn a_planned_stop_under_load_cuts_no_call() {
-    let mut world = running(4);
+    let mut world = running_cell(4);
     let holder = world.holder("calls-0");
     for executor in &world.executors {
         executor.set_replies_held(true);
     }
     let ip = world.daemons[holder].ip.clone();
-    let sent = key();
+    let sent = new_key();
     let running = {
         let (ip, sent) = (ip.clone(), sent.clone());
         std::thread::spawn(move || call(&ip, "invitation", Some(&sent), 5))
@@ -446,7 +451,7 @@
         executor.set_replies_held(false);
     }
     assert_eq!(unkeyed.join().expect("an answer").outcome, "answered");
-    // The invitation's home is in a data centre without any VM here.
+    // The invitation's home is in a data centre without VMs in this test.
     assert_eq!(running.join().expect("an answer").outcome, "unknown");
     let ended = world.daemons[holder].child.wait().expect("it ends");
     assert!(ended.success(), "{ended}");
@@ -455,13 +460,13 @@
 
 #[test]
 fn of_two_operators_one_wins_and_the_other_is_told() {
-    let world = running(5);
+    let world = running_cell(5);
     let first = FILE.replace("tasks = 4", "tasks = 5");
     let second = FILE.replace("tasks = 4", "tasks = 6");
     let before = world.status(0).expect("a status").config;
     let (code, _) = world.apply(&first);
     assert_eq!(code, client::DONE);
-    // The other operator had looked at the revision before.
+    // The other operator read the revision before the first one's change.
     let path = std::env::temp_dir()
         .join(format!("puffinknot-{}.toml", Uuid::new_v4()));
     std::fs::write(&path, &second).expect("a temporary file");
@@ -481,7 +486,7 @@
 
 #[test]
 fn an_apply_whose_answer_is_lost_is_settled_by_reading_back() {
-    let world = running(6);
+    let world = running_cell(6);
     world.platform.change_faults(|faults| faults.lose_answers = 1);
     let (code, text) = world.apply(&FILE.replace("tasks = 4", "tasks = 5"));
     assert_eq!(code, client::DONE, "{text}");
@@ -491,7 +496,7 @@
 
 #[test]
 fn foreign_and_garbage_peers_are_refused_without_harm() {
-    let world = running(7);
+    let world = running_cell(7);
     let ip = world.daemons[0].ip.clone();
     let addr: std::net::SocketAddr =
         format!("{ip}:8081").parse().expect("an address");
@@ -516,14 +521,14 @@
     let refusal = refusal.expect_err("a stranger is refused");
     assert!(!refusal.sent);
     assert!(refusal.problem.contains("--cell"), "{}", refusal.problem);
-    let answer = world.call(0, "vent-check", Some(&key()));
+    let answer = world.call(0, "vent-check", Some(&new_key()));
     assert_eq!(answer.outcome, "answered", "{answer:?}");
     world.check();
 }
 
 #[test]
 fn bad_requests_get_a_typed_refusal() {
-    let world = running(8);
+    let world = running_cell(8);
     let cases = [
         ("vent-check", None, "no-key"),
         ("vent-check", Some("not-a-uuid"), "bad-key"),
@@ -544,7 +549,7 @@
         response.map(|response| response.status().as_u16())
     });
     assert_eq!(status.expect("an answer"), 413);
-    // A sender that stops in the middle holds nothing up.
+    // A client that stops in the middle of a request blocks no other.
     let mut slow =
         TcpStream::connect(format!("{ip}:8080")).expect("connected");
     let head = "POST /call/overnight HTTP/1.1\r\nhost: x\r\n\
@@ -558,7 +563,7 @@
 
 #[test]
 fn a_leaving_executor_gets_no_new_calls() {
-    let world = running(9);
+    let world = running_cell(9);
     world.executors[0].leave();
     let holder = world.holder("calls-0");
     wait("its holder has noticed", || {
@@ -568,7 +573,7 @@
     });
     let before = world.executors[0].record().after_leaving;
     for n in 0..30 {
-        let answer = world.call(n % 3, "vent-check", Some(&key()));
+        let answer = world.call(n % 3, "vent-check", Some(&new_key()));
         assert_eq!(answer.outcome, "answered", "{answer:?}");
     }
     assert_eq!(world.executors[0].record().after_leaving, before);
@@ -577,7 +582,7 @@
 
 #[test]
 fn operators_see_the_cell_and_stop_a_vm() {
-    let mut world = running(10);
+    let mut world = running_cell(10);
     let (code, text) = world.client(&["status", "--secret", SECRET]);
     assert_eq!(code, client::DONE, "{text}");
     for part in ["holds calls-0", "holds tasks", "job clima-api"] {
@@ -603,7 +608,7 @@
     assert!(ended.success(), "{ended}");
     let entry = (stopped + 1) % 3;
     wait("the others serve vent checks", || {
-        world.call(entry, "vent-check", Some(&key())).outcome == "answered"
+        world.call(entry, "vent-check", Some(&new_key())).outcome == "answered"
     });
     assert_eq!(world.tasks(), 10);
     world.check();
