--- a/puffinknot-measure/src/leader.rs
+++ b/puffinknot-measure/src/leader.rs
@@ -1,11 +1,11 @@
 /*!
-The decisions of a cell's leader at the size of a fleet, in virtual time.
+Measures a cell's leader in virtual time, at the size of a fleet.
 
-Executors, store and advice are fakes that answer after fixed times. What the
-leader takes in within one millisecond is one turn, as in a node. Each turn is
-timed, and the clock goes on by what it took: a leader that can't keep up is
-late, and shows it by answers that it no longer counts. So what grows faster
-than the fleet is found without processes.
+Executors, store and advisors are simulated and answer after fixed delays. All
+events of one millisecond are handled in one iteration of the event loop, as in
+a node. The virtual clock advances by the real time of each iteration, so that
+a leader that can't keep up receives answers after their timeout. This finds
+costs that grow faster than the fleet without starting processes.
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,89 +30,99 @@
 
 mod load;
 
-use self::load::{Load, WIDE_ONE_IN};
+use self::load::{Load, JOBS_PER_WIDE_JOB};
 
-/// The way to an executor and back, in milliseconds.
-const WAY: Millis = 2;
-/// The time of a write, in milliseconds.
-const WRITE: Millis = 6;
-/// An answer that takes longer is not counted, in milliseconds.
+/// The network round trip to an executor, in milliseconds.
+const ROUND_TRIP: Millis = 2;
+/// How long a write to the store takes, in milliseconds.
+const WRITE_TIME: Millis = 6;
+/// The delay from which the node counts a renewal as unanswered, in
+/// milliseconds.
 const ORDER_TIMEOUT: Millis = 300;
-/// How often the leader is told that time has passed, in milliseconds.
-const TICK: Millis = 50;
-/// So many executors bring one job a second.
-const EXECUTORS_A_JOB: u64 = 75;
-/// So many executors have one node.
-const EXECUTORS_A_NODE: usize = 10;
-/// How long the cell runs before its leader is replaced, in milliseconds.
-const CALM: Millis = 6_000;
-/// How long a successor is looked at, in milliseconds.
-const AFTER: Millis = 8_000;
-/// A crowded cell gets so many times the jobs of a calm one.
-const CROWD_TIMES: u64 = 10;
-/// The longest turn that is told from longer ones, in nanoseconds.
-const LONGEST_TURN: u64 = 60_000_000_000;
-/// The executors of a cell with a backlog.
+/// The interval between timer events for the leader, in milliseconds.
+const TICK_INTERVAL: Millis = 50;
+/// The number of executors for each job submitted per second.
+const EXECUTORS_PER_JOB_PER_S: u64 = 75;
+/// The number of executors for each node.
+const EXECUTORS_PER_NODE: usize = 10;
+/// How long a cell is measured without a takeover, in milliseconds.
+const MEASURED_TIME: Millis = 6_000;
+/// How long a cell is measured from a takeover on, in milliseconds.
+const TAKEOVER_TIME: Millis = 8_000;
+/// The job rate of an overloaded cell, as a multiple of the normal rate.
+const OVERLOAD_FACTOR: u64 = 10;
+/// The longest iteration that the histograms distinguish, in nanoseconds.
+const MAX_ITERATION_NS: u64 = 60_000_000_000;
+/// The number of executors of a cell with a backlog.
 const BACKLOG_EXECUTORS: usize = 1_000;
-/// The jobs that it gets a second.
-const BACKLOG_PER_S: u64 = 100;
-/// The wide jobs that a cell with a backlog begins with.
-const BACKLOG_JOBS: [usize; 2] = [150, 300];
-/// What was decided is told in a number below this.
-const DIGEST: u64 = 1_000_000;
-/// How long a backlog builds up before it is measured, in milliseconds.
-const BACKLOG_AFTER: Millis = 6_000;
-/// The share of executors that may run a step.
-const GOOD: f64 = 0.4;
-
+/// The jobs submitted per second to a cell with a backlog.
+const BACKLOG_JOBS_PER_S: u64 = 100;
+/// The numbers of wide jobs submitted at once to form a backlog.
+const BACKLOG_WIDE_JOBS: [usize; 2] = [150, 300];
+/// The digest of started runs is reported modulo this number.
+const DIGEST_LIMIT: u64 = 1_000_000;
+/// How long a cell with a backlog runs before it is measured, in milliseconds.
+const BACKLOG_WARMUP: Millis = 6_000;
+/// The probability that an advisor finds an executor suitable for a step.
+const SUITABLE_FRACTION: f64 = 0.4;
+
+/// The state of a simulated executor.
 #[derive(Default)]
-struct There {
+struct SimulatedExecutor {
     running: BTreeMap<TaskKey, u64>,
     ended: Vec<EndReport>,
-    numbers: u64,
-    /// The hold that waits there, and since when.
-    waiting: Option<(Millis, u64)>,
+    end_count: u64,
+    /// The lease renewal that awaits its answer: the time when it was sent,
+    /// and the executor's index.
+    pending_renewal: Option<(Millis, u64)>,
 }
 
-enum Next {
-    Tell(Event),
-    /// A hold is over, if it still waits.
-    HoldOver(usize, ExecutorIndex, u64),
-    /// A run is done.
+/// What happens at a scheduled time.
+enum Scheduled {
+    /// The leader receives an event.
+    Deliver(Event),
+    /// The waiting time of a lease renewal has passed. Has no effect if the
+    /// renewal has been answered before.
+    RenewalExpired(usize, ExecutorIndex, u64),
+    /// A run has finished.
     Done(usize, TaskKey, u64),
 }
 
-/// A cell without processes.
+/// A leader with the simulated rest of its cell.
 struct Cell {
     load: Load,
     now: Millis,
-    /// Whether the clock goes on by what turns take. Else what is decided
-    /// depends on the seed alone, and busy tells what it costs.
-    counts_turns: bool,
-    /// What turns took and is not yet a whole millisecond, in nanoseconds.
-    behind: u64,
+    /// Whether the clock advances by the real time of iterations. If not, the
+    /// decisions depend on the seed alone, and `busy_ns` still shows their
+    /// cost.
+    charges_time: bool,
+    /// The iteration time not yet added to the clock, which advances in whole
+    /// milliseconds; in nanoseconds.
+    uncharged_ns: u64,
     scheduler: Scheduler,
     policy: Arc<Policy>,
     token: u64,
-    executors: Vec<There>,
+    executors: Vec<SimulatedExecutor>,
     infos: Vec<ExecutorInfo>,
     by_id: BTreeMap<String, usize>,
     store: BTreeMap<String, Vec<u8>>,
-    queue: BTreeMap<(Millis, u64), Next>,
-    order: u64,
-    /// How long tasks of each step take.
-    works: BTreeMap<JobId, Vec<Millis>>,
+    queue: BTreeMap<(Millis, u64), Scheduled>,
+    sequence: u64,
+    /// The task run time of each step of a job.
+    durations: BTreeMap<JobId, Vec<Millis>>,
     random: StdRng,
-    turns: Histogram<u64>,
-    busy: u64,
+    iterations: Histogram<u64>,
+    busy_ns: u64,
     events: u64,
-    late: u64,
-    /// How much later than their arrival accounts are taken in.
-    heard_after: Histogram<u64>,
+    late_answers: u64,
+    /// The time from the arrival of executor reports until they are handled,
+    /// in milliseconds.
+    report_delay: Histogram<u64>,
     starts: u64,
-    /// Tells whether two runs have started the same in the same order.
-    decided: DefaultHasher,
-    heard: BTreeSet<ExecutorIndex>,
+    /// A digest of the started tasks, their executors, times and order, which
+    /// shows whether two simulations made the same decisions.
+    start_digest: DefaultHasher,
+    heard_executors: BTreeSet<ExecutorIndex>,
     largest_value: usize,
     next_job: u64,
     refused: u64,
@@ -134,7 +144,7 @@
     fn new(
         executors: usize,
         load: Load,
-        counts_turns: bool,
+        charges_time: bool,
         seed: u64,
     ) -> Cell {
         let policy = Arc::new(load.policy());
@@ -159,79 +169,83 @@
             })
             .collect();
         let by_id = infos.iter().enumerate();
-        let by_id = by_id.map(|(at, info)| (info.id.clone(), at));
+        let by_id = by_id.map(|(position, info)| (info.id.clone(), position));
         let histogram = || {
-            Histogram::new_with_max(LONGEST_TURN, 3)
+            Histogram::new_with_max(MAX_ITERATION_NS, 3)
                 .unwrap_or_else(|_| unreachable!("the bounds are constant"))
         };
         let mut cell = Cell {
             load,
             now: 1_000,
-            counts_turns,
-            behind: 0,
+            charges_time,
+            uncharged_ns: 0,
             scheduler: Scheduler::new(config(1), policy.clone()),
             policy,
             token: 1,
-            executors: infos.iter().map(|_| There::default()).collect(),
+            executors: infos
+                .iter()
+                .map(|_| SimulatedExecutor::default())
+                .collect(),
             by_id: by_id.collect(),
             infos,
             store: BTreeMap::new(),
             queue: BTreeMap::new(),
-            order: 0,
-            works: BTreeMap::new(),
+            sequence: 0,
+            durations: BTreeMap::new(),
             random: StdRng::seed_from_u64(seed),
-            turns: histogram(),
-            busy: 0,
+            iterations: histogram(),
+            busy_ns: 0,
             events: 0,
-            late: 0,
-            heard_after: histogram(),
+            late_answers: 0,
+            report_delay: histogram(),
             starts: 0,
-            decided: DefaultHasher::new(),
-            heard: BTreeSet::new(),
+            start_digest: DefaultHasher::new(),
+            heard_executors: BTreeSet::new(),
             largest_value: 0,
             next_job: 0,
             refused: 0,
         };
-        cell.tell_all();
+        cell.announce_executors();
         cell
     }
 
-    /// Tells the leader of all executors, and of the nodes.
-    fn tell_all(&mut self) {
-        let nodes = self.infos.len() / EXECUTORS_A_NODE;
+    /// Announces all nodes and executors to the leader.
+    fn announce_executors(&mut self) {
+        let nodes = self.infos.len() / EXECUTORS_PER_NODE;
         let nodes = (0..nodes).map(|number| format!("n{number}"));
         let mut events = vec![Event::Advisors(nodes.collect())];
         events.extend(self.infos.iter().cloned().map(Event::Listed));
         events.push(Event::EntriesRead);
-        self.turn(events);
+        self.run_iteration(events);
     }
 
-    fn later(&mut self, after: Millis, next: Next) {
-        self.order += 1;
-        self.queue.insert((self.now + after, self.order), next);
+    fn schedule(&mut self, after: Millis, next: Scheduled) {
+        self.sequence += 1;
+        self.queue.insert((self.now + after, self.sequence), next);
     }
 
-    /// What the leader does with these events, timed.
-    fn turn(&mut self, events: Vec<Event>) {
-        let began = Instant::now();
+    /// Lets the leader handle events in one timed iteration, and performs its
+    /// actions.
+    fn run_iteration(&mut self, events: Vec<Event>) {
+        let start = Instant::now();
         let mut actions = Vec::new();
         self.events += events.len() as u64;
         for event in events {
             actions.extend(self.scheduler.handle(event, self.now));
         }
-        let advances = Instant::now();
+        let advance_start = Instant::now();
         actions.extend(self.scheduler.advance(self.now));
-        let advance = advances.elapsed();
-        let took = began.elapsed().as_nanos() as u64;
-        self.turns.saturating_record(took);
-        self.busy += took;
-        if self.counts_turns {
-            self.behind += took;
+        let advance = advance_start.elapsed();
+        let took = start.elapsed().as_nanos() as u64;
+        self.iterations.saturating_record(took);
+        self.busy_ns += took;
+        if self.charges_time {
+            self.uncharged_ns += took;
         }
-        let whole = self.behind / 1_000_000;
-        self.behind %= 1_000_000;
-        self.now += whole;
-        if self.counts_turns {
+        let charged_ms = self.uncharged_ns / 1_000_000;
+        self.uncharged_ns %= 1_000_000;
+        self.now += charged_ms;
+        if self.charges_time {
             self.scheduler.record_advance_time(advance, self.now);
         }
         let slowest = self.slowest(&actions);
@@ -240,20 +254,20 @@
         }
     }
 
-    /// How long each run takes by the slowest of its executors: the members
+    /// Returns the slowness of the slowest executor of each run: the members
     /// of a gang end together.
     fn slowest(&self, actions: &[Action]) -> BTreeMap<u64, f64> {
         let mut slowest = BTreeMap::new();
         for action in actions {
             let Action::Start { executor, run, .. } = action else { continue };
-            let Some(at) = self.at(*executor) else { continue };
-            let slow = slowest.entry(*run).or_insert(0.0_f64);
-            *slow = slow.max(self.load.slowness(at));
+            let Some(position) = self.position(*executor) else { continue };
+            let slowness = slowest.entry(*run).or_insert(0.0_f64);
+            *slowness = slowness.max(self.load.slowness(position));
         }
         slowest
     }
 
-    fn at(&self, executor: ExecutorIndex) -> Option<usize> {
+    fn position(&self, executor: ExecutorIndex) -> Option<usize> {
         let known = self.scheduler.executor(executor)?;
         self.by_id.get(&known.info.id).copied()
     }
@@ -263,57 +277,60 @@
             Action::RenewLease {
                 executor, sent_at, last_seen, wait, ..
             } => {
-                let Some(at) = self.at(executor) else { return };
-                let there = &mut self.executors[at];
-                there.ended.retain(|end| end.number > last_seen);
-                let quick = !there.ended.is_empty() || wait == 0;
+                let Some(position) = self.position(executor) else { return };
+                let simulated = &mut self.executors[position];
+                simulated.ended.retain(|end| end.number > last_seen);
+                let immediate = !simulated.ended.is_empty() || wait == 0;
                 if wait > 0 {
-                    there.waiting = Some((sent_at, u64::from(executor)));
+                    simulated.pending_renewal =
+                        Some((sent_at, u64::from(executor)));
                 }
-                if quick {
-                    self.answer_hold(at, executor, sent_at);
+                if immediate {
+                    self.answer_renewal(position, executor, sent_at);
                 } else {
-                    let over = Next::HoldOver(at, executor, sent_at);
-                    self.later(wait, over);
+                    let span =
+                        Scheduled::RenewalExpired(position, executor, sent_at);
+                    self.schedule(wait, span);
                 }
             }
             Action::Start { executor, task, run, .. } => {
-                let Some(at) = self.at(executor) else { return };
+                let Some(position) = self.position(executor) else { return };
                 self.starts += 1;
-                (executor, task, self.now).hash(&mut self.decided);
-                self.executors[at].running.insert(task, run);
-                let works = &self.works[&task.step.job];
-                let work = works[task.step.step as usize] as f64;
-                let work = (work * slowest[&run]) as Millis;
-                self.later(work, Next::Done(at, task, run));
+                (executor, task, self.now).hash(&mut self.start_digest);
+                self.executors[position].running.insert(task, run);
+                let durations = &self.durations[&task.step.job];
+                let duration = durations[task.step.step as usize] as f64;
+                let duration = (duration * slowest[&run]) as Millis;
+                self.schedule(duration, Scheduled::Done(position, task, run));
                 let answer = Ok(None);
                 let event =
                     Event::StartAnswered { executor, task, run, answer };
-                self.later(WAY, Next::Tell(event));
+                self.schedule(ROUND_TRIP, Scheduled::Deliver(event));
             }
             Action::Stop { executor, task, run } => {
-                let Some(at) = self.at(executor) else { return };
-                self.end(at, task, run, EndKind::Stopped);
+                let Some(position) = self.position(executor) else { return };
+                self.end_run(position, task, run, EndKind::Stopped);
                 let event = Event::StopAnswered {
                     executor,
                     task,
                     run,
                     answer: Ok(()),
                 };
-                self.later(WAY, Next::Tell(event));
+                self.schedule(ROUND_TRIP, Scheduled::Deliver(event));
             }
             Action::Advise { call, executors, .. } => {
                 let cost = 20 + executors.len() as Millis;
                 let random = &mut self.random;
-                let good = executors.into_iter();
-                let good = good.filter(|_| random.random_bool(GOOD));
-                let rows = good.map(|executor| AdvisedExecutor {
+                let suitable = executors.into_iter();
+                let suitable =
+                    suitable.filter(|_| random.random_bool(SUITABLE_FRACTION));
+                let rows = suitable.map(|executor| AdvisedExecutor {
                     executor,
                     ticket: "t".into(),
                 });
                 let answer = Ok(rows.collect());
                 let event = Event::Advised { call, answer };
-                self.later(cost, Next::Tell(event));
+                self.schedule(cost, Scheduled::Deliver(event));
             }
             Action::Commit(changes) => {
                 for change in changes {
@@ -328,28 +345,31 @@
                         }
                     }
                 }
-                self.later(WRITE, Next::Tell(Event::Committed));
+                self.schedule(
+                    WRITE_TIME,
+                    Scheduled::Deliver(Event::Committed),
+                );
             }
             Action::Reply { outcome: Outcome::Refused(_), .. } => {
                 self.refused += 1;
             }
             Action::ExecutorHeard { id, .. } => {
-                if let Some(at) = self.by_id.get(&id) {
-                    self.heard.insert(*at as ExecutorIndex);
+                if let Some(position) = self.by_id.get(&id) {
+                    self.heard_executors.insert(*position as ExecutorIndex);
                 }
             }
             _ => {}
         }
     }
 
-    fn answer_hold(
+    fn answer_renewal(
         &mut self,
-        at: usize,
+        position: usize,
         executor: ExecutorIndex,
         sent_at: Millis,
     ) {
-        let there = &mut self.executors[at];
-        there.waiting = None;
+        let simulated = &mut self.executors[position];
+        simulated.pending_renewal = None;
         let row = |(task, run): (&TaskKey, &u64)| RunReport {
             task: *task,
             run: *run,
@@ -360,31 +380,37 @@
         let answer = ExecutorReport {
             born: None,
             clock: self.now,
-            running: there.running.iter().map(row).collect(),
-            ended: there.ended.clone(),
+            running: simulated.running.iter().map(row).collect(),
+            ended: simulated.ended.clone(),
             more_ended: false,
         };
         let event =
             Event::RenewalAnswered { executor, sent_at, answer: Ok(answer) };
-        self.later(WAY, Next::Tell(event));
+        self.schedule(ROUND_TRIP, Scheduled::Deliver(event));
     }
 
-    fn end(&mut self, at: usize, task: TaskKey, run: u64, how: EndKind) {
-        let there = &mut self.executors[at];
-        if there.running.get(&task) != Some(&run) {
+    fn end_run(
+        &mut self,
+        position: usize,
+        task: TaskKey,
+        run: u64,
+        how: EndKind,
+    ) {
+        let simulated = &mut self.executors[position];
+        if simulated.running.get(&task) != Some(&run) {
             return;
         }
-        there.running.remove(&task);
-        there.numbers += 1;
-        there.ended.push(EndReport {
-            number: there.numbers,
+        simulated.running.remove(&task);
+        simulated.end_count += 1;
+        simulated.ended.push(EndReport {
+            number: simulated.end_count,
             task,
             run,
             how,
             checkpoint: String::new(),
         });
-        if let Some((sent_at, executor)) = there.waiting {
-            self.answer_hold(at, executor as ExecutorIndex, sent_at);
+        if let Some((sent_at, executor)) = simulated.pending_renewal {
+            self.answer_renewal(position, executor as ExecutorIndex, sent_at);
         }
     }
 
@@ -392,17 +418,17 @@
         self.submit_next(1)
     }
 
-    /// Hands in the next job whose number is a multiple of this.
-    fn submit_next(&mut self, of: u64) -> Event {
-        self.next_job = (self.next_job / of + 1) * of;
-        let (job, works) = self.load.job(self.next_job, &mut self.random);
-        self.works.insert(job.id, works);
+    /// Submits the next job whose number is a multiple of `multiple_of`.
+    fn submit_next(&mut self, multiple_of: u64) -> Event {
+        self.next_job = (self.next_job / multiple_of + 1) * multiple_of;
+        let (job, durations) = self.load.job(self.next_job, &mut self.random);
+        self.durations.insert(job.id, durations);
         let request = Request::Submit(job);
         let id = self.next_job;
         Event::Request { id, caller: Caller::default(), request }
     }
 
-    /// Lets time pass until then, with `per_second` jobs a second.
+    /// Simulates until a time, with `per_second` jobs submitted per second.
     fn run(&mut self, until: Millis, per_second: u64) {
         let mut next_job = self.now * 1_000;
         let mut next_tick = self.now;
@@ -419,46 +445,53 @@
                     break;
                 }
                 let next = entry.remove();
-                self.happen(next, due, &mut events);
+                self.process(next, due, &mut events);
             }
             if self.now >= next_tick {
-                next_tick = self.now + TICK;
+                next_tick = self.now + TICK_INTERVAL;
                 self.scheduler.confirm_leadership(self.now);
                 events.push(Event::Tick);
             }
             if !events.is_empty() {
-                self.turn(events);
+                self.run_iteration(events);
             }
         }
     }
 
-    fn happen(&mut self, next: Next, due: Millis, events: &mut Vec<Event>) {
+    fn process(
+        &mut self,
+        next: Scheduled,
+        due: Millis,
+        events: &mut Vec<Event>,
+    ) {
         match next {
-            Next::Tell(event) => events.push(self.in_time(event, due)),
-            Next::Done(at, task, run) => {
-                self.end(at, task, run, EndKind::Done);
+            Scheduled::Deliver(event) => {
+                events.push(self.apply_order_timeout(event, due))
+            }
+            Scheduled::Done(position, task, run) => {
+                self.end_run(position, task, run, EndKind::Done);
             }
-            Next::HoldOver(at, executor, sent_at) => {
-                let waits = self.executors[at].waiting;
-                if waits == Some((sent_at, u64::from(executor))) {
-                    self.answer_hold(at, executor, sent_at);
+            Scheduled::RenewalExpired(position, executor, sent_at) => {
+                let pending = self.executors[position].pending_renewal;
+                if pending == Some((sent_at, u64::from(executor))) {
+                    self.answer_renewal(position, executor, sent_at);
                 }
             }
         }
     }
 
-    /// An answer as the leader's node takes it, which has given up one that
-    /// comes too late.
-    fn in_time(&mut self, event: Event, due: Millis) -> Event {
+    /// Replaces a successful renewal answer that is handled after the order
+    /// timeout by a failure, as the leader's node has given up waiting for it.
+    fn apply_order_timeout(&mut self, event: Event, due: Millis) -> Event {
         if matches!(event, Event::RenewalAnswered { .. }) {
-            self.heard_after.saturating_record(self.now - due);
+            self.report_delay.saturating_record(self.now - due);
         }
         if self.now < due + ORDER_TIMEOUT {
             return event;
         }
         match event {
             Event::RenewalAnswered { executor, sent_at, answer: Ok(_) } => {
-                self.late += 1;
+                self.late_answers += 1;
                 let answer = Err(OrderFailure::Unknown);
                 Event::RenewalAnswered { executor, sent_at, answer }
             }
@@ -466,10 +499,10 @@
         }
     }
 
-    /// Another node leads, with what stands in the store.
+    /// Replaces the leader by one that restores its state from the store.
     fn take_over(&mut self) {
         self.token += 1;
-        let kept: Vec<StoredValue> = self
+        let stored: Vec<StoredValue> = self
             .store
             .iter()
             .map(|(name, value)| StoredValue {
@@ -478,45 +511,46 @@
                 revision: 0,
             })
             .collect();
-        // Answers to the former leader reach nobody.
-        self.queue.retain(|_, next| matches!(next, Next::Done(..)));
-        for there in &mut self.executors {
-            there.waiting = None;
+        // Answers to the previous leader are lost.
+        self.queue.retain(|_, next| matches!(next, Scheduled::Done(..)));
+        for simulated in &mut self.executors {
+            simulated.pending_renewal = None;
         }
         let config = config(self.token);
         let policy = self.policy.clone();
-        let began = Instant::now();
-        let restored = Scheduler::restore(config, policy, &kept, self.now);
-        let took = began.elapsed();
+        let start = Instant::now();
+        let restored = Scheduler::restore(config, policy, &stored, self.now);
+        let took = start.elapsed();
         self.now += took.as_millis() as Millis;
         self.scheduler = restored.unwrap_or_else(|problem| {
-            unreachable!("what was written is read: {problem}")
+            unreachable!("the stored state is valid: {problem}")
         });
-        self.heard.clear();
-        self.tell_all();
+        self.heard_executors.clear();
+        self.announce_executors();
     }
 
-    /// Begins to count anew.
+    /// Resets the measurements between phases of an experiment.
     fn reset(&mut self) {
-        self.turns.reset();
-        self.heard_after.reset();
-        (self.busy, self.events, self.late, self.starts) = (0, 0, 0, 0);
+        self.iterations.reset();
+        self.report_delay.reset();
+        (self.busy_ns, self.events, self.late_answers, self.starts) =
+            (0, 0, 0, 0);
     }
 
-    fn figures(&self, over: Millis, settled: f64) -> [f64; 12] {
-        let share = self.busy as f64 / (over as f64 * 1e6);
+    fn figures(&self, span: Millis, takeover_ms: f64) -> [f64; 12] {
+        let share = self.busy_ns as f64 / (span as f64 * 1e6);
         [
             share * 100.0,
-            self.events as f64 * 1_000.0 / over as f64,
-            self.turns.value_at_quantile(0.5) as f64 / 1e3,
-            self.turns.value_at_quantile(0.99) as f64 / 1e3,
-            self.turns.max() as f64 / 1e6,
-            self.late as f64,
-            self.heard_after.value_at_quantile(0.99) as f64,
+            self.events as f64 * 1_000.0 / span as f64,
+            self.iterations.value_at_quantile(0.5) as f64 / 1e3,
+            self.iterations.value_at_quantile(0.99) as f64 / 1e3,
+            self.iterations.max() as f64 / 1e6,
+            self.late_answers as f64,
+            self.report_delay.value_at_quantile(0.99) as f64,
             self.scheduler.live_jobs() as f64,
-            self.starts as f64 * 1_000.0 / over as f64,
-            (self.decided.finish() % DIGEST) as f64,
-            settled,
+            self.starts as f64 * 1_000.0 / span as f64,
+            (self.start_digest.finish() % DIGEST_LIMIT) as f64,
+            takeover_ms,
             self.largest_value as f64 / 1_024.0,
         ]
     }
@@ -541,55 +575,55 @@
     Report::new(name, &columns)
 }
 
-/// The leader's work in a calm cell, and that of its successor.
+/// Measures the leader at normal load, after a takeover and when overloaded.
 pub fn leader(seed: u64) -> Report {
     let mut report = report("leader");
     for executors in [1_500, 3_000, 6_000, 12_000] {
         let before = resident_kb();
         let mut cell = Cell::new(executors, Load::Even, true, seed);
-        let per_second = executors as u64 / EXECUTORS_A_JOB;
-        let mut row = |case: &str, cell: &Cell, over, settled| {
-            let mut values = cell.figures(over, settled).to_vec();
+        let per_second = executors as u64 / EXECUTORS_PER_JOB_PER_S;
+        let mut row = |case: &str, cell: &Cell, span, takeover_ms| {
+            let mut values = cell.figures(span, takeover_ms).to_vec();
             values.push(resident_kb() - before);
             report.row(format!("{executors} executors, {case}"), &values);
         };
-        let begun = cell.now;
-        cell.run(begun + 2_000, 1);
-        row("start", &cell, cell.now - begun, 0.0);
+        let start = cell.now;
+        cell.run(start + 2_000, 1);
+        row("start", &cell, cell.now - start, 0.0);
         cell.reset();
-        let begun = cell.now;
-        cell.run(begun + CALM, per_second);
-        row("calm", &cell, cell.now - begun, 0.0);
+        let start = cell.now;
+        cell.run(start + MEASURED_TIME, per_second);
+        row("calm", &cell, cell.now - start, 0.0);
         cell.reset();
-        let begun = cell.now;
+        let start = cell.now;
         cell.take_over();
-        let mut settled = f64::NAN;
-        while cell.now < begun + AFTER {
+        let mut takeover_ms = f64::NAN;
+        while cell.now < start + TAKEOVER_TIME {
             let now = cell.now;
-            cell.run(now + TICK, per_second);
-            if settled.is_nan() && cell.scheduler.takeover_complete() {
-                settled = (cell.now - begun) as f64;
+            cell.run(now + TICK_INTERVAL, per_second);
+            if takeover_ms.is_nan() && cell.scheduler.takeover_complete() {
+                takeover_ms = (cell.now - start) as f64;
             }
         }
-        row("successor", &cell, cell.now - begun, settled);
+        row("successor", &cell, cell.now - start, takeover_ms);
         cell.reset();
-        let begun = cell.now;
-        cell.run(begun + CALM, CROWD_TIMES * per_second);
-        row("crowded", &cell, cell.now - begun, 0.0);
+        let start = cell.now;
+        cell.run(start + MEASURED_TIME, OVERLOAD_FACTOR * per_second);
+        row("crowded", &cell, cell.now - start, 0.0);
     }
     report
 }
 
-/// The leader's work while some hundreds of wide steps wait.
+/// Measures the leader while hundreds of wide steps wait.
 pub fn backlog(seed: u64) -> Report {
     let mut report = report("leader-backlog");
-    for jobs in BACKLOG_JOBS {
-        for counts_turns in [true, false] {
+    for jobs in BACKLOG_WIDE_JOBS {
+        for charges_time in [true, false] {
             let before = resident_kb();
-            let (cell, over) = with_backlog(jobs, counts_turns, seed);
-            let mut values = cell.figures(over, 0.0).to_vec();
+            let (cell, span) = run_backlog(jobs, charges_time, seed);
+            let mut values = cell.figures(span, 0.0).to_vec();
             values.push(resident_kb() - before);
-            let clock = if counts_turns { "" } else { ", timeless" };
+            let clock = if charges_time { "" } else { ", timeless" };
             let executors = BACKLOG_EXECUTORS;
             let case = format!("{executors} executors, {jobs} wide{clock}");
             report.row(case, &values);
@@ -598,18 +632,19 @@
     report
 }
 
-/// A cell after a while with a backlog, and how long it was looked at.
-fn with_backlog(jobs: usize, counts_turns: bool, seed: u64) -> (Cell, Millis) {
-    let (executors, per_second) = (BACKLOG_EXECUTORS, BACKLOG_PER_S);
-    let mut cell = Cell::new(executors, Load::Mixed, counts_turns, seed);
+/// Simulates a cell with a backlog, and returns it with the time measured, in
+/// milliseconds.
+fn run_backlog(jobs: usize, charges_time: bool, seed: u64) -> (Cell, Millis) {
+    let (executors, per_second) = (BACKLOG_EXECUTORS, BACKLOG_JOBS_PER_S);
+    let mut cell = Cell::new(executors, Load::Mixed, charges_time, seed);
     cell.run(cell.now + 2_000, per_second);
-    let wide = (0..jobs).map(|_| cell.submit_next(WIDE_ONE_IN));
+    let wide = (0..jobs).map(|_| cell.submit_next(JOBS_PER_WIDE_JOB));
     let first = wide.collect();
-    cell.turn(first);
-    cell.run(cell.now + BACKLOG_AFTER, per_second);
+    cell.run_iteration(first);
+    cell.run(cell.now + BACKLOG_WARMUP, per_second);
     cell.reset();
-    let begun = cell.now;
-    cell.run(begun + CALM, per_second);
-    let over = cell.now - begun;
-    (cell, over)
+    let start = cell.now;
+    cell.run(start + MEASURED_TIME, per_second);
+    let span = cell.now - start;
+    (cell, span)
 }
--- a/puffinknot-measure/src/leader/load.rs
+++ b/puffinknot-measure/src/leader/load.rs
@@ -1,5 +1,5 @@
 /*!
-What the cell of a leader that is measured has to do.
+Synthetic jobs and executor speeds for the leader experiments.
 */
 
 use puffinknot_core::config::Resources;
@@ -8,26 +8,28 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// One job in so many is a wide gang.
-const GANG_ONE_IN: u64 = 7;
-/// One job in so many of a mixed load is wide; each other one is a gang.
-pub(super) const WIDE_ONE_IN: u64 = 14;
-/// One gang in so many has a second step.
-const CHAIN_ONE_IN: u64 = 4;
-/// Guesses at run times are off by up to this factor.
-const OFF: f64 = 1.6;
-/// How long runs take on quick and on slow executors.
-const QUICK: f64 = 0.6;
-/// See [`QUICK`].
-const SLOW: f64 = 1.8;
+/// In an even load, one of this many jobs is a wide gang.
+const JOBS_PER_GANG: u64 = 7;
+/// In a mixed load, one of this many jobs is wide; every second wide job is a
+/// gang.
+pub(super) const JOBS_PER_WIDE_JOB: u64 = 14;
+/// In a mixed load, one of this many gangs has a second step.
+const GANGS_PER_CHAIN: u64 = 4;
+/// Estimated run times deviate from the real ones by up to this factor, in
+/// both directions.
+const MAX_ESTIMATE_ERROR: f64 = 1.6;
+/// The run time on a fast executor, relative to a normal one.
+const FAST_EXECUTOR_FACTOR: f64 = 0.6;
+/// The run time on a slow executor, relative to a normal one.
+const SLOW_EXECUTOR_FACTOR: f64 = 1.8;
 
-/// Jobs, and executors that run them.
+/// A pattern of jobs and executor speeds.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Load {
-    /// Equal jobs and equal executors.
+    /// Plain jobs and wide gangs in one queue, on executors of equal speed.
     Even,
-    /// Urgent jobs beside wide gangs and wide steps, on executors of unlike
-    /// speed.
+    /// Urgent jobs together with wide gangs and wide steps, on executors of
+    /// different speeds.
     Mixed,
 }
 
@@ -64,27 +66,27 @@
         Policy { version: 1, queues, ..Policy::default() }
     }
 
-    /// How long runs take on an executor, beside the usual one.
+    /// Returns the run time on an executor, relative to a normal one.
     pub fn slowness(self, executor: usize) -> f64 {
         match (self, executor % 8) {
             (Load::Even, _) => 1.0,
-            (_, 0 | 4) => QUICK,
-            (_, 1) => SLOW,
+            (_, 0 | 4) => FAST_EXECUTOR_FACTOR,
+            (_, 1) => SLOW_EXECUTOR_FACTOR,
             _ => 1.0,
         }
     }
 
-    /// The next job, and how long tasks of each of its steps take.
+    /// Creates a job, and returns it with the task run time of each step.
     pub fn job(self, number: u64, random: &mut StdRng) -> (Job, Vec<Millis>) {
         let (queue, steps) = match self {
             Load::Even => even(number),
             Load::Mixed => mixed(number, random),
         };
-        let works = steps.iter().map(|(_, work)| *work).collect();
+        let durations = steps.iter().map(|(_, duration)| *duration).collect();
         let steps = steps.into_iter().enumerate();
-        let steps = steps.map(|(at, (step, work))| Step {
-            after: (0..at as u32).collect(),
-            estimate: self.guess(work, random),
+        let steps = steps.map(|(index, (step, duration))| Step {
+            after: (0..index as u32).collect(),
+            estimate: self.estimate_run_time(duration, random),
             ..step
         });
         let job = Job {
@@ -96,22 +98,29 @@
             steps: steps.collect(),
             repeats: None,
         };
-        (job, works)
+        (job, durations)
     }
 
-    fn guess(self, work: Millis, random: &mut StdRng) -> Millis {
-        let off = match self {
+    fn estimate_run_time(
+        self,
+        duration: Millis,
+        random: &mut StdRng,
+    ) -> Millis {
+        let error_factor = match self {
             Load::Even => 1.0,
-            Load::Mixed => OFF.powf(random.random_range(-1.0..1.0)),
+            Load::Mixed => {
+                MAX_ESTIMATE_ERROR.powf(random.random_range(-1.0..1.0))
+            }
         };
-        (work as f64 * off) as Millis
+        (duration as f64 * error_factor) as Millis
     }
 }
 
+/// Steps with the run time of their tasks.
 type Steps = Vec<(Step, Millis)>;
 
 fn even(number: u64) -> (&'static str, Steps) {
-    let step = match number % GANG_ONE_IN {
+    let step = match number % JOBS_PER_GANG {
         0 => (step(40, 4_500, true), 3_000),
         _ => (step(4, 3_500, false), 1_000),
     };
@@ -119,16 +128,16 @@
 }
 
 fn mixed(number: u64, random: &mut StdRng) -> (&'static str, Steps) {
-    if number % WIDE_ONE_IN != 0 {
+    if number % JOBS_PER_WIDE_JOB != 0 {
         return ("urgent", vec![(step(4, 3_900, false), 1_000)]);
     }
-    let wide = number / WIDE_ONE_IN;
-    if wide % 2 == 1 {
+    let wide_number = number / JOBS_PER_WIDE_JOB;
+    if wide_number % 2 == 1 {
         return ("patient", vec![(step(40, 3_900, false), 3_000)]);
     }
     let members = random.random_range(40..=240);
     let mut steps = vec![(step(members, 4_500, true), 4_000)];
-    if (wide / 2) % CHAIN_ONE_IN == 0 {
+    if (wide_number / 2) % GANGS_PER_CHAIN == 0 {
         steps.push((step(40, 4_500, true), 4_000));
     }
     ("patient", steps)
--- a/puffinknot-measure/src/main.rs
+++ b/puffinknot-measure/src/main.rs
@@ -1,10 +1,10 @@
 /*!
-Measures the decisions of puffinknot.
+Measures the scheduling decisions of puffinknot.
 
-The experiments drive the real core in virtual time, with small fakes of
-callers, executors and workers at its interfaces. Baselines run beside the
-chosen policy in the same run. Only the experiments named `processes-*` use
-real daemons, on threads of this process, over loopback.
+Experiments drive the production core in virtual time and simulate callers,
+executors and workers at its interfaces. The same run compares the implemented
+policy with baselines. Only the experiments named `processes-*` start real
+daemons; these run on threads of this process and communicate over loopback.
 */
 
 mod calls;
@@ -107,10 +107,11 @@
 }
 
 fn run(cli: &Cli) -> eyre::Result<()> {
-    let named = |(name, ..): &&Experiment| {
+    let matches = |(name, ..): &&Experiment| {
         cli.experiment == "all" || cli.experiment == *name
     };
-    let chosen: Vec<&Experiment> = EXPERIMENTS.iter().filter(named).collect();
+    let chosen: Vec<&Experiment> =
+        EXPERIMENTS.iter().filter(matches).collect();
     if chosen.is_empty() {
         eyre::bail!("no experiment {:?}; see --list", cli.experiment);
     }
@@ -120,24 +121,26 @@
         lines.push_str(&report.json(cli.seed));
     }
     if let Some(path) = &cli.json {
-        std::fs::write(path, lines).wrap_err("the file can't be written")?;
+        std::fs::write(path, lines).wrap_err("cannot write the JSON file")?;
     }
     Ok(())
 }
 
-/// Runs the experiments in virtual time side by side, since they don't
-/// disturb each other's figures, and those that measure time one by one.
+/// Runs experiments and returns their reports in the order of `chosen`.
+///
+/// Experiments in virtual time run in parallel, since their results don't
+/// depend on processor load. Those that measure real time run one by one.
 fn reports(chosen: &[&Experiment], seed: u64) -> Vec<Report> {
-    let virtual_time = |name: &str| {
-        let timed = name == "decisions" || name.starts_with("leader");
-        !name.starts_with("processes") && !timed
+    let parallel = |name: &str| {
+        let measures_time = name == "decisions" || name.starts_with("leader");
+        !name.starts_with("processes") && !measures_time
     };
     let mut reports: Vec<Option<Report>> = Vec::new();
     std::thread::scope(|scope| {
         let threads: Vec<_> = chosen
             .iter()
             .map(|(name, _, run)| {
-                virtual_time(name).then(|| scope.spawn(move || run(seed)))
+                parallel(name).then(|| scope.spawn(move || run(seed)))
             })
             .collect();
         for thread in threads {
@@ -145,5 +148,6 @@
         }
     });
     let all = chosen.iter().zip(reports);
-    all.map(|((_, _, run), done)| done.unwrap_or_else(|| run(seed))).collect()
+    all.map(|((_, _, run), finished)| finished.unwrap_or_else(|| run(seed)))
+        .collect()
 }
--- a/puffinknot-measure/src/report.rs
+++ b/puffinknot-measure/src/report.rs
@@ -1,43 +1,43 @@
-//! What an experiment found, as a table and as JSON.
+//! Experiment results, as a table and as JSON.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// One measured row: what was varied, and the figures.
+/// The measurements of one case of an experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// What was varied.
+    /// The parameters that distinguish this case.
     pub case: String,
-    /// The figures, in the order of the report's columns.
+    /// The measurements, in the order of [`Report::columns`].
     pub values: Vec<f64>,
 }
 
-/// What an experiment found.
+/// The results of an experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The experiment.
+    /// The name of the experiment.
     pub experiment: &'static str,
-    /// The names of the figures, with their units.
+    /// The names of the measurements, with their units.
     pub columns: Vec<&'static str>,
-    /// The rows.
+    /// One row for each case.
     pub rows: Vec<Row>,
 }
 
 impl Report {
-    /// A report without rows.
+    /// Creates a report without rows.
     pub fn new(experiment: &'static str, columns: &[&'static str]) -> Report {
         let columns = columns.to_vec();
         Report { experiment, columns, rows: Vec::new() }
     }
 
-    /// Adds a row.
+    /// Appends a row with one value for each column.
     pub fn row(&mut self, case: impl Into<String>, values: &[f64]) {
         let values = values.to_vec();
         self.rows.push(Row { case: case.into(), values });
     }
 
-    /// The report as one line of JSON.
+    /// Returns the report and the seed as one line of JSON.
     pub fn json(&self, seed: u64) -> String {
         let mut value = serde_json::json!(self);
         value["seed"] = seed.into();
@@ -48,15 +48,15 @@
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "\n{}", self.experiment)?;
-        let wide = self.rows.iter().map(|row| row.case.len()).max();
-        let wide = wide.unwrap_or(0);
-        write!(f, "  {:wide$}", "")?;
+        let case_width = self.rows.iter().map(|row| row.case.len()).max();
+        let case_width = case_width.unwrap_or(0);
+        write!(f, "  {:case_width$}", "")?;
         for column in &self.columns {
             write!(f, "  {column:>12}")?;
         }
         writeln!(f)?;
         for row in &self.rows {
-            write!(f, "  {:wide$}", row.case)?;
+            write!(f, "  {:case_width$}", row.case)?;
             for (value, column) in row.values.iter().zip(&self.columns) {
                 let width = column.len().max(12);
                 if value.fract() == 0.0 && value.abs() < 1e9 {
