--- a/puffinknot-measure/src/calls.rs
+++ b/puffinknot-measure/src/calls.rs
@@ -6,74 +6,77 @@
 use puffinknot_core::ids::Millis;
 
 use crate::report::Report;
-use crate::sim::{class, run, Fared, Plan, Policy, Stream, SLOTS};
+use crate::sim::{class, run, CallStats, Plan, Policy, Stream, SLOTS};
 
-/// Executors of one user today.
+/// The executors of one user.
 const EXECUTORS: u32 = 50;
-/// Call contracts of one user: one in each of four data centres.
+/// The call contracts of one user, one in each of four data centres.
 const POOLS: usize = 4;
-/// Entry VMs of one user.
+/// The entry VMs of one user.
 const ENTRY_VMS: usize = 9;
-const FOREVER: Millis = Millis::MAX;
+/// The end of a stream that lasts for the whole simulation.
+const NEVER_ENDS: Millis = Millis::MAX;
 
-/// A class of a user: its part of the work, and how its calls are.
-struct ClassOf {
+/// A class of calls, and its share of the user's total run time.
+struct UserClass {
     class: &'static str,
     kind: ClassKind,
-    part: f64,
+    share: f64,
     mean_ms: f64,
     deadline: Millis,
 }
 
-const LITORAL: &[ClassOf] = &[
-    ClassOf {
+const LITORAL: &[UserClass] = &[
+    UserClass {
         class: "vent-check",
         kind: ClassKind::Immediate,
-        part: 0.05,
+        share: 0.05,
         mean_ms: 60.0,
         deadline: 2_000,
     },
-    ClassOf {
+    UserClass {
         class: "irrigation",
         kind: ClassKind::Waiting,
-        part: 0.25,
+        share: 0.25,
         mean_ms: 400.0,
         deadline: 20_000,
     },
-    ClassOf {
+    UserClass {
         class: "overnight",
         kind: ClassKind::Waiting,
-        part: 0.70,
+        share: 0.70,
         mean_ms: 1_500.0,
         deadline: 60_000,
     },
 ];
 
-const KARIBU: &[ClassOf] = &[
-    ClassOf {
+const KARIBU: &[UserClass] = &[
+    UserClass {
         class: "invitation",
         kind: ClassKind::Waiting,
-        part: 0.8,
+        share: 0.8,
         mean_ms: 80.0,
         deadline: 10_000,
     },
-    ClassOf {
+    UserClass {
         class: "compose",
         kind: ClassKind::Waiting,
-        part: 0.2,
+        share: 0.2,
         mean_ms: 400.0,
         deadline: 20_000,
     },
 ];
 
+/// The callers of one user; each calls every class at the same rate.
 const CALLERS: usize = 10;
 
-/// The streams of a user at a load, as a part of all slots.
-fn streams(classes: &[ClassOf], load: f64) -> Vec<Stream> {
+/// Returns the streams of a user. `load` is the demand as a fraction of the
+/// capacity of all slots.
+fn streams(classes: &[UserClass], load: f64) -> Vec<Stream> {
     let slots = f64::from(EXECUTORS * SLOTS);
     let mut streams = Vec::new();
     for class in classes {
-        let rate = load * class.part * slots / class.mean_ms * 1_000.0;
+        let rate = load * class.share * slots / class.mean_ms * 1_000.0;
         for caller in 0..CALLERS {
             streams.push(Stream {
                 class: class.class,
@@ -82,7 +85,7 @@
                 rate: rate / CALLERS as f64,
                 mean_ms: class.mean_ms,
                 deadline: class.deadline,
-                span: (0, FOREVER),
+                span: (0, NEVER_ENDS),
             });
         }
     }
@@ -94,11 +97,11 @@
 }
 
 const POLICIES: [(&str, Policy); 5] = [
-    ("chosen", Policy::Chosen { pools: POOLS }),
-    ("three a dc", Policy::Chosen { pools: 3 * POOLS }),
-    ("one holder", Policy::Chosen { pools: 1 }),
+    ("chosen", Policy::Implemented { pools: POOLS }),
+    ("three a dc", Policy::Implemented { pools: 3 * POOLS }),
+    ("one holder", Policy::Implemented { pools: 1 }),
     ("one queue", Policy::OneQueue),
-    ("shares", Policy::Shares { vms: ENTRY_VMS }),
+    ("shares", Policy::FixedShares { vms: ENTRY_VMS }),
 ];
 
 const COLUMNS: &[&str] = &[
@@ -110,24 +113,24 @@
     "in time %",
 ];
 
-fn add(report: &mut Report, case: String, fared: &Fared) {
-    let part = |n: u64| n as f64 * 100.0 / fared.arrived.max(1) as f64;
+fn add_row(report: &mut Report, case: String, stats: &CallStats) {
+    let percent = |n: u64| n as f64 * 100.0 / stats.arrived.max(1) as f64;
     report.row(
         case,
         &[
-            fared.quantile(0.5),
-            fared.quantile(0.99),
-            fared.quantile(0.999),
-            part(fared.refused),
-            part(fared.turned_away),
-            part(fared.in_time),
+            stats.quantile(0.5),
+            stats.quantile(0.99),
+            stats.quantile(0.999),
+            percent(stats.refused),
+            percent(stats.refused_at_first),
+            percent(stats.in_time),
         ],
     );
 }
 
 fn waiting(
     name: &'static str,
-    classes: &[ClassOf],
+    classes: &[UserClass],
     span: Millis,
     seed: u64,
 ) -> Report {
@@ -136,9 +139,9 @@
         for (policy_name, policy) in POLICIES {
             let streams = streams(classes, f64::from(load) / 100.0);
             let all = run(plan(policy, streams, span), seed);
-            for ClassOf { class: name, .. } in classes {
+            for UserClass { class: name, .. } in classes {
                 let case = format!("{load} % {policy_name} {name}");
-                add(&mut report, case, &class(&all, name));
+                add_row(&mut report, case, &class(&all, name));
             }
         }
     }
@@ -153,7 +156,8 @@
     waiting("waiting-karibu", KARIBU, 30_000, seed)
 }
 
-/// A full overnight load, and ten times the immediate calls for 30 s.
+/// Loads 95 % of the slots, and adds immediate calls for 30 s at nine times
+/// their normal rate, so that they come ten times as often.
 pub fn gust(seed: u64) -> Report {
     let mut report = Report::new("gust", COLUMNS);
     for (name, policy) in POLICIES {
@@ -175,28 +179,29 @@
         let all = run(plan(policy, all, 90_000), seed);
         for class_name in ["vent-check", "vent-gust", "overnight"] {
             let case = format!("{name} {class_name}");
-            add(&mut report, case, &class(&all, class_name));
+            add_row(&mut report, case, &class(&all, class_name));
         }
     }
     report
 }
 
-/// What the callers that don't flood saw of a class.
+/// Returns the results of a class for all callers but the flooding one.
 fn others(
-    all: &BTreeMap<(&'static str, String), Fared>,
+    all: &BTreeMap<(&'static str, String), CallStats>,
     class: &str,
-) -> Fared {
+) -> CallStats {
     let calm = all.iter().filter(|((_, caller), _)| caller != "caller-0");
-    let mut sum = Fared::new();
-    for ((name, _), fared) in calm {
+    let mut sum = CallStats::new();
+    for ((name, _), stats) in calm {
         if *name == class {
-            sum.add(fared);
+            sum.add(stats);
         }
     }
     sum
 }
 
-/// One caller sends ten times as much as the others.
+/// Compares a normal load with one in which one caller sends ten times as many
+/// calls as each other one.
 pub fn flood(seed: u64) -> Report {
     let columns = [
         "wait calm ms",
@@ -217,11 +222,12 @@
         }
         let calm = run(plan(policy, calm, 60_000), seed);
         let flooded = run(plan(policy, flooded, 60_000), seed);
-        for ClassOf { class, .. } in LITORAL {
+        for UserClass { class, .. } in LITORAL {
             let (before, after) =
                 (others(&calm, class), others(&flooded, class));
-            let p99 =
-                |fared: &Fared| fared.response.value_at_quantile(0.99) as f64;
+            let p99 = |stats: &CallStats| {
+                stats.response.value_at_quantile(0.99) as f64
+            };
             let refused = after.refused as f64 * 100.0;
             report.row(
                 format!("{name} {class}"),
@@ -239,22 +245,23 @@
     report
 }
 
-/// A fifth of the executors is lost in the middle.
+/// Loses a fifth of the executors in the middle of the simulation.
 pub fn loss(seed: u64) -> Report {
     let mut report = Report::new("loss", COLUMNS);
     for (name, policy) in POLICIES {
         let mut plan = plan(policy, streams(LITORAL, 0.75), 120_000);
         plan.loss_at = Some(60_000);
         let all = run(plan, seed);
-        for ClassOf { class: class_name, .. } in LITORAL {
+        for UserClass { class: class_name, .. } in LITORAL {
             let case = format!("{name} {class_name}");
-            add(&mut report, case, &class(&all, class_name));
+            add_row(&mut report, case, &class(&all, class_name));
         }
     }
     report
 }
 
-/// Work answered in time, as a part of what the slots can do.
+/// Measures the run time of calls answered in time, as a share of the capacity
+/// of all slots.
 pub fn goodput(seed: u64) -> Report {
     let columns = ["goodput %", "of that at 100 %"];
     let mut report = Report::new("goodput", &columns);
@@ -265,13 +272,13 @@
             let all = run(plan(policy, streams, 90_000), seed);
             let done: f64 =
                 LITORAL.iter().map(|c| class(&all, c.class).work as f64).sum();
-            let could = f64::from(EXECUTORS * SLOTS) * 90_000.0;
-            let part = done * 100.0 / could;
+            let capacity = f64::from(EXECUTORS * SLOTS) * 90_000.0;
+            let percent = done * 100.0 / capacity;
             if load == 100 {
-                full = part;
+                full = percent;
             }
-            let of_full = part * 100.0 / full;
-            report.row(format!("{name} {load} %"), &[part, of_full]);
+            let of_full = percent * 100.0 / full;
+            report.row(format!("{name} {load} %"), &[percent, of_full]);
         }
     }
     report
--- a/puffinknot-measure/src/leader.rs
+++ b/puffinknot-measure/src/leader.rs
@@ -4,8 +4,8 @@
 Executors, store and advisors are simulated and answer after fixed delays. All
 events of one millisecond are handled in one iteration of the event loop, as in
 a node. The virtual clock advances by the real time of each iteration, so that
-a leader that can't keep up receives answers after their timeout. This finds
-costs that grow faster than the fleet without starting processes.
+a leader that can't keep up handles answers after their timeout and loses them.
+This finds costs that grow faster than the fleet without starting processes.
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,7 +48,7 @@
 /// How long a cell is measured without a takeover, in milliseconds.
 const MEASURED_TIME: Millis = 6_000;
 /// How long a cell is measured from a takeover on, in milliseconds.
-const TAKEOVER_TIME: Millis = 8_000;
+const SUCCESSOR_TIME: Millis = 8_000;
 /// The job rate of an overloaded cell, as a multiple of the normal rate.
 const OVERLOAD_FACTOR: u64 = 10;
 /// The longest iteration that the histograms distinguish, in nanoseconds.
@@ -64,7 +64,7 @@
 /// How long a cell with a backlog runs before it is measured, in milliseconds.
 const BACKLOG_WARMUP: Millis = 6_000;
 /// The probability that an advisor finds an executor suitable for a step.
-const SUITABLE_FRACTION: f64 = 0.4;
+const SUITABLE_PROBABILITY: f64 = 0.4;
 
 /// The state of a simulated executor.
 #[derive(Default)]
@@ -288,9 +288,9 @@
                 if immediate {
                     self.answer_renewal(position, executor, sent_at);
                 } else {
-                    let span =
+                    let expiry =
                         Scheduled::RenewalExpired(position, executor, sent_at);
-                    self.schedule(wait, span);
+                    self.schedule(wait, expiry);
                 }
             }
             Action::Start { executor, task, run, .. } => {
@@ -322,8 +322,8 @@
                 let cost = 20 + executors.len() as Millis;
                 let random = &mut self.random;
                 let suitable = executors.into_iter();
-                let suitable =
-                    suitable.filter(|_| random.random_bool(SUITABLE_FRACTION));
+                let suitable = suitable
+                    .filter(|_| random.random_bool(SUITABLE_PROBABILITY));
                 let rows = suitable.map(|executor| AdvisedExecutor {
                     executor,
                     ticket: "t".into(),
@@ -428,7 +428,7 @@
         Event::Request { id, caller: Caller::default(), request }
     }
 
-    /// Simulates until a time, with `per_second` jobs submitted per second.
+    /// Simulates until the time `until`, with `per_second` jobs submitted per second.
     fn run(&mut self, until: Millis, per_second: u64) {
         let mut next_job = self.now * 1_000;
         let mut next_tick = self.now;
@@ -458,6 +458,8 @@
         }
     }
 
+    /// Handles what is scheduled for the time `due`, and appends an event for
+    /// the leader if there is one.
     fn process(
         &mut self,
         next: Scheduled,
@@ -537,7 +539,9 @@
             (0, 0, 0, 0);
     }
 
-    fn figures(&self, span: Millis, takeover_ms: f64) -> [f64; 12] {
+    /// Returns the measurements over `span` milliseconds in the order of the
+    /// report's columns, except for the memory.
+    fn measurements(&self, span: Millis, takeover_ms: f64) -> [f64; 12] {
         let share = self.busy_ns as f64 / (span as f64 * 1e6);
         [
             share * 100.0,
@@ -583,7 +587,7 @@
         let mut cell = Cell::new(executors, Load::Even, true, seed);
         let per_second = executors as u64 / EXECUTORS_PER_JOB_PER_S;
         let mut row = |case: &str, cell: &Cell, span, takeover_ms| {
-            let mut values = cell.figures(span, takeover_ms).to_vec();
+            let mut values = cell.measurements(span, takeover_ms).to_vec();
             values.push(resident_kb() - before);
             report.row(format!("{executors} executors, {case}"), &values);
         };
@@ -598,7 +602,7 @@
         let start = cell.now;
         cell.take_over();
         let mut takeover_ms = f64::NAN;
-        while cell.now < start + TAKEOVER_TIME {
+        while cell.now < start + SUCCESSOR_TIME {
             let now = cell.now;
             cell.run(now + TICK_INTERVAL, per_second);
             if takeover_ms.is_nan() && cell.scheduler.takeover_complete() {
@@ -621,7 +625,7 @@
         for charges_time in [true, false] {
             let before = resident_kb();
             let (cell, span) = run_backlog(jobs, charges_time, seed);
-            let mut values = cell.figures(span, 0.0).to_vec();
+            let mut values = cell.measurements(span, 0.0).to_vec();
             values.push(resident_kb() - before);
             let clock = if charges_time { "" } else { ", timeless" };
             let executors = BACKLOG_EXECUTORS;
--- a/puffinknot-measure/src/main.rs
+++ b/puffinknot-measure/src/main.rs
@@ -128,8 +128,8 @@
 
 /// Runs experiments and returns their reports in the order of `chosen`.
 ///
-/// Experiments in virtual time run in parallel, since their results don't
-/// depend on processor load. Those that measure real time run one by one.
+/// `decisions`, `leader*` and `processes-*` run one by one, since other load
+/// on the processors distorts their times. The others run in parallel.
 fn reports(chosen: &[&Experiment], seed: u64) -> Vec<Report> {
     let parallel = |name: &str| {
         let measures_time = name == "decisions" || name.starts_with("leader");
--- a/puffinknot-measure/src/packing.rs
+++ b/puffinknot-measure/src/packing.rs
@@ -1,5 +1,7 @@
-//! Experiments on the placement of tasks, through the real [`Placer`] and
-//! the stand-in's worker without its server.
+//! Experiments on task placement and call admission.
+//!
+//! They drive the production [`Placer`] and [`Pool`], and the workers of the
+//! stand-in without their server.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -22,7 +24,8 @@
 use crate::report::Report;
 use crate::sim::histogram;
 
-/// A cell's workers.
+/// The workers of a cell: their number, the workers per rack, and the
+/// accelerators of all of them.
 #[derive(Clone, Copy)]
 struct Size {
     name: &'static str,
@@ -37,16 +40,16 @@
     Size { name: "two years", workers: 770, rack: 16, accelerators: 1_700 },
 ];
 
-const FITS: [(&str, Fit); 3] = [
+const PLACEMENT_POLICIES: [(&str, Fit); 3] = [
     ("chosen", Fit::Best),
     ("first fit", Fit::First),
     ("random", Fit::Random),
 ];
 
-const CORES: u32 = 16_000;
-const MEMORY: u32 = 65_536;
+const WORKER_CPU_MILLIS: u32 = 16_000;
+const WORKER_MEMORY_MB: u32 = 65_536;
 
-/// Workers behind a placer, in virtual time.
+/// A placer and its simulated workers, in virtual time.
 struct Bench {
     placer: Placer,
     workers: BTreeMap<TargetId, WorkerState>,
@@ -56,22 +59,23 @@
 impl Bench {
     fn new(size: Size, fit: Fit) -> Bench {
         let epoch = Epoch { number: 1, holder: "vm".into() };
-        let tenure = Term::new(epoch, 1, true, Default::default());
+        let term = Term::new(epoch, 1, true, Default::default());
         let config =
             PlacerConfig { fit, lease: 10_000, ..PlacerConfig::default() };
         let progress = Progress::default();
         let mut placer =
-            Placer::new(config, "dc".into(), tenure, None, progress);
+            Placer::new(config, "dc".into(), term, None, progress);
         let mut workers = BTreeMap::new();
-        let equipped = size.accelerators.div_ceil(4);
+        let workers_with_accelerators = size.accelerators.div_ceil(4);
         for n in 0..size.workers {
             let id = TargetId(format!("worker-{n:04}"));
-            let has = if n < equipped { 4 } else { 0 };
+            let worker_accelerators =
+                if n < workers_with_accelerators { 4 } else { 0 };
             let info = WorkerInfo {
                 capacity: Resources {
-                    cpu_millis: CORES,
-                    memory_mb: MEMORY,
-                    accelerators: has,
+                    cpu_millis: WORKER_CPU_MILLIS,
+                    memory_mb: WORKER_MEMORY_MB,
+                    accelerators: worker_accelerators,
                 },
                 rack: format!("rack-{}", n / size.rack),
                 leaving: false,
@@ -80,13 +84,13 @@
             workers.insert(id, WorkerState::new(info));
         }
         let mut bench = Bench { placer, workers, now: 1 };
-        bench.round();
+        bench.step();
         bench
     }
 
-    /// One step of the placer and the workers' answers. Returns the time
-    /// that the step took.
-    fn round(&mut self) -> Duration {
+    /// Runs one step of the placer and delivers the workers' answers. Returns
+    /// the real time of the placer's step.
+    fn step(&mut self) -> Duration {
         let start = Instant::now();
         let syncs = self.placer.step(self.now);
         let took = start.elapsed();
@@ -99,17 +103,20 @@
         took
     }
 
-    fn pass(&mut self, span: Millis) -> Duration {
+    /// Advances the clock by `span` milliseconds and runs one step. Returns
+    /// the real time of the placer's step.
+    fn advance(&mut self, span: Millis) -> Duration {
         self.now += span;
         for worker in self.workers.values_mut() {
             worker.tick(self.now);
         }
         self.placer.confirm_contract(self.now);
-        self.round()
+        self.step()
     }
 
-    /// The workers that run anything, and the processor time promised.
-    fn used(&self) -> (usize, Resources) {
+    /// Returns the number of workers with tasks, and the resources that tasks
+    /// occupy on all workers.
+    fn usage(&self) -> (usize, Resources) {
         let mut busy = 0;
         let mut sum = Resources::default();
         for view in self.placer.workers() {
@@ -120,22 +127,25 @@
     }
 }
 
-/// Jobs that together ask for a part of all processors.
-fn demand(size: Size, part: f64, seed: u64, run_ms: Millis) -> Vec<Job> {
+/// Generates jobs that together request a fraction of all processor time.
+fn demand(size: Size, fraction: f64, seed: u64, run_ms: Millis) -> Vec<Job> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let cores = f64::from(size.workers) * f64::from(CORES);
-    let want = (cores * part) as u64;
-    let mut asked = 0;
+    let total_millis = f64::from(size.workers) * f64::from(WORKER_CPU_MILLIS);
+    let requested_millis = (total_millis * fraction) as u64;
+    let mut requested = 0;
     let mut accelerators = size.accelerators;
     let mut jobs = Vec::new();
-    while asked < want {
+    while requested < requested_millis {
         let cpu = [500, 1_000, 2_000, 4_000, 8_000][rng.random_range(0..5)];
-        // Memory to processor as on a worker, half of it, or one and a half.
+        // Memory per core: half as much as on a worker, as much, or one and a
+        // half times as much.
         let per_core = [2_048, 4_096, 6_144][rng.random_range(0..3)];
-        let wants = u32::from(accelerators > 0 && rng.random_bool(0.3));
+        let accelerators_per_task =
+            u32::from(accelerators > 0 && rng.random_bool(0.3));
         let tasks = rng.random_range(1..=8);
-        accelerators = accelerators.saturating_sub(wants * tasks);
-        asked += u64::from(cpu) * u64::from(tasks);
+        accelerators =
+            accelerators.saturating_sub(accelerators_per_task * tasks);
+        requested += u64::from(cpu) * u64::from(tasks);
         jobs.push(job(
             jobs.len(),
             tasks,
@@ -144,7 +154,7 @@
                 cpu_millis: cpu,
                 memory_mb: cpu / 1_000 * per_core
                     + cpu % 1_000 * per_core / 1_000,
-                accelerators: wants,
+                accelerators: accelerators_per_task,
             },
         ));
     }
@@ -154,7 +164,7 @@
 fn job(n: usize, tasks: u32, run_ms: Millis, need: Resources) -> Job {
     Job {
         name: format!("job-{n:05}"),
-        team: format!("team-{}", n % TEAMS),
+        team: format!("team-{}", n % TEAM_COUNT),
         data_centre: "dc".into(),
         tasks,
         need,
@@ -166,9 +176,9 @@
     }
 }
 
-const TEAMS: usize = 160;
+const TEAM_COUNT: usize = 160;
 
-fn file(batch: Vec<Job>) -> Config {
+fn cell_config(batch: Vec<Job>) -> Config {
     let quota = Resources {
         cpu_millis: u32::MAX,
         memory_mb: u32::MAX,
@@ -178,7 +188,7 @@
     Config {
         cell: "cell".into(),
         data_centres: vec!["dc".into()],
-        teams: (0..TEAMS).map(team).collect(),
+        teams: (0..TEAM_COUNT).map(team).collect(),
         batch,
         policy: Policy::default(),
         ..Config::default()
@@ -190,15 +200,16 @@
     all.fold(Resources::default(), |sum, need| sum.plus(&need))
 }
 
-/// The fewest workers that can hold this much, in any dimension.
-fn bound(sum: &Resources) -> f64 {
-    let cpu = sum.cpu_millis.div_ceil(CORES);
-    let memory = sum.memory_mb.div_ceil(MEMORY);
+/// Returns a lower bound on the workers needed for these resources, by the
+/// scarcer of processor time and memory.
+fn min_workers(sum: &Resources) -> f64 {
+    let cpu = sum.cpu_millis.div_ceil(WORKER_CPU_MILLIS);
+    let memory = sum.memory_mb.div_ceil(WORKER_MEMORY_MB);
     f64::from(cpu.max(memory))
 }
 
-/// The demand placed when there is about as much as fits, and the workers
-/// used when there is less.
+/// Measures the share of a demand near the capacity that is placed, and the
+/// workers used by a smaller demand.
 pub fn packing(seed: u64) -> Report {
     let columns = [
         "placed %",
@@ -211,15 +222,15 @@
     ];
     let mut report = Report::new("packing", &columns);
     for size in SIZES {
-        for (name, fit) in FITS {
-            let full = demand(size, 1.0, seed, 0);
-            let (placed, best, idle) = fill(size, fit, &full);
-            let some = demand(size, 0.6, seed, 0);
+        for (name, fit) in PLACEMENT_POLICIES {
+            let full_demand = demand(size, 1.0, seed, 0);
+            let (placed, best, idle) = place_demand(size, fit, &full_demand);
+            let partial_demand = demand(size, 0.6, seed, 0);
             let mut bench = Bench::new(size, fit);
-            bench.placer.apply_config(&file(some.clone()));
+            bench.placer.apply_config(&cell_config(partial_demand.clone()));
             settle(&mut bench);
-            let (busy, _) = bench.used();
-            let least = bound(&total(&some));
+            let (busy, _) = bench.usage();
+            let lower_bound = min_workers(&total(&partial_demand));
             report.row(
                 format!("{} {name}", size.name),
                 &[
@@ -227,8 +238,8 @@
                     best,
                     placed / best,
                     busy as f64,
-                    least,
-                    busy as f64 / least,
+                    lower_bound,
+                    busy as f64 / lower_bound,
                     f64::from(idle),
                 ],
             );
@@ -237,48 +248,54 @@
     report
 }
 
-/// Places a demand. Returns the part placed of the dimension that runs out
-/// first and the part that could be at best, in percent, and the accelerators left idle
-/// though a waiting task wants one.
-fn fill(size: Size, fit: Fit, jobs: &[Job]) -> (f64, f64, u32) {
+/// Places a demand. For the resource that runs out first, returns the share
+/// placed and the upper bound of this share, in percent; and the number of
+/// accelerators that stay idle although waiting tasks request them.
+fn place_demand(size: Size, fit: Fit, jobs: &[Job]) -> (f64, f64, u32) {
     let mut bench = Bench::new(size, fit);
-    bench.placer.apply_config(&file(jobs.to_vec()));
+    bench.placer.apply_config(&cell_config(jobs.to_vec()));
     settle(&mut bench);
-    let asked = total(jobs);
-    let (_, used) = bench.used();
-    let have =
-        Resources { cpu_millis: CORES, memory_mb: MEMORY, accelerators: 0 }
-            .times(size.workers);
-    let part = |have: u32, asked: u32| f64::from(have) / f64::from(asked);
-    // What counts is the dimension that runs out first.
-    let cpu = part(have.cpu_millis, asked.cpu_millis);
-    let memory = part(have.memory_mb, asked.memory_mb);
+    let requested = total(jobs);
+    let (_, usage) = bench.usage();
+    let have = Resources {
+        cpu_millis: WORKER_CPU_MILLIS,
+        memory_mb: WORKER_MEMORY_MB,
+        accelerators: 0,
+    }
+    .times(size.workers);
+    let fraction =
+        |have: u32, requested: u32| f64::from(have) / f64::from(requested);
+    // The resource that runs out first limits the demand that can be placed.
+    let cpu = fraction(have.cpu_millis, requested.cpu_millis);
+    let memory = fraction(have.memory_mb, requested.memory_mb);
     let best = cpu.min(memory).min(1.0);
     let placed = if cpu < memory {
-        part(used.cpu_millis, asked.cpu_millis)
+        fraction(usage.cpu_millis, requested.cpu_millis)
     } else {
-        part(used.memory_mb, asked.memory_mb)
+        fraction(usage.memory_mb, requested.memory_mb)
     };
-    let wanted = asked.accelerators.min(size.accelerators);
-    let idle = wanted.saturating_sub(used.accelerators);
+    let wanted = requested.accelerators.min(size.accelerators);
+    let idle = wanted.saturating_sub(usage.accelerators);
     (placed * 100.0, best * 100.0, idle)
 }
 
+/// Steps until the tasks of a new configuration are placed and started.
 fn settle(bench: &mut Bench) {
     for _ in 0..4 {
-        bench.pass(200);
+        bench.advance(200);
     }
 }
 
-/// Full churn: every second 160 tasks end and as many begin.
+/// Measures placement while 160 tasks end and 160 tasks start every second.
 pub fn churn(seed: u64) -> Report {
     let columns =
         ["placed %", "starts a second", "p50 us", "p99 us", "waiting"];
     let mut report = Report::new("churn", &columns);
-    for (name, fit) in FITS {
+    for (name, fit) in PLACEMENT_POLICIES {
         let size = SIZES[2];
         let mut bench = Bench::new(size, fit);
-        // Tasks of about 131 s keep 21,000 running at 160 starts a second.
+        // With a mean run time of 131 s, 160 starts per second keep about
+        // 21,000 tasks running.
         let mut rng = StdRng::seed_from_u64(seed);
         let mut jobs = Vec::new();
         for n in 0..2_600 {
@@ -290,23 +307,23 @@
             };
             jobs.push(job(n, 8, 60_000 + rng.random_range(0..142_000), need));
         }
-        bench.placer.apply_config(&file(jobs.clone()));
+        bench.placer.apply_config(&cell_config(jobs.clone()));
         settle(&mut bench);
         let mut times = histogram();
         let mut started = 0;
         let seconds = 20;
         for second in 0..seconds {
-            // Twenty jobs of eight tasks end their time and twenty come.
+            // Replaces twenty jobs of eight tasks each by new ones.
             for n in 0..20 {
                 let at = second * 20 + n;
                 let mut next = jobs[at].clone();
                 next.name = format!("next-{at:05}");
                 jobs[at] = next;
             }
-            bench.placer.apply_config(&file(jobs.clone()));
+            bench.placer.apply_config(&cell_config(jobs.clone()));
             for _ in 0..10 {
                 let before = bench.placer.waiting_count();
-                let took = bench.pass(100);
+                let took = bench.advance(100);
                 let placed =
                     before.saturating_sub(bench.placer.waiting_count());
                 started += placed;
@@ -318,11 +335,11 @@
         }
         let waiting = bench.placer.waiting_count();
         let placed = bench.placer.placed_count();
-        let part = placed as f64 * 100.0 / (placed + waiting) as f64;
+        let placed_percent = placed as f64 * 100.0 / (placed + waiting) as f64;
         report.row(
             name,
             &[
-                part,
+                placed_percent,
                 started as f64 / seconds as f64,
                 times.value_at_quantile(0.5) as f64 / 1_000.0,
                 times.value_at_quantile(0.99) as f64 / 1_000.0,
@@ -333,7 +350,8 @@
     report
 }
 
-/// The resident memory of this process, in kilobytes.
+/// Returns the resident memory of this process in kilobytes, or zero if it is
+/// unknown.
 pub fn resident_kb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status");
     let status = status.unwrap_or_default();
@@ -342,7 +360,7 @@
     number.and_then(|n| n.parse().ok()).unwrap_or(0.0)
 }
 
-/// What one decision costs, at several sizes.
+/// Measures the time and memory of single decisions, by the size of the cell.
 pub fn decisions(seed: u64) -> Report {
     let columns = [
         "tasks",
@@ -356,10 +374,13 @@
     for workers in [50, 200, 400, 770] {
         let size =
             Size { name: "", workers, rack: 8, accelerators: workers * 2 };
-        report.row(format!("place at {workers} workers"), &place(size, seed));
+        report.row(
+            format!("place at {workers} workers"),
+            &measure_placement(size, seed),
+        );
     }
     for executors in [4, 17, 50, 200] {
-        let (p50, p99, per_second) = slots(executors);
+        let (p50, p99, per_second) = measure_calls(executors);
         report.row(
             format!("call at {executors} executors"),
             &[per_second, p50, p99, 0.0, 0.0, 0.0],
@@ -368,8 +389,9 @@
     report
 }
 
-/// The cost of placing single tasks with 27 others on each worker.
-fn place(size: Size, seed: u64) -> [f64; 6] {
+/// Measures the placement of single tasks while 27 others run on each worker.
+/// Returns the values of one row of [`decisions`].
+fn measure_placement(size: Size, seed: u64) -> [f64; 6] {
     let before = resident_kb();
     let mut bench = Bench::new(size, Fit::Best);
     let tasks = size.workers * 27;
@@ -377,7 +399,7 @@
         Resources { cpu_millis: 500, memory_mb: 2_000, accelerators: 0 };
     let jobs: Vec<Job> =
         (0..tasks / 9).map(|n| job(n as usize, 9, 0, need)).collect();
-    bench.placer.apply_config(&file(jobs.clone()));
+    bench.placer.apply_config(&cell_config(jobs.clone()));
     let start = Instant::now();
     settle(&mut bench);
     let all_at_once = start.elapsed();
@@ -390,11 +412,11 @@
         let need =
             Resources { cpu_millis: cpu, memory_mb: 100, accelerators: 0 };
         jobs.push(job(100_000 + n, 1, 0, need));
-        bench.placer.apply_config(&file(jobs.clone()));
-        let took = bench.pass(10);
+        bench.placer.apply_config(&cell_config(jobs.clone()));
+        let took = bench.advance(10);
         let _ = times.record(took.as_nanos() as u64);
     }
-    // Nothing to place and no sync due: what every event costs.
+    // With nothing to place and no sync due, this is the fixed cost of a step.
     settle(&mut bench);
     let idle = Instant::now();
     for _ in 0..100 {
@@ -411,9 +433,10 @@
     ]
 }
 
-/// The cost of deciding about a call, and decisions a second: each starts
-/// one call and ends another, with nine slots in ten used.
-fn slots(executors: u32) -> (f64, f64, f64) {
+/// Measures call admission with nine slots in ten in use; each decision starts
+/// one call and ends another. Returns the median and the 99th percentile of
+/// its time in microseconds, and the decisions per second.
+fn measure_calls(executors: u32) -> (f64, f64, f64) {
     let config = PoolConfig::default();
     let mut pool = Pool::new(config);
     for n in 0..executors {
@@ -429,19 +452,19 @@
     };
     let busy = u64::from(executors * 8 * 9 / 10);
     let mut times = histogram();
-    let rounds = 100_000;
+    let call_count = 100_000;
     let start = Instant::now();
-    for id in 0..rounds {
-        let one = Instant::now();
-        let offer = pool.admit(id, CallId(id), &spec);
-        assert!(matches!(offer, Admission::Start(_)));
+    for id in 0..call_count {
+        let call_start = Instant::now();
+        let admission = pool.admit(id, CallId(id), &spec);
+        assert!(matches!(admission, Admission::Start(_)));
         if id >= busy {
             pool.finish(id, CallId(id - busy));
             let _ = pool.start_waiting(id);
         }
-        let _ = times.record(one.elapsed().as_nanos() as u64);
+        let _ = times.record(call_start.elapsed().as_nanos() as u64);
     }
-    let per_second = rounds as f64 / start.elapsed().as_secs_f64();
+    let per_second = call_count as f64 / start.elapsed().as_secs_f64();
     (
         times.value_at_quantile(0.5) as f64 / 1_000.0,
         times.value_at_quantile(0.99) as f64 / 1_000.0,
--- a/puffinknot-measure/src/processes.rs
+++ b/puffinknot-measure/src/processes.rs
@@ -1,4 +1,4 @@
-//! Experiments with real daemons, on threads of this process.
+//! Experiments with real daemons, which run on threads of this process.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -20,17 +20,19 @@
 use crate::report::Report;
 use crate::sim::histogram;
 
-const FILE: &str = include_str!("../../examples/litoral.toml");
-const DCS: [&str; 2] = ["goya", "concordia"];
-const WAIT: Duration = Duration::from_secs(20);
+const CONFIG_FILE: &str = include_str!("../../examples/litoral.toml");
+const DATA_CENTRES: [&str; 2] = ["goya", "concordia"];
+/// How long to wait for daemons to become ready or to apply a revision.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Six daemons in two data centres, with targets and a platform.
+/// Six daemons in two data centres, with stand-ins for executors, workers and
+/// the platform.
 struct Cell {
     platform: Platform,
     base: String,
     daemons: Vec<Daemon>,
     executors: Vec<Running>,
-    _others: Vec<Running>,
+    _servers: Vec<Running>,
 }
 
 impl Cell {
@@ -43,9 +45,9 @@
             base,
             daemons: Vec::new(),
             executors: Vec::new(),
-            _others: vec![server],
+            _servers: vec![server],
         };
-        for dc in DCS {
+        for dc in DATA_CENTRES {
             for n in 0..executors {
                 cell.add_executor(dc, n);
             }
@@ -53,17 +55,17 @@
                 cell.add_worker(dc, n);
             }
         }
-        for dc in DCS {
+        for dc in DATA_CENTRES {
             for n in 0..3 {
                 cell.add_daemon(dc, n);
             }
         }
-        cell.apply(FILE);
-        cell.until_ready();
+        cell.apply(CONFIG_FILE);
+        cell.wait_until_ready();
         cell
     }
 
-    fn list(&self, kind: &str, dc: &str, n: usize, addr: SocketAddr) {
+    fn list_vm(&self, kind: &str, dc: &str, n: usize, addr: SocketAddr) {
         self.platform.put_vm(Vm {
             id: format!("{dc}-{kind}-{n}"),
             kind: kind.into(),
@@ -76,7 +78,7 @@
     fn add_executor(&mut self, dc: &str, n: usize) {
         let executor = Executor::new(ExecutorConfig::default());
         let server = serve(executor.serve("127.0.0.1:0"));
-        self.list("executor", dc, n, server.addr());
+        self.list_vm("executor", dc, n, server.addr());
         self.executors.push(server);
     }
 
@@ -92,8 +94,8 @@
         };
         let worker = Worker::new(&format!("{dc}-worker-{n}"), info);
         let server = serve(worker.serve("127.0.0.1:0"));
-        self.list("worker", dc, n, server.addr());
-        self._others.push(server);
+        self.list_vm("worker", dc, n, server.addr());
+        self._servers.push(server);
     }
 
     fn add_daemon(&mut self, dc: &str, n: usize) {
@@ -120,7 +122,7 @@
         };
         match Daemon::start(settings) {
             Ok(daemon) => self.daemons.push(daemon),
-            Err(err) => panic!("{err}"),
+            Err(err) => panic!("cannot start a daemon: {err}"),
         }
     }
 
@@ -128,12 +130,13 @@
         self.daemons.iter().map(|d| d.listen().to_string()).collect()
     }
 
-    /// Writes the file, in place of the revision that is there.
+    /// Writes a configuration file over the current one, and returns its
+    /// revision. Retries until the write succeeds.
     fn apply(&self, file: &str) -> u64 {
         let base = self.base.clone();
         let value = Value::Config(file.to_string());
-        in_system(async move {
-            let client = Client::new(local(), &base, "local");
+        block_on_system(async move {
+            let client = Client::new(local_client(), &base, "local");
             loop {
                 let found = client.read(0).await.unwrap_or_default();
                 let now = found.stored.iter().find(|s| s.key == Key::Config);
@@ -154,11 +157,12 @@
         })
     }
 
-    /// How long until a revision is in force at each of the daemons.
-    fn in_force(&self, revision: u64) -> Vec<Duration> {
+    /// Returns the time until each daemon applies a revision, or [`TIMEOUT`]
+    /// for daemons that don't apply it by then.
+    fn propagation_times(&self, revision: u64) -> Vec<Duration> {
         let start = Instant::now();
         let mut times = vec![None; self.daemons.len()];
-        while times.iter().any(Option::is_none) && start.elapsed() < WAIT {
+        while times.iter().any(Option::is_none) && start.elapsed() < TIMEOUT {
             for (daemon, time) in self.daemons.iter().zip(&mut times) {
                 let shared = daemon.control().traffic_config().revision;
                 if time.is_none() && shared >= revision {
@@ -167,25 +171,26 @@
             }
             std::thread::sleep(Duration::from_micros(200));
         }
-        times.into_iter().map(|time| time.unwrap_or(WAIT)).collect()
+        times.into_iter().map(|time| time.unwrap_or(TIMEOUT)).collect()
     }
 
-    fn until_ready(&self) {
+    fn wait_until_ready(&self) {
         let start = Instant::now();
         for class in classes() {
             for entry in self.entries() {
-                while !answers(&entry, &class) {
-                    assert!(start.elapsed() < WAIT, "{entry} is not ready");
+                while !is_answered(&entry, &class) {
+                    assert!(start.elapsed() < TIMEOUT, "{entry} is not ready");
                 }
             }
         }
     }
 
-    fn load(&self, entries: Vec<String>, calls: u32, rate: f64) -> Loaded {
+    /// Sends calls of the class `overnight` at a rate per second.
+    fn load(&self, entries: Vec<String>, calls: u32, rate: f64) -> LoadResult {
         let classes = vec![classes().remove(1)];
         let config = LoadConfig { entries, classes, calls, rate, seed: 1 };
         let start = Instant::now();
-        let result = in_system(load::run(config, |_| {}));
+        let result = block_on_system(load::run(config, |_| {}));
         let took = start.elapsed().as_secs_f64();
         let wait = result.classes.into_values().next();
         let wait = wait.map(|class| class.wait_us);
@@ -195,7 +200,7 @@
         };
         let ends = result.calls.values();
         let answered = ends.filter(|(_, e)| *e == End::Answered).count();
-        Loaded {
+        LoadResult {
             rate: answered as f64 / took,
             p50: quantile(0.5),
             p99: quantile(0.99),
@@ -209,7 +214,9 @@
     }
 }
 
-struct Loaded {
+/// The rate of answered calls per second, and quantiles of the call time in
+/// microseconds.
+struct LoadResult {
     rate: f64,
     p50: f64,
     p99: f64,
@@ -218,7 +225,7 @@
 fn serve(server: std::io::Result<Running>) -> Running {
     match server {
         Ok(server) => server,
-        Err(err) => panic!("a stand-in can't listen: {err}"),
+        Err(err) => panic!("the stand-in server cannot listen: {err}"),
     }
 }
 
@@ -226,11 +233,11 @@
     log::LevelFilter::Off
 }
 
-fn local() -> puffinknot::platform::HttpClient {
+fn local_client() -> puffinknot::platform::HttpClient {
     http_client([127, 0, 0, 1].into())
 }
 
-fn in_system<T>(run: impl std::future::Future<Output = T>) -> T {
+fn block_on_system<T>(run: impl std::future::Future<Output = T>) -> T {
     actix_rt::System::new().block_on(run)
 }
 
@@ -249,7 +256,7 @@
     ]
 }
 
-fn answers(entry: &str, class: &ClassLoad) -> bool {
+fn is_answered(entry: &str, class: &ClassLoad) -> bool {
     let config = LoadConfig {
         entries: vec![entry.to_string()],
         classes: vec![class.clone()],
@@ -257,11 +264,12 @@
         rate: 1_000.0,
         seed: 1,
     };
-    let result = in_system(load::run(config, |_| {}));
+    let result = block_on_system(load::run(config, |_| {}));
     result.calls.values().all(|(_, end)| *end == End::Answered)
 }
 
-/// The processor time of this process, in seconds.
+/// Returns the processor time of this process in seconds, with the usual 100
+/// clock ticks per second.
 fn cpu_seconds() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let rest = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
@@ -270,21 +278,22 @@
     ticks / 100.0
 }
 
-/// Calls through the daemons, one after the other and many at once.
+/// Measures calls through single daemons and through all six, against direct
+/// calls to an executor.
 pub fn calls(_seed: u64) -> Report {
     let columns = ["calls/s", "p50 us", "p99 us", "p50 to direct"];
     let mut report = Report::new("processes-calls", &columns);
     let cell = Cell::start(4, 0);
-    let paced = direct_calls(&cell, 200, Duration::from_millis(5));
+    let with_pause = direct_calls(&cell, 200, Duration::from_millis(5));
     let direct = direct_calls(&cell, 500, Duration::ZERO);
     report.row(
         "direct to executor",
         &[direct.rate, direct.p50, direct.p99, 1.0],
     );
-    let ratio = paced.p50 / direct.p50;
+    let ratio = with_pause.p50 / direct.p50;
     report.row(
         "direct, 200 calls/s",
-        &[paced.rate, paced.p50, paced.p99, ratio],
+        &[with_pause.rate, with_pause.p50, with_pause.p99, ratio],
     );
     for (name, rate, calls) in
         [("200 calls/s", 200.0, 300), ("2000 calls/s", 2_000.0, 2_000)]
@@ -306,15 +315,16 @@
     report
 }
 
-/// Calls straight to an executor, as a holder sends them.
+/// Sends calls directly to an executor, as the holder of a contract does.
 ///
-/// Without a pause between calls no thread has to be woken from sleep.
-fn direct_calls(cell: &Cell, calls: u32, pause: Duration) -> Loaded {
+/// Without a pause between calls, the measured time includes no wake-ups of
+/// sleeping threads.
+fn direct_calls(cell: &Cell, calls: u32, pause: Duration) -> LoadResult {
     let addr = cell.executors[0].addr();
     let mut times = histogram();
     let start = Instant::now();
-    in_system(async {
-        let client = local();
+    block_on_system(async {
+        let client = local_client();
         for n in 0..calls {
             let one = Instant::now();
             let out = puffinknot::target::ExecutorCall {
@@ -334,15 +344,15 @@
             }
         }
     });
-    Loaded {
+    LoadResult {
         rate: f64::from(calls) / start.elapsed().as_secs_f64(),
         p50: times.value_at_quantile(0.5) as f64,
         p99: times.value_at_quantile(0.99) as f64,
     }
 }
 
-/// What control costs: at rest with several numbers of targets, under a
-/// load, and over an outage of the platform.
+/// Measures the cost of control: at rest by the number of targets, under load,
+/// and during and after an outage of the platform.
 pub fn control(_seed: u64) -> Report {
     let columns = [
         "reads/s VM",
@@ -362,28 +372,28 @@
         let name = format!("rest, {} targets", 2 * (executors + workers));
         report.row(
             name,
-            &cost(&cell, memory, || {
+            &control_cost(&cell, memory, || {
                 std::thread::sleep(Duration::from_secs(2));
             }),
         );
         if workers == 16 {
             report.row(
                 "500 calls/s",
-                &cost(&cell, memory, || {
+                &control_cost(&cell, memory, || {
                     let _ = cell.load(cell.entries(), 1_000, 500.0);
                 }),
             );
             cell.platform.change_faults(|faults| faults.down = true);
             report.row(
                 "platform down",
-                &cost(&cell, memory, || {
+                &control_cost(&cell, memory, || {
                     std::thread::sleep(Duration::from_secs(2));
                 }),
             );
             cell.platform.change_faults(|faults| faults.down = false);
             report.row(
                 "platform returns",
-                &cost(&cell, memory, || {
+                &control_cost(&cell, memory, || {
                     std::thread::sleep(Duration::from_secs(2));
                 }),
             );
@@ -392,10 +402,12 @@
     report
 }
 
-fn cost(cell: &Cell, memory: f64, act: impl FnOnce()) -> [f64; 7] {
+/// Measures the control traffic, processor time and memory of each VM while
+/// `action` runs. `memory` is that of all VMs, in megabytes.
+fn control_cost(cell: &Cell, memory: f64, action: impl FnOnce()) -> [f64; 7] {
     let (calls, links) = (cell.platform.calls(), link::payload_bytes());
     let (cpu, start) = (cpu_seconds(), Instant::now());
-    act();
+    action();
     let seconds = start.elapsed().as_secs_f64();
     let after = cell.platform.calls();
     let vms = cell.daemons.len() as f64;
@@ -412,17 +424,18 @@
     ]
 }
 
-/// From the acceptance of a file until it is in force at every VM.
+/// Measures the time from the acceptance of a configuration file until every
+/// daemon applies it.
 pub fn config(_seed: u64) -> Report {
     let columns = ["changes", "p50 ms", "p99 ms", "max ms"];
     let mut report = Report::new("processes-config", &columns);
     let cell = Cell::start(1, 1);
-    let change = |n: usize| format!("{FILE}\n# change {n}\n");
+    let change = |n: usize| format!("{CONFIG_FILE}\n# change {n}\n");
     let mut row = |name: &str, changes: usize| {
         let mut times = histogram();
         for n in 0..changes {
             let revision = cell.apply(&change(n));
-            let all = cell.in_force(revision);
+            let all = cell.propagation_times(revision);
             let last = all.into_iter().max().unwrap_or_default();
             let _ = times.record(last.as_micros() as u64);
         }
--- a/puffinknot-measure/src/sim.rs
+++ b/puffinknot-measure/src/sim.rs
@@ -1,7 +1,7 @@
-//! Calls in virtual time, through the real [`Pool`] and through baselines.
+//! Simulates calls in virtual time with the production [`Pool`] and baselines.
 //!
-//! A fake caller that is refused comes back when it was told to, until its
-//! deadline has passed.
+//! A simulated caller retries a refused call after the delay that the refusal
+//! states, until the call's deadline.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -17,222 +17,230 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 
-/// A stream of calls of one class from one caller.
+/// Calls of one class from one caller, with exponentially distributed gaps.
 #[derive(Clone, Debug)]
 pub struct Stream {
-    /// The class.
+    /// The name of the class.
     pub class: &'static str,
-    /// The caller.
+    /// The name of the caller.
     pub caller: String,
-    /// How its calls wait.
+    /// Whether the calls are immediate or waiting.
     pub kind: ClassKind,
-    /// Calls in a second.
+    /// The mean number of calls per second.
     pub rate: f64,
-    /// The mean time a call runs, in milliseconds.
+    /// The mean run time of a call, in milliseconds.
     pub mean_ms: f64,
-    /// The deadline, in milliseconds after the arrival.
+    /// The time from a call's arrival to its deadline, in milliseconds.
     pub deadline: Millis,
-    /// From when to when it sends, in milliseconds.
+    /// The start and the end of arrivals, in milliseconds.
     pub span: (Millis, Millis),
 }
 
-/// Who decides.
+/// The admission policy of a simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The real pools, as many as the data centre has call contracts.
-    Chosen { pools: usize },
-    /// One queue for all, first come first served, without any refusal.
+    /// The production pools, one for each call contract; each executor belongs
+    /// to one pool.
+    Implemented { pools: usize },
+    /// One first-in first-out queue for all calls, which refuses none.
     OneQueue,
-    /// A fixed share of the slots for each entry VM.
-    Shares { vms: usize },
+    /// A fixed share of the slots of each executor for each entry VM.
+    FixedShares { vms: usize },
 }
 
-/// A run to make.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Who decides.
+    /// The admission policy.
     pub policy: Policy,
-    /// The number of executors, of eight slots each.
+    /// The number of executors, with [`SLOTS`] slots each.
     pub executors: u32,
-    /// The calls.
+    /// The streams of calls.
     pub streams: Vec<Stream>,
-    /// When a fifth of the executors is lost, if ever.
+    /// The time when a fifth of the executors is lost, in milliseconds.
     pub loss_at: Option<Millis>,
-    /// The end of arrivals.
+    /// The end of all arrivals, in milliseconds.
     pub until: Millis,
 }
 
-/// How a stream's class fared.
-pub struct Fared {
-    /// Waiting time from arrival to start, in milliseconds.
+/// The results of the calls of a class.
+pub struct CallStats {
+    /// The time from arrival to start, in milliseconds.
     pub wait: Histogram<u64>,
-    /// Calls that arrived.
+    /// The number of calls that arrived.
     pub arrived: u64,
-    /// Calls that were never started.
+    /// The number of calls that never started.
     pub refused: u64,
-    /// Calls answered within their deadline.
+    /// The number of calls answered by their deadline.
     pub in_time: u64,
-    /// The work of these, in milliseconds of slots.
+    /// The run time of the calls answered by their deadline, in slot
+    /// milliseconds.
     pub work: u64,
-    /// From arrival to the answer, in milliseconds.
+    /// The time from arrival to the answer, in milliseconds.
     pub response: Histogram<u64>,
-    /// Calls turned away at least once, or at their first try.
-    pub turned_away: u64,
+    /// The number of calls whose first attempt was refused.
+    pub refused_at_first: u64,
 }
 
-impl Fared {
-    /// Nothing yet.
-    pub fn new() -> Fared {
-        Fared {
+impl CallStats {
+    /// Creates statistics of no calls.
+    pub fn new() -> CallStats {
+        CallStats {
             wait: histogram(),
             response: histogram(),
             arrived: 0,
             refused: 0,
             in_time: 0,
             work: 0,
-            turned_away: 0,
+            refused_at_first: 0,
         }
     }
 
-    /// Adds what another one counted.
-    pub fn add(&mut self, other: &Fared) {
+    /// Adds the calls of other statistics.
+    pub fn add(&mut self, other: &CallStats) {
         let _ = self.wait.add(&other.wait);
         let _ = self.response.add(&other.response);
         self.arrived += other.arrived;
         self.refused += other.refused;
         self.in_time += other.in_time;
         self.work += other.work;
-        self.turned_away += other.turned_away;
+        self.refused_at_first += other.refused_at_first;
     }
 
-    /// A quantile of the waiting time, in milliseconds.
+    /// Returns a quantile of the waiting time, in milliseconds.
     pub fn quantile(&self, q: f64) -> f64 {
         self.wait.value_at_quantile(q) as f64
     }
 }
 
-/// A histogram that grows by itself and keeps three digits.
+/// Creates a histogram that resizes itself and keeps three significant digits.
 pub fn histogram() -> Histogram<u64> {
-    // Three digits are a precision that the crate accepts.
+    // The precision is within the limits of the histogram crate.
     Histogram::new(3).unwrap_or_else(|_| unreachable!())
 }
 
-/// The slots of an executor.
+/// The number of slots of an executor.
 pub const SLOTS: u32 = 8;
 
 #[derive(Clone, Debug)]
 struct CallState {
     stream: usize,
     arrived: Millis,
-    runs: Millis,
-    tries: u32,
+    run_ms: Millis,
+    attempts: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
-    Lose,
-    End(u64),
+enum SimEvent {
+    ExecutorLoss,
+    CallEnd(u64),
     Retry(u64),
-    Arrive(usize),
-    Pump,
+    Arrival(usize),
+    Dispatch,
 }
 
-enum Decider {
+enum Dispatcher {
     Pools(Vec<Pool>),
     Queue { slots: u32, busy: u32, queue: VecDeque<u64> },
 }
 
-/// A run in progress.
-pub struct Sim {
+/// A simulation in progress.
+pub struct Simulation {
     plan: Plan,
     rng: StdRng,
-    heap: BinaryHeap<Reverse<(Millis, u64, Happening)>>,
+    heap: BinaryHeap<Reverse<(Millis, u64, SimEvent)>>,
     seq: u64,
-    decider: Decider,
+    dispatcher: Dispatcher,
     calls: HashMap<u64, CallState>,
-    /// Which pool a call is at.
-    at: HashMap<u64, usize>,
-    fared: BTreeMap<(&'static str, String), Fared>,
+    /// The index of the pool that runs or queues a call.
+    pool_of: HashMap<u64, usize>,
+    stats: BTreeMap<(&'static str, String), CallStats>,
 }
 
-/// Makes a run. Classes and callers of the result are in order.
-pub fn run(plan: Plan, seed: u64) -> BTreeMap<(&'static str, String), Fared> {
-    Sim::new(plan, seed).run()
+/// Runs a simulation, and returns the results by class and caller.
+pub fn run(
+    plan: Plan,
+    seed: u64,
+) -> BTreeMap<(&'static str, String), CallStats> {
+    Simulation::new(plan, seed).run()
 }
 
-/// Sums up the callers of one class.
+/// Returns the results of one class, summed over its callers.
 pub fn class(
-    all: &BTreeMap<(&'static str, String), Fared>,
+    all: &BTreeMap<(&'static str, String), CallStats>,
     class: &str,
-) -> Fared {
-    let mut sum = Fared::new();
-    for ((name, _), fared) in all {
+) -> CallStats {
+    let mut sum = CallStats::new();
+    for ((name, _), stats) in all {
         if *name == class {
-            sum.add(fared);
+            sum.add(stats);
         }
     }
     sum
 }
 
-impl Sim {
-    fn new(plan: Plan, seed: u64) -> Sim {
+impl Simulation {
+    fn new(plan: Plan, seed: u64) -> Simulation {
         let executors = plan.executors;
-        let decider = match plan.policy {
-            Policy::Chosen { pools } => {
-                Decider::Pools(build(pools, executors))
+        let dispatcher = match plan.policy {
+            Policy::Implemented { pools } => {
+                Dispatcher::Pools(whole_executor_pools(pools, executors))
             }
-            Policy::Shares { vms } => {
-                // Slots can't be split: eight over nine VMs leave one of
-                // them without any at each executor.
-                Decider::Pools(shares(vms, executors))
+            Policy::FixedShares { vms } => {
+                // Slots are indivisible: with eight slots and nine VMs, one VM
+                // has no slot on each executor.
+                Dispatcher::Pools(fixed_share_pools(vms, executors))
             }
-            Policy::OneQueue => Decider::Queue {
+            Policy::OneQueue => Dispatcher::Queue {
                 slots: executors * SLOTS,
                 busy: 0,
                 queue: VecDeque::new(),
             },
         };
-        Sim {
+        Simulation {
             plan,
             rng: StdRng::seed_from_u64(seed),
             heap: BinaryHeap::new(),
             seq: 0,
-            decider,
+            dispatcher,
             calls: HashMap::new(),
-            at: HashMap::new(),
-            fared: BTreeMap::new(),
+            pool_of: HashMap::new(),
+            stats: BTreeMap::new(),
         }
     }
 
-    fn at(&mut self, when: Millis, what: Happening) {
+    fn schedule(&mut self, time: Millis, event: SimEvent) {
         self.seq += 1;
-        self.heap.push(Reverse((when, self.seq, what)));
+        self.heap.push(Reverse((time, self.seq, event)));
     }
 
-    fn run(mut self) -> BTreeMap<(&'static str, String), Fared> {
+    fn run(mut self) -> BTreeMap<(&'static str, String), CallStats> {
         for stream in 0..self.plan.streams.len() {
             let from = self.plan.streams[stream].span.0;
             self.next_arrival(from, stream);
         }
         if let Some(at) = self.plan.loss_at {
-            self.at(at, Happening::Lose);
+            self.schedule(at, SimEvent::ExecutorLoss);
         }
-        self.at(PUMP, Happening::Pump);
-        while let Some(Reverse((now, _, what))) = self.heap.pop() {
-            match what {
-                Happening::Arrive(stream) => self.arrive(now, stream),
-                Happening::Retry(id) => self.offer(now, id),
-                Happening::End(id) => self.end(now, id),
-                Happening::Lose => self.lose(),
-                Happening::Pump => {
-                    self.pump(now);
+        self.schedule(DISPATCH_INTERVAL, SimEvent::Dispatch);
+        while let Some(Reverse((now, _, event))) = self.heap.pop() {
+            match event {
+                SimEvent::Arrival(stream) => self.arrive(now, stream),
+                SimEvent::Retry(id) => self.offer(now, id),
+                SimEvent::CallEnd(id) => self.finish_call(now, id),
+                SimEvent::ExecutorLoss => self.lose_executors(),
+                SimEvent::Dispatch => {
+                    self.dispatch(now);
                     if now < self.plan.until || !self.calls.is_empty() {
-                        self.at(now + PUMP, Happening::Pump);
+                        self.schedule(
+                            now + DISPATCH_INTERVAL,
+                            SimEvent::Dispatch,
+                        );
                     }
                 }
             }
         }
-        self.fared
+        self.stats
     }
 
     fn next_arrival(&mut self, now: Millis, stream: usize) {
@@ -241,28 +249,29 @@
         let gap: f64 = gaps.sample(&mut self.rng);
         let next = now + gap.round() as Millis;
         if next < self.plan.until.min(spec.span.1) {
-            self.at(next, Happening::Arrive(stream));
+            self.schedule(next, SimEvent::Arrival(stream));
         }
     }
 
     fn arrive(&mut self, now: Millis, stream: usize) {
         let spec = &self.plan.streams[stream];
-        let runs = Exp::new(1.0 / spec.mean_ms);
-        let runs = runs.map_or(1.0, |runs| runs.sample(&mut self.rng));
-        let runs = (runs.round() as Millis).max(1);
+        let run_times = Exp::new(1.0 / spec.mean_ms);
+        let run_ms =
+            run_times.map_or(1.0, |times| times.sample(&mut self.rng));
+        let run_ms = (run_ms.round() as Millis).max(1);
         self.seq += 1;
         let id = self.seq;
-        let state = CallState { stream, arrived: now, runs, tries: 0 };
+        let state = CallState { stream, arrived: now, run_ms, attempts: 0 };
         self.calls.insert(id, state);
-        self.fared(id).arrived += 1;
+        self.stats(id).arrived += 1;
         self.offer(now, id);
         self.next_arrival(now, stream);
     }
 
-    fn fared(&mut self, id: u64) -> &mut Fared {
+    fn stats(&mut self, id: u64) -> &mut CallStats {
         let stream = &self.plan.streams[self.calls[&id].stream];
         let key = (stream.class, stream.caller.clone());
-        self.fared.entry(key).or_insert_with(Fared::new)
+        self.stats.entry(key).or_insert_with(CallStats::new)
     }
 
     fn spec(&self, id: u64) -> CallSpec {
@@ -279,96 +288,98 @@
 
     fn offer(&mut self, now: Millis, id: u64) {
         let spec = self.spec(id);
-        let pools = match &mut self.decider {
-            Decider::Queue { queue, .. } => {
+        let pools = match &mut self.dispatcher {
+            Dispatcher::Queue { queue, .. } => {
                 queue.push_back(id);
-                self.pump(now);
+                self.dispatch(now);
                 return;
             }
-            Decider::Pools(pools) => pools,
+            Dispatcher::Pools(pools) => pools,
         };
-        let pool = pick(pools, self.plan.policy, &spec, &mut self.rng);
+        let pool = choose_pool(pools, self.plan.policy, &spec, &mut self.rng);
         match pools[pool].admit(now, CallId(id), &spec) {
             Admission::Start(_) => {
-                self.at.insert(id, pool);
-                self.started(now, id);
+                self.pool_of.insert(id, pool);
+                self.handle_start(now, id);
             }
             Admission::Queued => {
-                self.at.insert(id, pool);
+                self.pool_of.insert(id, pool);
+            }
+            Admission::Refused(outcome) => {
+                self.handle_refusal(now, id, &outcome)
             }
-            Admission::Refused(outcome) => self.refused(now, id, &outcome),
         }
     }
 
-    fn refused(&mut self, now: Millis, id: u64, outcome: &Outcome) {
+    fn handle_refusal(&mut self, now: Millis, id: u64, outcome: &Outcome) {
         let Outcome::NotRun { retry_after, .. } = outcome else { return };
         let state = &self.calls[&id];
         let stream = &self.plan.streams[state.stream];
-        let again = now + (*retry_after).max(1);
-        let first = state.tries == 0;
-        let over = again >= state.arrived + stream.deadline;
-        if first {
-            self.fared(id).turned_away += 1;
+        let retry_at = now + (*retry_after).max(1);
+        let first_attempt = state.attempts == 0;
+        let past_deadline = retry_at >= state.arrived + stream.deadline;
+        if first_attempt {
+            self.stats(id).refused_at_first += 1;
         }
-        if over {
-            self.fared(id).refused += 1;
+        if past_deadline {
+            self.stats(id).refused += 1;
             self.calls.remove(&id);
             return;
         }
         if let Some(state) = self.calls.get_mut(&id) {
-            state.tries += 1;
+            state.attempts += 1;
         }
-        self.at(again, Happening::Retry(id));
+        self.schedule(retry_at, SimEvent::Retry(id));
     }
 
-    fn started(&mut self, now: Millis, id: u64) {
-        let (arrived, runs) = {
+    fn handle_start(&mut self, now: Millis, id: u64) {
+        let (arrived, run_ms) = {
             let state = &self.calls[&id];
-            (state.arrived, state.runs)
+            (state.arrived, state.run_ms)
         };
-        // The histogram grows by itself, so that recording can't fail.
-        let _ = self.fared(id).wait.record(now - arrived);
-        self.at(now + runs, Happening::End(id));
+        // Recording can't fail, as the histogram resizes itself.
+        let _ = self.stats(id).wait.record(now - arrived);
+        self.schedule(now + run_ms, SimEvent::CallEnd(id));
     }
 
-    fn end(&mut self, now: Millis, id: u64) {
+    fn finish_call(&mut self, now: Millis, id: u64) {
         if !self.calls.contains_key(&id) {
             return;
         }
         let state = &self.calls[&id];
         let stream = &self.plan.streams[state.stream];
-        let (took, runs) = (now - state.arrived, state.runs);
+        let (took, run_ms) = (now - state.arrived, state.run_ms);
         let in_time = took <= stream.deadline;
-        let fared = self.fared(id);
-        let _ = fared.response.record(took);
+        let stats = self.stats(id);
+        let _ = stats.response.record(took);
         if in_time {
-            fared.in_time += 1;
-            fared.work += runs;
+            stats.in_time += 1;
+            stats.work += run_ms;
         }
         self.calls.remove(&id);
-        match &mut self.decider {
-            Decider::Queue { busy, .. } => *busy -= 1,
-            Decider::Pools(pools) => {
-                if let Some(pool) = self.at.remove(&id) {
+        match &mut self.dispatcher {
+            Dispatcher::Queue { busy, .. } => *busy -= 1,
+            Dispatcher::Pools(pools) => {
+                if let Some(pool) = self.pool_of.remove(&id) {
                     pools[pool].finish(now, CallId(id));
                 }
             }
         }
-        self.pump(now);
+        self.dispatch(now);
     }
 
-    fn pump(&mut self, now: Millis) {
+    fn dispatch(&mut self, now: Millis) {
         let mut started = Vec::new();
         let mut expired = Vec::new();
-        match &mut self.decider {
-            Decider::Queue { slots, busy, queue } => {
+        match &mut self.dispatcher {
+            Dispatcher::Queue { slots, busy, queue } => {
                 while *busy < *slots {
                     let Some(id) = queue.pop_front() else { break };
                     *busy += 1;
                     started.push(id);
                 }
             }
-            Decider::Pools(pools) => {
+            Dispatcher::Pools(pools) => {
                 for pool in pools {
                     for dequeued in pool.start_waiting(now) {
                         match dequeued {
@@ -380,24 +391,28 @@
             }
         }
         for id in started {
-            self.started(now, id);
+            self.handle_start(now, id);
         }
         for id in expired {
-            self.fared(id).refused += 1;
-            self.at.remove(&id);
+            self.stats(id).refused += 1;
+            self.pool_of.remove(&id);
             self.calls.remove(&id);
         }
     }
 
-    /// A fifth of the executors is gone, and what ran there with it.
-    fn lose(&mut self) {
+    /// Makes a fifth of the executors unavailable. Calls that run there keep
+    /// their scheduled end.
+    fn lose_executors(&mut self) {
         let executors = self.plan.executors;
-        match &mut self.decider {
-            Decider::Queue { slots, .. } => *slots -= *slots / 5,
-            Decider::Pools(pools) => {
-                for n in 0..executors / 5 {
+        match &mut self.dispatcher {
+            Dispatcher::Queue { slots, .. } => *slots -= *slots / 5,
+            Dispatcher::Pools(pools) => {
+                for number in 0..executors / 5 {
                     for pool in pools.iter_mut() {
-                        pool.set_state(&target(n), ExecutorState::Unavailable);
+                        pool.set_state(
+                            &target(number),
+                            ExecutorState::Unavailable,
+                        );
                     }
                 }
             }
@@ -405,49 +420,53 @@
     }
 }
 
-/// How often the deciders are told that time has passed.
-const PUMP: Millis = 50;
+/// The interval at which waiting calls are started or expire.
+const DISPATCH_INTERVAL: Millis = 50;
 
-fn target(n: u32) -> TargetId {
-    TargetId(format!("executor-{n:03}"))
+fn target(number: u32) -> TargetId {
+    TargetId(format!("executor-{number:03}"))
 }
 
-fn build(pools: usize, executors: u32) -> Vec<Pool> {
+/// Creates pools and distributes the executors over them in rotation.
+fn whole_executor_pools(pools: usize, executors: u32) -> Vec<Pool> {
     let config = PoolConfig { queue: 100_000, ..PoolConfig::default() };
     let mut all = vec![Pool::new(config); pools];
-    for n in 0..executors {
-        let pool = &mut all[n as usize % pools];
-        pool.report(&target(n), ExecutorState::Ready, SLOTS, 0);
+    for number in 0..executors {
+        let pool = &mut all[number as usize % pools];
+        pool.report(&target(number), ExecutorState::Ready, SLOTS, 0);
     }
     all
 }
 
-/// Every entry VM has its own part of each executor's slots.
-fn shares(vms: usize, executors: u32) -> Vec<Pool> {
+/// Creates one pool for each entry VM, and distributes the slots of all
+/// executors over the pools in rotation.
+fn fixed_share_pools(vms: usize, executors: u32) -> Vec<Pool> {
     let config = PoolConfig { queue: 100_000, ..PoolConfig::default() };
     let mut all = vec![Pool::new(config); vms];
-    for n in 0..executors {
+    for number in 0..executors {
         for slot in 0..SLOTS {
-            let vm = (n * SLOTS + slot) as usize % vms;
+            let vm = (number * SLOTS + slot) as usize % vms;
             let pool = &mut all[vm];
-            let had = pool.usage().find(|(id, ..)| **id == target(n));
+            let had = pool.usage().find(|(id, ..)| **id == target(number));
             let slots = had.map_or(0, |(_, slots, ..)| slots);
-            pool.report(&target(n), ExecutorState::Ready, slots + 1, 0);
+            pool.report(&target(number), ExecutorState::Ready, slots + 1, 0);
         }
     }
     all
 }
 
-/// The pool a call is offered to: as an entry VM chooses it, the one with
-/// the most free slots; with fixed shares, the one of the VM it came to.
-fn pick(
+/// Chooses the pool that a call is offered to.
+///
+/// With fixed shares this is the pool of a random VM, to which the call came.
+/// Otherwise it is the pool of least cost, as an entry VM chooses.
+fn choose_pool(
     pools: &[Pool],
     policy: Policy,
     spec: &CallSpec,
     rng: &mut StdRng,
 ) -> usize {
     let any = rng.random_range(0..pools.len());
-    if matches!(policy, Policy::Shares { .. }) {
+    if matches!(policy, Policy::FixedShares { .. }) {
         return any;
     }
     let cost = |pool: &usize| pools[*pool].load().cost(spec.kind);
