--- a/puffinknot-measure/src/leader.rs
+++ b/puffinknot-measure/src/leader.rs
@@ -428,7 +428,8 @@
         Event::Request { id, caller: Caller::default(), request }
     }
 
-    /// Simulates until the time `until`, with `per_second` jobs submitted per second.
+    /// Simulates until the time `until`, with `per_second` jobs submitted per
+    /// second.
     fn run(&mut self, until: Millis, per_second: u64) {
         let mut next_job = self.now * 1_000;
         let mut next_tick = self.now;
--- a/puffinknot-measure/src/processes.rs
+++ b/puffinknot-measure/src/processes.rs
@@ -214,8 +214,8 @@
     }
 }
 
-/// The rate of answered calls per second, and quantiles of the call time in
-/// microseconds.
+/// The rate of answered calls per second, and quantiles of the time to the
+/// answer without the call's run time, in microseconds.
 struct LoadResult {
     rate: f64,
     p50: f64,
