--- a/puffinknot-measure/src/calls.rs
+++ b/puffinknot-measure/src/calls.rs
@@ -96,6 +96,8 @@
     Plan { policy, executors: EXECUTORS, streams, loss_at: None, until }
 }
 
+/// The implemented policy with several numbers of call contracts, and the
+/// baselines.
 const POLICIES: [(&str, Policy); 5] = [
     ("chosen", Policy::Implemented { pools: POOLS }),
     ("three a dc", Policy::Implemented { pools: 3 * POOLS }),
@@ -113,6 +115,7 @@
     "in time %",
 ];
 
+/// Appends the results of one class to a report with [`COLUMNS`].
 fn add_row(report: &mut Report, case: String, stats: &CallStats) {
     let percent = |n: u64| n as f64 * 100.0 / stats.arrived.max(1) as f64;
     report.row(
@@ -128,6 +131,7 @@
     );
 }
 
+/// Measures each policy at several loads, and reports each class.
 fn waiting(
     name: &'static str,
     classes: &[UserClass],
@@ -148,10 +152,12 @@
     report
 }
 
+/// Measures the waiting time of the classes of the climate service.
 pub fn litoral(seed: u64) -> Report {
     waiting("waiting-litoral", LITORAL, 120_000, seed)
 }
 
+/// Measures the waiting time of the classes of the invitation service.
 pub fn karibu(seed: u64) -> Report {
     waiting("waiting-karibu", KARIBU, 30_000, seed)
 }
--- a/puffinknot-measure/src/sim.rs
+++ b/puffinknot-measure/src/sim.rs
@@ -139,8 +139,11 @@
     Dispatch,
 }
 
+/// What decides when calls start.
 enum Dispatcher {
+    /// The pools of [`Policy::Implemented`] or [`Policy::FixedShares`].
     Pools(Vec<Pool>),
+    /// The state of [`Policy::OneQueue`].
     Queue { slots: u32, busy: u32, queue: VecDeque<u64> },
 }
 
@@ -286,6 +289,7 @@
         }
     }
 
+    /// Offers a call for admission, at its arrival or as a retry.
     fn offer(&mut self, now: Millis, id: u64) {
         let spec = self.spec(id);
         let pools = match &mut self.dispatcher {
@@ -311,6 +315,8 @@
         }
     }
 
+    /// Schedules a retry of a refused call, or drops the call if the retry
+    /// would be too late.
     fn handle_refusal(&mut self, now: Millis, id: u64, outcome: &Outcome) {
         let Outcome::NotRun { retry_after, .. } = outcome else { return };
         let state = &self.calls[&id];
@@ -368,6 +374,8 @@
         self.dispatch(now);
     }
 
+    /// Starts waiting calls while slots are free, and drops the calls that the
+    /// pools report as expired.
     fn dispatch(&mut self, now: Millis) {
         let mut started = Vec::new();
         let mut expired = Vec::new();
