--- a/puffinknot-core/src/jobs/accounts.rs
+++ b/puffinknot-core/src/jobs/accounts.rs
@@ -19,10 +19,10 @@
 use crate::config::Resources;
 use crate::jobs::policy::Policy;
 
-/// The length of a digest.
+/// The length of a SHA-256 digest.
 const DIGEST_BYTES: usize = 32;
 /// The length of the prefix of a digest by which keys are indexed.
-const INDEX_BYTES: usize = 8;
+const LOOKUP_PREFIX_BYTES: usize = 8;
 
 /// The SHA-256 digest of an API key. Its debug form reveals nothing of it.
 #[derive(Clone, Copy, Serialize, Deserialize)]
@@ -34,12 +34,13 @@
         KeyDigest(Sha256::digest(key).into())
     }
 
-    /// The prefix by which keys are indexed. The lookup does not take constant
-    /// time, so that it leaks a part of the digest, but nothing of the key.
-    fn index(&self) -> [u8; INDEX_BYTES] {
-        let mut index = [0; INDEX_BYTES];
-        index.copy_from_slice(&self.0[..INDEX_BYTES]);
-        index
+    /// The prefix by which keys are indexed. The time of a lookup is not
+    /// constant and may reveal this part of the digest, but nothing about the
+    /// key.
+    fn lookup_prefix(&self) -> [u8; LOOKUP_PREFIX_BYTES] {
+        let mut prefix = [0; LOOKUP_PREFIX_BYTES];
+        prefix.copy_from_slice(&self.0[..LOOKUP_PREFIX_BYTES]);
+        prefix
     }
 }
 
@@ -65,32 +66,32 @@
     pub name: String,
     /// Its API keys.
     pub keys: Vec<KeyDigest>,
-    /// Its share of a full cell relative to others, and the jobs per second
-    /// that it is entitled to; zero exempts it from both limits.
+    /// Its share of a full cell relative to others. The same number is its
+    /// job rate, in jobs per second. Zero exempts it from both limits.
     pub weight: f64,
     /// The most resources that its running tasks may take on all executors
     /// together; zero means no limit.
     pub limit: Resources,
 }
 
-/// The resources left under a limit after `used`, unbounded where the limit is
-/// zero.
-pub fn left(limit: &Resources, used: &Resources) -> Resources {
-    let left = |limit: u32, used: u32| match limit {
+/// The resources that remain of a limit after `used`, unbounded where the
+/// limit is zero.
+pub fn remaining(limit: &Resources, used: &Resources) -> Resources {
+    let remaining = |limit: u32, used: u32| match limit {
         0 => u32::MAX,
         limit => limit.saturating_sub(used),
     };
     Resources {
-        cpu_millis: left(limit.cpu_millis, used.cpu_millis),
-        memory_mb: left(limit.memory_mb, used.memory_mb),
-        accelerators: left(limit.accelerators, used.accelerators),
+        cpu_millis: remaining(limit.cpu_millis, used.cpu_millis),
+        memory_mb: remaining(limit.memory_mb, used.memory_mb),
+        accelerators: remaining(limit.accelerators, used.accelerators),
     }
 }
 
 /// An index from API keys to the accounts that own them.
 #[derive(Clone, Debug, Default)]
 pub struct KeyRing {
-    keys: BTreeMap<[u8; INDEX_BYTES], Vec<(KeyDigest, String)>>,
+    keys: BTreeMap<[u8; LOOKUP_PREFIX_BYTES], Vec<(KeyDigest, String)>>,
 }
 
 impl KeyRing {
@@ -99,7 +100,7 @@
         let mut ring = KeyRing::default();
         for account in policy.accounts.values() {
             for key in &account.keys {
-                let entry = ring.keys.entry(key.index()).or_default();
+                let entry = ring.keys.entry(key.lookup_prefix()).or_default();
                 entry.push((*key, account.name.clone()));
             }
         }
@@ -108,18 +109,19 @@
 
     /// The name of the account that owns a key, if there is one.
     pub fn find(&self, key: &KeyDigest) -> Option<&str> {
-        let candidates = self.keys.get(&key.index())?;
+        let candidates = self.keys.get(&key.lookup_prefix())?;
         let found = candidates.iter().find(|(known, _)| known == key);
         found.map(|(_, account)| account.as_str())
     }
 }
 
-/// The identity of a caller, as established by the node that took the call.
+/// The API key of a call, and the policy version by which the node that took
+/// the call checked it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
-pub struct Caller {
-    /// The key that came with the call.
+pub struct CallCredentials {
+    /// The digest of the key that came with the call.
     pub key: Option<KeyDigest>,
     /// The version of the policy in force at that node.
     pub policy: u64,
--- a/puffinknot-core/src/jobs/scheduler/ledger.rs
+++ b/puffinknot-core/src/jobs/scheduler/ledger.rs
@@ -7,8 +7,9 @@
 only when that executor answers. Until then an account may use more than is
 known. The unknown part is at most the capacity of the executors that have not
 answered, and at most what the inherited jobs of the account may have started.
-The smaller of the two is added to the known usage, so that the sum may be too
-high but never too low.
+The smaller of the two bounds, for each resource, is added to the known usage
+before it is compared with the limit, so that the result may be too high but
+never too low.
 */
 
 use std::collections::BTreeMap;
@@ -77,7 +78,7 @@
             weight: self.weight,
             used: self.used,
             urgent: self.urgent,
-            limit: accounts::left(&self.limit, &Resources::default()),
+            limit: accounts::remaining(&self.limit, &Resources::default()),
         }
     }
 }
@@ -148,7 +149,7 @@
         let mut used = entry.used.plus(&entry.unseen);
         for ((end, ..), amount) in &entry.ends {
             used = used.minus(amount);
-            if accounts::left(&entry.limit, &used).fits(needed) {
+            if accounts::remaining(&entry.limit, &used).fits(needed) {
                 // An overdue run is expected to take as long again as it is
                 // overdue, up to the grace.
                 let overrun = now.saturating_sub(*end).min(OVERRUN_GRACE);
@@ -165,17 +166,18 @@
         match entry {
             Some(entry) => {
                 let used = entry.used.plus(&entry.unseen);
-                accounts::left(&entry.limit, &used)
+                accounts::remaining(&entry.limit, &used)
             }
-            None => accounts::left(&none, &none),
+            None => accounts::remaining(&none, &none),
         }
     }
 
-    /// The limit of an account. A gang that needs more can never start.
+    /// The limit of an account, with `u32::MAX` for a resource without one. A
+    /// gang that needs more can never start.
     pub fn limit_of(&self, account: Option<AccountIndex>) -> Resources {
         let entry = account.and_then(|at| self.entries.get(at as usize));
         let limit = entry.map(|entry| entry.limit).unwrap_or_default();
-        accounts::left(&limit, &Resources::default())
+        accounts::remaining(&limit, &Resources::default())
     }
 
     /// Adds what a predecessor recorded as possibly still in use by jobs that
@@ -307,9 +309,9 @@
         if self.ledger.entries.is_empty() {
             return;
         }
-        let unseen = self.unheard_executors.iter();
-        let unseen = unseen.filter_map(|at| self.executors.get(at));
-        let bound = unseen.fold(Resources::default(), |sum, executor| {
+        let unheard = self.unheard_executors.iter();
+        let unheard = unheard.filter_map(|at| self.executors.get(at));
+        let bound = unheard.fold(Resources::default(), |sum, executor| {
             sum.plus(&executor.info.capacity)
         });
         let mut started: BTreeMap<AccountIndex, Resources> = BTreeMap::new();
@@ -322,7 +324,7 @@
             let started = started.get(&(at as AccountIndex));
             let started = started.copied().unwrap_or_default();
             let may_run = started.plus(&entry.inherited);
-            entry.unseen = may_run.least(&bound);
+            entry.unseen = may_run.component_min(&bound);
         }
     }
 
--- a/puffinknot-core/src/jobs/scheduler/mod.rs
+++ b/puffinknot-core/src/jobs/scheduler/mod.rs
@@ -64,7 +64,7 @@
 use crate::jobs::cordon::Cordons;
 use crate::jobs::crash_rate::CrashRate;
 use crate::jobs::executor::Executor;
-use crate::jobs::executors::Executors;
+use crate::jobs::executor_index::Executors;
 use crate::jobs::mechanism::{Mechanism, Mechanisms};
 use crate::jobs::message::{
     Action, CallId, Event, ExecutorIndex, Outcome, RequestId,
@@ -430,7 +430,7 @@
         self.give_up_incarnations(now);
         self.expire_leases(now);
         self.expire_in_flight_starts(now);
-        self.expire_advice(now);
+        self.reassign_overdue_calls(now);
         self.resend_stops(now);
         self.release_due(now);
         self.check_takeover(now);
--- a/puffinknot-core/src/jobs/scheduler/requests.rs
+++ b/puffinknot-core/src/jobs/scheduler/requests.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use crate::ids::Millis;
-use crate::jobs::accounts::Caller;
+use crate::jobs::accounts::CallCredentials;
 use crate::jobs::mechanism::Mechanism;
 use crate::jobs::message::{Outcome, Request, RequestId};
 use crate::jobs::model::{Job, JobId, JobState, StepKey};
@@ -31,7 +31,7 @@
     pub(super) fn request(
         &mut self,
         id: RequestId,
-        caller: &Caller,
+        caller: &CallCredentials,
         request: Request,
         now: Millis,
     ) {
@@ -74,8 +74,7 @@
             || self.ended.jobs.contains_key(&job.id);
         if known && !self.may_access(&scope, job.id) {
             // Ids are random and too long to collide by accident. The reply
-            // is one that is also given for other reasons, so that it does not
-            // reveal that the job exists.
+            // is one that is also given for other reasons.
             self.count("refused_id_taken");
             return self.reply(id, Outcome::Refused(RETRY_AFTER));
         }
@@ -242,11 +241,11 @@
         self.retain_unseen(job);
         let Some(live) = self.jobs.get_mut(&job) else { return };
         let mut placed = Vec::new();
-        for (&(time, step), state) in &mut live.steps {
+        for (&(time, step), step_state) in &mut live.steps {
             let step = StepKey { job, time, step };
             self.ready.remove(&step);
-            state.waiting.clear();
-            let places = std::mem::take(&mut state.placements);
+            step_state.waiting.clear();
+            let places = std::mem::take(&mut step_state.placements);
             let tasks = places
                 .into_iter()
                 .map(|(index, (at, run))| (at, step.task(index), run));
--- a/puffinknot-core/src/node/view.rs
+++ b/puffinknot-core/src/node/view.rs
@@ -1,8 +1,8 @@
-//! The newest that is known of the platform's values, from wherever it came.
+//! The newest known versions of the platform's values, from any source.
 //!
-//! Nothing in a view ever goes back: a value replaces another only if its
-//! revision is higher, whether it comes from a read, from the watch or from
-//! a peer.
+//! A value never goes back to an earlier version: it is replaced only by one
+//! of a higher revision, whether that comes from a read, from the watch or
+//! from a peer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,14 +10,13 @@
 use crate::config::Config;
 use crate::contract::{Contract, ContractMap, Scope};
 use crate::ids::{DcName, Epoch, Millis, Revision, TargetId, VmId};
-use crate::store::{Key, Member, Stored, Value};
+use crate::store::{Key, Member, StoredEntry, Value};
 use crate::tasks::Progress;
 
-use super::{Action, Listed, Node, Now, Summary, Unread};
+use super::{Action, ListedTarget, Node, Now, Summary, UnreadableEntries};
 
-/// A peer is forgotten after this many times the span in which it should
-/// have been heard.
-const FORGET_PEERS: Millis = 100;
+/// A peer is forgotten after a silence of this many member lifetimes.
+const PEER_RETENTION_TTLS: Millis = 100;
 
 /// A value with its revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -26,17 +25,17 @@
     pub(super) value: T,
 }
 
-/// What is known of a peer from itself.
+/// The state of a peer, from its last summary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Peer {
     pub(super) dc: DcName,
-    pub(super) heard: Millis,
-    pub(super) platform: bool,
+    pub(super) heard_at: Millis,
+    pub(super) platform_reachable: bool,
     pub(super) draining: bool,
     pub(super) config: Revision,
 }
 
-/// What one VM knows of the platform's values.
+/// The platform's values as far as one VM knows them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct View {
     /// The revision of the last read or watch event; zero before the first.
@@ -46,20 +45,21 @@
     pub(super) maps: BTreeMap<DcName, Versioned<ContractMap>>,
     pub(super) progress: Versioned<Progress>,
     pub(super) members: BTreeMap<VmId, Member>,
-    /// The highest epochs heard of, also from peers and targets.
+    /// The highest known epochs, including those from peers and targets.
     pub(super) epochs: BTreeMap<(DcName, Scope), Epoch>,
     pub(super) peers: BTreeMap<VmId, Peer>,
-    /// Peers that have not been heard lately.
-    pub(super) quiet: BTreeSet<VmId>,
-    /// The room under each contract, as its holder said last.
+    /// Peers that have missed their last summaries.
+    pub(super) silent_peers: BTreeSet<VmId>,
+    /// The free capacity under each contract, as its holder last reported.
     pub(super) loads: BTreeMap<(DcName, Scope), Load>,
-    pub(super) listed: BTreeMap<TargetId, Listed>,
-    /// When the VM list was read last, so that it shows who is missing.
+    pub(super) listed: BTreeMap<TargetId, ListedTarget>,
+    /// When the VM list was last read well enough to show which targets are
+    /// missing.
     pub(super) listed_at: Option<Millis>,
-    /// Targets of a contract that no reading of the VM list has named since
-    /// the one at this time.
-    pub(super) missing: BTreeMap<TargetId, Millis>,
-    /// Targets that a peer or the target itself called leaving.
+    /// The targets of contracts that the VM list lacks, each with the time
+    /// of the first reading without it.
+    pub(super) missing_since: BTreeMap<TargetId, Millis>,
+    /// Targets that a peer or the target itself reported as leaving.
     pub(super) leaving: BTreeSet<TargetId>,
 }
 
@@ -79,68 +79,74 @@
         &self.config_text
     }
 
-    /// The members that the platform knows, by name.
+    /// The members that the platform lists, by name.
     pub fn members(&self) -> &BTreeMap<VmId, Member> {
         &self.members
     }
 
-    /// The VM that holds a contract, by the highest epoch known.
+    /// The VM that holds a contract, according to the highest known epoch.
     pub fn holder(&self, dc: &DcName, scope: Scope) -> Option<&VmId> {
         self.epoch(dc, scope).map(|epoch| &epoch.holder)
     }
 
-    /// The highest epoch known of a contract.
+    /// The highest known epoch of a contract.
     pub fn epoch(&self, dc: &DcName, scope: Scope) -> Option<&Epoch> {
         let heard = self.epochs.get(&(dc.clone(), scope));
         let map = self.maps.get(dc).and_then(|m| m.value.epoch(scope));
         heard.max(map)
     }
 
-    /// The contracts of a data centre as the platform holds them.
-    pub fn map(&self, dc: &DcName) -> Option<&ContractMap> {
+    /// The contracts of a data centre, as the platform holds them.
+    pub fn contract_map(&self, dc: &DcName) -> Option<&ContractMap> {
         self.maps.get(dc).map(|map| &map.value)
     }
 
-    /// One contract as the platform holds it.
+    /// One contract, as the platform holds it.
     pub(super) fn contract(
         &self,
         dc: &DcName,
         scope: Scope,
     ) -> Option<&Contract> {
-        self.map(dc)?.contracts.get(&scope)
+        self.contract_map(dc)?.contracts.get(&scope)
     }
 
-    /// Whether the target is leaving, as anybody has said.
+    /// Whether any source reports that the target is leaving.
     pub fn is_leaving(&self, target: &TargetId) -> bool {
         let listed = self.listed.get(target).is_some_and(|l| l.leaving);
         listed || self.leaving.contains(target)
     }
 
-    /// Targets that have stopped for good: readings over `span` lacked them.
-    /// It is counted from reading to reading, the last one recent, since a
-    /// time without readings shows nothing.
-    pub(super) fn gone(&self, now: Now, span: Millis) -> Vec<TargetId> {
+    /// Targets that are permanently gone: the readings of the VM list over
+    /// `span` lacked them. The span runs from reading to reading, and the
+    /// last reading must be recent, because a time without readings shows
+    /// nothing.
+    pub(super) fn gone_targets(
+        &self,
+        now: Now,
+        span: Millis,
+    ) -> Vec<TargetId> {
         let recent = |at: &Millis| at + span > now.mono;
         let Some(last) = self.listed_at.filter(recent) else { return vec![] };
         let gone = |since: Millis| since + span <= last;
-        let missing = self.missing.iter().filter(|(_, since)| gone(**since));
+        let missing =
+            self.missing_since.iter().filter(|(_, since)| gone(**since));
         missing.map(|(target, _)| target.clone()).collect()
     }
 
     /// Whether a peer that was heard before has missed its last summaries.
-    pub(super) fn is_quiet(&self, vm: &VmId) -> bool {
-        self.quiet.contains(vm)
+    pub(super) fn is_silent(&self, vm: &VmId) -> bool {
+        self.silent_peers.contains(vm)
     }
 
-    /// Finds out anew which peers have not been heard for `span`.
-    pub(super) fn mark_quiet(&mut self, now: Now, span: Millis) {
-        let late = |(_, p): &(&VmId, &Peer)| p.heard + span <= now.mono;
-        let quiet = self.peers.iter().filter(late);
-        self.quiet = quiet.map(|(vm, _)| vm.clone()).collect();
-        // A peer that was silent for this long does not come back under
-        // the same name.
-        let forget = span * FORGET_PEERS;
-        self.peers.retain(|_, p| p.heard + forget > now.mono);
+    /// Recomputes which peers have not been heard for `span`.
+    pub(super) fn update_silent_peers(&mut self, now: Now, span: Millis) {
+        let late = |(_, p): &(&VmId, &Peer)| p.heard_at + span <= now.mono;
+        let silent = self.peers.iter().filter(late);
+        self.silent_peers = silent.map(|(vm, _)| vm.clone()).collect();
+        // A peer that was silent for this long does not return under the same
+        // name.
+        let forget = span * PEER_RETENTION_TTLS;
+        self.peers.retain(|_, p| p.heard_at + forget > now.mono);
     }
 
     pub(super) fn map_revisions(&self) -> BTreeMap<DcName, Revision> {
@@ -148,7 +154,7 @@
     }
 
     pub(super) fn epochs(&self, dc: &DcName) -> BTreeMap<Scope, Epoch> {
-        let Some(map) = self.map(dc) else { return BTreeMap::new() };
+        let Some(map) = self.contract_map(dc) else { return BTreeMap::new() };
         let scopes = map.contracts.keys();
         let known = scopes.filter_map(|scope| {
             Some((*scope, self.epoch(dc, *scope)?.clone()))
@@ -157,13 +163,14 @@
     }
 
     pub(super) fn leaving_here(&self, dc: &DcName) -> BTreeSet<TargetId> {
-        let mine = |l: &&Listed| l.dc == *dc && self.is_leaving(&l.id);
-        let listed = self.listed.values().filter(mine);
+        let is_leaving_here =
+            |l: &&ListedTarget| l.dc == *dc && self.is_leaving(&l.id);
+        let listed = self.listed.values().filter(is_leaving_here);
         listed.map(|l| l.id.clone()).collect()
     }
 
-    /// Takes note of an epoch. Returns whether it is the highest so far.
-    pub(super) fn note_epoch(
+    /// Records an epoch. Returns whether it is the highest known.
+    pub(super) fn record_epoch(
         &mut self,
         dc: &DcName,
         scope: Scope,
@@ -176,23 +183,23 @@
         true
     }
 
-    /// Everything that a peer may need, in the form it is stored.
-    pub fn export(&self) -> Vec<Stored> {
+    /// All values that a peer may need, in their stored form.
+    pub fn export(&self) -> Vec<StoredEntry> {
         let mut all = Vec::new();
         if self.config.revision > 0 {
             let value = Value::Config(self.config_text.clone());
             let revision = self.config.revision;
-            all.push(Stored { key: Key::Config, value, revision });
+            all.push(StoredEntry { key: Key::Config, value, revision });
         }
         for (dc, map) in &self.maps {
-            all.push(Stored {
+            all.push(StoredEntry {
                 key: Key::Contracts(dc.clone()),
                 value: Value::Contracts(map.value.clone()),
                 revision: map.revision,
             });
         }
         for (vm, member) in &self.members {
-            all.push(Stored {
+            all.push(StoredEntry {
                 key: Key::Member(member.dc.clone(), vm.clone()),
                 value: Value::Member(member.clone()),
                 revision: self.revision,
@@ -207,23 +214,23 @@
         &mut self,
         now: Now,
         revision: Revision,
-        stored: Vec<Stored>,
+        stored: Vec<StoredEntry>,
     ) {
         if revision < self.view.revision {
             return;
         }
         self.view.revision = revision;
         self.view.members.clear();
-        self.adopt(now, stored);
-        self.claims.read_done();
-        self.after_change(now);
+        self.apply(now, stored);
+        self.claims.read_finished();
+        self.on_view_changed(now);
     }
 
     pub(super) fn on_changed(
         &mut self,
         now: Now,
         revision: Revision,
-        stored: Vec<Stored>,
+        stored: Vec<StoredEntry>,
         deleted: Vec<Key>,
     ) {
         if revision <= self.view.revision {
@@ -235,32 +242,34 @@
                 self.view.members.remove(&vm);
             }
         }
-        self.adopt(now, stored);
-        self.after_change(now);
+        self.apply(now, stored);
+        self.on_view_changed(now);
     }
 
-    /// A peer's knowledge. Members are only taken while the platform has
-    /// never been read, since a peer can't tell who has left.
-    pub(super) fn on_learned(&mut self, now: Now, stored: Vec<Stored>) {
-        let fresh = self.view.revision == 0;
-        let usable = |s: &Stored| fresh || !matches!(s.key, Key::Member(..));
-        let stored = stored.into_iter().filter(usable).collect();
-        self.adopt(now, stored);
-        self.after_change(now);
+    /// Applies the values that a peer knows. Members are applied only until
+    /// the first read of the platform, because a peer can't tell who has
+    /// left.
+    pub(super) fn on_values(&mut self, now: Now, stored: Vec<StoredEntry>) {
+        let never_read = self.view.revision == 0;
+        let is_usable =
+            |s: &StoredEntry| never_read || !matches!(s.key, Key::Member(..));
+        let stored = stored.into_iter().filter(is_usable).collect();
+        self.apply(now, stored);
+        self.on_view_changed(now);
     }
 
-    fn adopt(&mut self, now: Now, stored: Vec<Stored>) {
-        for Stored { key, value, revision } in stored {
+    fn apply(&mut self, now: Now, stored: Vec<StoredEntry>) {
+        for StoredEntry { key, value, revision } in stored {
             match (key, value) {
                 (Key::Config, Value::Config(text)) => {
-                    self.adopt_config(revision, text);
+                    self.apply_config(revision, text);
                 }
                 (Key::Contracts(dc), Value::Contracts(map)) => {
-                    self.adopt_map(dc, revision, map);
+                    self.apply_contract_map(dc, revision, map);
                 }
                 (Key::Progress(dc), Value::Progress(progress)) => {
                     if dc == self.config.dc {
-                        self.adopt_progress(now, revision, progress);
+                        self.apply_progress(now, revision, progress);
                     }
                 }
                 (Key::Member(_, vm), Value::Member(member)) => {
@@ -271,7 +280,7 @@
         }
     }
 
-    fn adopt_config(&mut self, revision: Revision, text: String) {
+    fn apply_config(&mut self, revision: Revision, text: String) {
         if revision <= self.view.config.revision {
             return;
         }
@@ -279,21 +288,26 @@
             Ok(value) => {
                 self.view.config = Versioned { revision, value };
                 self.view.config_text = text;
-                self.out.push(Action::InForce(revision));
+                self.actions.push(Action::ConfigApplied(revision));
                 self.configure();
             }
             Err(_) => self.counters.bad_values += 1,
         }
     }
 
-    fn adopt_map(&mut self, dc: DcName, revision: Revision, map: ContractMap) {
+    fn apply_contract_map(
+        &mut self,
+        dc: DcName,
+        revision: Revision,
+        map: ContractMap,
+    ) {
         let known = self.view.maps.entry(dc).or_default();
         if revision > known.revision {
             *known = Versioned { revision, value: map };
         }
     }
 
-    fn adopt_progress(
+    fn apply_progress(
         &mut self,
         now: Now,
         revision: Revision,
@@ -305,109 +319,112 @@
         }
     }
 
-    /// A new revision of the operators' file is in force.
+    /// Applies a new revision of the operators' file.
     fn configure(&mut self) {
         let config = &self.view.config.value;
-        for home in self.homes.values_mut() {
-            home.configure(&config.policy);
+        for held in self.held_contracts.values_mut() {
+            held.configure(&config.policy);
         }
-        if let Some(work) = &mut self.work {
-            work.configure(config);
+        if let Some(placer) = &mut self.placer {
+            placer.apply_config(config);
         }
     }
 
-    /// Does what a change of the view asks for.
-    pub(super) fn after_change(&mut self, now: Now) {
-        self.tend_claims(now);
-        self.tend_homes(now);
-        self.tend_work(now);
+    /// Updates everything that depends on the view.
+    pub(super) fn on_view_changed(&mut self, now: Now) {
+        self.update_claims(now);
+        self.update_held_calls(now);
+        self.update_placer(now);
     }
 
-    pub(super) fn on_heard(&mut self, now: Now, summary: Summary) {
+    pub(super) fn on_summary(&mut self, now: Now, summary: Summary) {
         let dc = summary.dc.clone();
         let peer = Peer {
             dc: dc.clone(),
-            heard: now.mono,
-            platform: summary.platform,
+            heard_at: now.mono,
+            platform_reachable: summary.platform,
             draining: summary.draining,
             config: summary.config,
         };
-        self.view.quiet.remove(&summary.vm);
+        self.view.silent_peers.remove(&summary.vm);
         self.view.peers.insert(summary.vm.clone(), peer);
         for (scope, load) in summary.loads {
             self.view.loads.insert((dc.clone(), scope), load);
         }
-        let behind = |(dc, revision): (&DcName, &Revision)| {
+        let is_newer = |(dc, revision): (&DcName, &Revision)| {
             let known = self.view.maps.get(dc).map_or(0, |m| m.revision);
             *revision > known
         };
-        let older = summary.maps.iter().any(behind)
+        let outdated = summary.maps.iter().any(is_newer)
             || summary.config > self.view.config.revision;
-        if older {
-            self.out.push(Action::Fetch { vm: summary.vm });
+        if outdated {
+            self.actions.push(Action::Fetch { vm: summary.vm });
         }
-        let mut news = false;
+        let mut changed = false;
         for (scope, epoch) in &summary.epochs {
-            news |= self.view.note_epoch(&dc, *scope, epoch);
+            changed |= self.view.record_epoch(&dc, *scope, epoch);
         }
         for target in summary.leaving {
-            news |= self.view.leaving.insert(target);
+            changed |= self.view.leaving.insert(target);
         }
-        if news {
-            self.after_change(now);
+        if changed {
+            self.on_view_changed(now);
         }
     }
 
-    /// The VM list was read. An entry that could not be changes nothing of
-    /// what is known of its target; one that may be anybody's leaves it open
-    /// who is missing, so that the reading counts for nobody's end.
+    /// Applies a reading of the VM list. An unreadable entry changes nothing
+    /// that is known of its target. An entry of an unidentified target leaves
+    /// open which targets are missing, so that such a reading counts against
+    /// no target.
     pub(super) fn on_listed(
         &mut self,
         now: Now,
-        listed: Vec<Listed>,
-        unread: &Unread,
+        listed: Vec<ListedTarget>,
+        unread: &UnreadableEntries,
     ) {
         let known = std::mem::take(&mut self.view.listed);
-        let mut all: BTreeMap<TargetId, Listed> =
-            known.into_iter().filter(|(id, _)| unread.may_be(id)).collect();
+        let mut all: BTreeMap<TargetId, ListedTarget> = known
+            .into_iter()
+            .filter(|(id, _)| unread.may_include(id))
+            .collect();
         all.extend(listed.into_iter().map(|l| (l.id.clone(), l)));
         self.view.listed = all;
         let listed = &self.view.listed;
-        let may_be =
-            |id: &TargetId| listed.contains_key(id) || unread.may_be(id);
-        self.view.leaving.retain(may_be);
-        if unread.nameless == 0 {
-            self.note_missing(now, unread);
+        let may_be_listed =
+            |id: &TargetId| listed.contains_key(id) || unread.may_include(id);
+        self.view.leaving.retain(may_be_listed);
+        if unread.unidentified == 0 {
+            self.record_missing(now, unread);
         } else {
-            self.view.missing.retain(|id, _| {
-                !listed.contains_key(id) && !unread.named.contains(id)
+            self.view.missing_since.retain(|id, _| {
+                !listed.contains_key(id) && !unread.targets.contains(id)
             });
         }
-        self.after_change(now);
+        self.on_view_changed(now);
     }
 
-    /// Takes note of the targets that a reading of the VM list lacks.
-    fn note_missing(&mut self, now: Now, unread: &Unread) {
-        let enrolled = self.view.map(&self.config.dc).map(|map| {
+    /// Records the targets that a reading of the VM list lacks.
+    fn record_missing(&mut self, now: Now, unread: &UnreadableEntries) {
+        let enrolled = self.view.contract_map(&self.config.dc).map(|map| {
             let contracts = map.contracts.values();
             contracts.flat_map(|c| c.targets.iter().cloned()).collect()
         });
         let enrolled: BTreeSet<TargetId> = enrolled.unwrap_or_default();
-        // What was missing before a gap in the readings may have been named
-        // in it: the count begins anew.
+        // A target that was missing before a gap in the readings may have
+        // been listed during the gap, so its time starts anew.
         let span = self.config.gone_after;
         let last = self.view.listed_at.replace(now.mono);
         if last.is_none_or(|at| at + span <= now.mono) {
-            self.view.missing.clear();
+            self.view.missing_since.clear();
         }
         let mut missing = BTreeMap::new();
         for target in enrolled {
             let listed = self.view.listed.contains_key(&target);
-            if !listed && !unread.named.contains(&target) {
-                let since = self.view.missing.get(&target).copied();
+            if !listed && !unread.targets.contains(&target) {
+                let since = self.view.missing_since.get(&target).copied();
                 missing.insert(target, since.unwrap_or(now.mono));
             }
         }
-        self.view.missing = missing;
+        self.view.missing_since = missing;
     }
 }
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -1,10 +1,11 @@
 /*!
-The way of one call through a traffic thread.
+The handling of calls on a traffic thread.
 
-The control thread decides; this module does what it says: it sends the call
-to an executor or to another entry VM, reports how that ended, and hands the
-answer back. An attempt at an executor goes on after the caller was told that
-its deadline has passed, since only its end frees the slot.
+The control thread decides what to do with a call, and this module does it: it
+sends the call to an executor or to another entry VM, reports the result, and
+returns the answer. An attempt at an executor continues after the caller was
+told that the deadline has passed, because the executor's slot stays in use
+until the attempt ends.
 */
 
 use std::cell::RefCell;
@@ -15,7 +16,7 @@
 use awc::Client;
 use bytes::Bytes;
 use puffinknot_core::calls::CallId;
-use puffinknot_core::keys::Key;
+use puffinknot_core::idempotency::IdempotencyKey;
 use puffinknot_core::node::{Call, Event};
 use puffinknot_core::outcome::{Outcome, Reason};
 use uuid::Uuid;
@@ -23,14 +24,14 @@
 use crate::control::{Control, Origin, Step};
 use crate::link::Links;
 use crate::platform::http_client;
-use crate::target::{self, Outgoing};
+use crate::target::{self, ExecutorCall};
 use crate::wire::{Answer, Hello, Hop, Request, Response};
 
-/// A hop gets this much longer than the call's deadline, so that the peer
-/// can say what became of the call.
+/// The time that a hop may take beyond the call's deadline, so that the peer
+/// can report the outcome of the call.
 const HOP_GRACE: Duration = Duration::from_millis(500);
 
-/// What one traffic thread works with.
+/// What a traffic thread needs to handle calls.
 #[derive(Clone)]
 pub struct Traffic {
     control: Control,
@@ -38,22 +39,24 @@
     links: Links,
 }
 
-/// Where the answer of an attempt is left for the caller.
-type Slot = Rc<RefCell<Option<Answer>>>;
+/// The answer of an executor or peer, until it is returned to the origin of
+/// the call.
+type AnswerCell = Rc<RefCell<Option<Answer>>>;
 
 impl Traffic {
-    /// The means of a thread that connects from `ip`.
+    /// Creates the clients for a thread that connects from `ip`.
     pub fn new(control: Control, hello: Hello, ip: IpAddr) -> Traffic {
         let links = Links::new(hello, ip);
         Traffic { control, client: http_client(ip), links }
     }
 
-    /// The way to the control thread.
+    /// The handle of the control thread.
     pub fn control(&self) -> &Control {
         &self.control
     }
 
-    /// Leads a call to its end.
+    /// Handles a call until it ends. Returns its outcome, and the answer if
+    /// there is one.
     pub async fn run(
         &self,
         origin: Origin,
@@ -61,27 +64,28 @@
         body: Bytes,
     ) -> (Outcome, Option<Answer>) {
         let key = call.key.clone();
-        let Some(mut begun) = self.control.begin(origin, call) else {
+        let Some(mut pending) = self.control.begin(origin, call) else {
             let outcome = Outcome::not_run(Reason::QueueFull, 1_000);
-            return (unless_keyed(key.is_some(), outcome), None);
+            return (unknown_if_keyed(key.is_some(), outcome), None);
         };
-        let id = begun.id();
-        let slot = Slot::default();
-        while let Some(step) = begun.step().await {
+        let id = pending.id();
+        let answer_cell = AnswerCell::default();
+        while let Some(step) = pending.step().await {
             match step {
                 Step::Dispatch { addr, epoch, request } => {
-                    let key = key.as_ref().map(key_text);
+                    let key = key.as_ref().map(format_key);
                     let limit = self.body_limit();
                     let body = body.clone();
-                    let out = Outgoing { epoch, request, key, body, limit };
-                    self.attempt(id, addr, out, slot.clone());
+                    let call =
+                        ExecutorCall { epoch, request, key, body, limit };
+                    self.attempt(id, addr, call, answer_cell.clone());
                 }
                 Step::Forward { addr, scope, call } => {
                     let hop = Hop { scope, call, body: body.to_vec() };
-                    self.forward(id, addr, hop, slot.clone());
+                    self.forward(id, addr, hop, answer_cell.clone());
                 }
                 Step::Answer(outcome) => {
-                    return (outcome, slot.borrow_mut().take());
+                    return (outcome, answer_cell.borrow_mut().take());
                 }
             }
         }
@@ -90,34 +94,40 @@
     }
 
     fn body_limit(&self) -> usize {
-        self.control.shared().config.policy.body_bytes
+        self.control.traffic_config().config.policy.body_bytes
     }
 
     fn attempt(
         &self,
         id: CallId,
         addr: SocketAddr,
-        out: Outgoing,
-        slot: Slot,
+        call: ExecutorCall,
+        answer_cell: AnswerCell,
     ) {
         let client = self.client.clone();
         let control = self.control.clone();
         actix_rt::spawn(async move {
-            let (attempt, answer) = target::call(&client, addr, out).await;
-            *slot.borrow_mut() = answer;
-            control.event(Event::Attempted(id, attempt));
+            let (attempt, answer) = target::call(&client, addr, call).await;
+            *answer_cell.borrow_mut() = answer;
+            control.event(Event::AttemptEnded(id, attempt));
         });
     }
 
-    fn forward(&self, id: CallId, addr: SocketAddr, hop: Hop, slot: Slot) {
+    fn forward(
+        &self,
+        id: CallId,
+        addr: SocketAddr,
+        hop: Hop,
+        answer_cell: AnswerCell,
+    ) {
         let links = self.links.clone();
         let control = self.control.clone();
-        let within = Duration::from_millis(hop.call.remaining) + HOP_GRACE;
+        let time_limit = Duration::from_millis(hop.call.remaining) + HOP_GRACE;
         actix_rt::spawn(async move {
             let request = Request::Hop(hop);
-            let event = match links.ask(addr, &request, within).await {
+            let event = match links.request(addr, &request, time_limit).await {
                 Ok(Response::Ended(outcome, answer)) => {
-                    *slot.borrow_mut() = answer;
+                    *answer_cell.borrow_mut() = answer;
                     Event::HopEnded(id, outcome)
                 }
                 Ok(_) => Event::HopFailed { id, sent: false },
@@ -128,9 +138,9 @@
     }
 }
 
-/// A refusal of this VM says nothing about earlier attempts of a call with
-/// a key.
-pub fn unless_keyed(keyed: bool, outcome: Outcome) -> Outcome {
+/// Turns "not run" into "unknown" for a call with a key, because a refusal by
+/// this VM says nothing about earlier attempts with the same key.
+pub fn unknown_if_keyed(keyed: bool, outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::NotRun { reason, retry_after } if keyed => {
             Outcome::unknown(reason, retry_after)
@@ -139,6 +149,6 @@
     }
 }
 
-fn key_text(key: &Key) -> String {
+fn format_key(key: &IdempotencyKey) -> String {
     Uuid::from_u128(key.uuid).to_string()
 }
--- a/tests/cell/platform.rs
+++ b/tests/cell/platform.rs
@@ -1,23 +1,26 @@
-//! A fake of the platform: values with revisions, and leases of members.
+//! A fake of the platform: values with revisions, and members' leases.
 
 use std::collections::BTreeMap;
 
 use puffinknot_core::ids::{DcName, Millis, Revision, VmId};
 use puffinknot_core::node::Event;
-use puffinknot_core::store::{Key, Member, Stored, Value, Write, WriteResult};
+use puffinknot_core::store::{
+    Key, Member, StoredEntry, Value, Write, WriteResult,
+};
 
-/// The platform.
+/// The state of the fake platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Platform {
     pub revision: Revision,
     values: BTreeMap<Key, (Revision, Value)>,
-    /// When the key was deleted last.
+    /// The revision of each key's last deletion.
     deleted: BTreeMap<Key, Revision>,
+    /// The expiry of each member's lease.
     leases: BTreeMap<VmId, Millis>,
     pub down: bool,
-    /// This many writes are made without an answer.
+    /// The number of coming writes whose answers are lost.
     pub lose_answers: u32,
-    /// Leases lapse during an outage.
+    /// Whether leases lapse during an outage.
     pub lapse_when_down: bool,
 }
 
@@ -34,8 +37,8 @@
 
     pub fn write(&mut self, write: Write) -> WriteResult {
         let config = self.modified(&Key::Config);
-        let same = self.modified(&write.key) == write.expect;
-        let file = write.expect_config.is_none_or(|r| r == config);
+        let same = self.modified(&write.key) == write.expected_revision;
+        let file = write.expected_config_revision.is_none_or(|r| r == config);
         if same && file {
             self.put(write.key, write.value);
         }
@@ -44,24 +47,24 @@
             return WriteResult::Unknown;
         }
         if same && file {
-            WriteResult::Won(self.revision)
+            WriteResult::Written(self.revision)
         } else {
-            WriteResult::Lost
+            WriteResult::Conflict
         }
     }
 
-    pub fn read(&self) -> (Revision, Vec<Stored>) {
+    pub fn read(&self) -> (Revision, Vec<StoredEntry>) {
         let stored = self.values.iter().map(|(key, (revision, value))| {
             let (key, value) = (key.clone(), value.clone());
-            Stored { key, value, revision: *revision }
+            StoredEntry { key, value, revision: *revision }
         });
         (self.revision, stored.collect())
     }
 
-    /// What was changed after a revision, as a watch tells it.
+    /// The changes after a revision, as a watch reports them.
     pub fn since(&self, seen: Revision) -> Event {
         let (revision, stored) = self.read();
-        let new = |stored: &Stored| stored.revision > seen;
+        let new = |stored: &StoredEntry| stored.revision > seen;
         let deleted = self.deleted.iter().filter(|(_, at)| **at > seen);
         Event::Changed {
             revision,
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Renews a member's lease. Returns whether it still stood.
+    /// Renews a member's lease. Returns whether the member had one.
     pub fn renew(&mut self, vm: &VmId, until: Millis) -> bool {
         self.leases.insert(vm.clone(), until).is_some()
     }
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Ends a member's lease.
+    /// Ends a member's lease and deletes its entry.
     pub fn lapse(&mut self, vm: &VmId) {
         self.leases.remove(vm);
         let entry = |key: &&Key| matches!(key, Key::Member(_, v) if v == vm);
--- a/tests/jobs/displacing.rs
+++ b/tests/jobs/preemption.rs
@@ -1,29 +1,32 @@
-//! Tasks that save their progress give way to gangs that would be late.
+//! Tasks with checkpoints are preempted for gangs that would be late.
 
 use puffinknot_core::jobs::{Job, JobState, Mechanism, Mechanisms, Step};
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
-/// A task that fills an executor for long, and saves its progress.
-fn long(id: u64) -> Job {
-    let mut one = step(1, room(4_000, 100));
-    one.estimate = 20 * WORK;
-    one.checkpoints = true;
-    job(id, "background", vec![one])
+/// A long task that fills an executor and writes checkpoints.
+fn long_job(id: u64) -> Job {
+    let mut step = step(1, resources(4_000, 100));
+    step.estimate = 20 * WORK;
+    step.checkpoints = true;
+    job(id, "background", vec![step])
 }
 
 fn gang(count: u32) -> Step {
-    let mut gang = step(count, room(3_000, 100));
+    let mut gang = step(count, resources(3_000, 100));
     gang.gang = true;
     gang
 }
 
-/// A world whose executors are all taken by long tasks; then a gang comes.
-fn full(without: Mechanisms, edit: impl Fn(&mut Job)) -> World {
-    let mut world = World::without(4, without);
+/// A cell whose executors are all occupied by long tasks when a gang arrives.
+fn full_cell_with_gang(
+    mechanisms: Mechanisms,
+    edit: impl Fn(&mut Job),
+) -> World {
+    let mut world = World::with_mechanisms(4, mechanisms);
     world.run(50);
     for id in 1..=4 {
-        let mut job = long(id);
+        let mut job = long_job(id);
         edit(&mut job);
         world.submit(job);
     }
@@ -34,52 +37,56 @@
 }
 
 #[test]
-fn a_gang_that_would_be_late_has_others_give_way() {
-    for (without, state) in [
+fn a_gang_that_would_be_late_preempts_others() {
+    for (mechanisms, state) in [
         (Mechanisms::default(), JobState::Succeeded),
         (
             Mechanisms::all_except([Mechanism::GangPreemption]),
             JobState::Queued,
         ),
     ] {
-        let mut world = full(without, |_| {});
+        let mut world = full_cell_with_gang(mechanisms, |_| {});
         world.run(1_500 + WORK);
         assert_eq!(world.state(9), Some(state));
         world.run(60 * WORK);
         assert!(world.unfinished().is_empty());
-        world.check();
+        world.assert_no_violations();
     }
 }
 
 #[test]
-fn only_as_many_give_way_as_the_gang_needs() {
-    let mut world = full(Mechanisms::default(), |_| {});
+fn no_more_are_preempted_than_the_gang_needs() {
+    let mut world = full_cell_with_gang(Mechanisms::default(), |_| {});
     world.run(1_500 + WORK);
     world.run(60 * WORK);
     let again = world.starts.values().filter(|starts| **starts > 1);
-    assert_eq!(again.count(), 3, "one for each member");
+    assert_eq!(
+        again.count(),
+        3,
+        "one preempted task for each member of the gang"
+    );
     assert!(world.unfinished().is_empty());
-    world.check();
+    world.assert_no_violations();
 }
 
 #[test]
-fn what_saves_no_progress_or_is_as_urgent_stays() {
+fn tasks_without_checkpoints_or_of_equal_priority_are_not_preempted() {
     for edit in [
         |job: &mut Job| job.steps[0].checkpoints = false,
         |job: &mut Job| job.queue = "batch".into(),
     ] {
-        let mut world = full(Mechanisms::default(), edit);
+        let mut world = full_cell_with_gang(Mechanisms::default(), edit);
         world.run(1_500 + WORK);
         assert!(world.starts.values().all(|starts| *starts == 1));
         assert_eq!(world.state(9), Some(JobState::Queued));
-        world.check();
+        world.assert_no_violations();
     }
 }
 
-/// What gave way is not asked again, or it would never end.
+/// A preempted task is not preempted again, otherwise it might never end.
 #[test]
-fn a_task_gives_way_once() {
-    let mut world = full(Mechanisms::default(), |_| {});
+fn a_task_is_preempted_at_most_once() {
+    let mut world = full_cell_with_gang(Mechanisms::default(), |_| {});
     world.run(8 * WORK);
     for id in 10..=14 {
         world.submit(job(id, "batch", vec![gang(3)]));
@@ -89,5 +96,5 @@
     let long_tasks = world.starts.iter().filter(|(t, _)| t.step.job.0 <= 4);
     assert!(long_tasks.into_iter().all(|(_, starts)| *starts <= 2));
     assert!(world.unfinished().is_empty());
-    world.check();
+    world.assert_no_violations();
 }
--- a/tests/jobs/services.rs
+++ b/tests/jobs/services.rs
@@ -1,11 +1,11 @@
-//! Tasks that last, tasks that fill beside them, and waves of upkeep.
+//! Serving tasks, filler tasks that run beside them, and maintenance waves.
 
 use puffinknot_core::jobs::{JobId, JobState, MaintenanceWave, Request, Step};
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
 fn serving(count: u32) -> Step {
-    let mut serving = step(count, room(1_000, 500));
+    let mut serving = step(count, resources(1_000, 500));
     serving.lasting = true;
     serving.target = 100;
     serving.max_per_executor = 1;
@@ -13,7 +13,7 @@
 }
 
 fn filling(count: u32) -> Step {
-    let mut filling = step(count, room(4_000, 500));
+    let mut filling = step(count, resources(4_000, 500));
     filling.fills = true;
     filling.lasting = true;
     filling
@@ -36,17 +36,17 @@
     world.run(500);
     assert_eq!(world.state(1), Some(JobState::Cancelled));
     assert!(!world.executors.iter().any(|e| e.runs(&task)));
-    world.check();
+    world.assert_no_violations();
 }
 
 #[test]
-fn fillers_take_no_processor_room() {
+fn fillers_take_no_processor_time() {
     let mut world = World::new(1);
     world.submit(job(1, "batch", vec![serving(1)]));
     world.submit(job(2, "batch", vec![filling(1)]));
     world.run(200);
     assert_eq!(world.starts.len(), 2, "the filler fits beside the server");
-    world.check();
+    world.assert_no_violations();
 }
 
 #[test]
@@ -59,12 +59,12 @@
     let filler = "0000000000000002.0.0.0".parse().expect("a task");
     world.usages.insert(server, 150);
     world.run(3_000);
-    assert_eq!(world.percents[&filler], 0, "well before four seconds");
-    assert!(!world.percents.contains_key(&server));
+    assert_eq!(world.share_percents[&filler], 0, "well before four seconds");
+    assert!(!world.share_percents.contains_key(&server));
     world.usages.insert(server, 50);
     world.run(10_000);
-    assert_eq!(world.percents[&filler], 100);
-    world.check();
+    assert_eq!(world.share_percents[&filler], 100);
+    world.assert_no_violations();
 }
 
 fn wave(machines: &[&str], most: u32) -> MaintenanceWave {
@@ -85,10 +85,10 @@
     assert_eq!(world.waves.get(&7), Some(&false));
     world.run(15_000);
     assert_eq!(world.waves.get(&7), Some(&true));
-    let mut upkeeps = world.upkeeps.clone();
+    let mut upkeeps = world.maintained.clone();
     upkeeps.sort();
     assert_eq!(upkeeps, ["x0", "x1", "x2"]);
-    assert_eq!(world.most_down, 1);
+    assert_eq!(world.max_down, 1);
 }
 
 #[test]
@@ -102,40 +102,40 @@
     world.event(puffinknot_core::jobs::Event::Wave(wave));
     world.run(60_000);
     assert_eq!(world.waves.get(&7), Some(&true));
-    assert_eq!(world.most_down, 1, "one task at a time may be away");
-    assert_eq!(world.upkeeps.len(), 3);
-    world.check();
+    assert_eq!(world.max_down, 1, "one task at a time may be away");
+    assert_eq!(world.maintained.len(), 3);
+    world.assert_no_violations();
 }
 
-/// A successor goes on with the wave: no machine has its upkeep twice, and
-/// it is not said to be done before it is.
+/// A successor continues a wave: no machine has its maintenance twice, and the
+/// wave is not reported done before it is.
 #[test]
 fn a_wave_survives_the_leader() {
     let mut world = World::new(3);
     let wave = wave(&["x0", "x1", "x2"], 1);
     world.event(puffinknot_core::jobs::Event::Wave(wave.clone()));
     world.run(4_600);
-    assert!(!world.upkeeps.is_empty());
+    assert!(!world.maintained.is_empty());
     world.replace_leader();
     world.event(puffinknot_core::jobs::Event::Wave(wave));
     world.run(30_000);
     assert_eq!(world.waves.get(&7), Some(&true));
-    assert_eq!(world.most_down, 1);
-    let mut upkeeps = world.upkeeps.clone();
+    assert_eq!(world.max_down, 1);
+    let mut upkeeps = world.maintained.clone();
     upkeeps.sort();
     upkeeps.dedup();
     assert_eq!(upkeeps, ["x0", "x1", "x2"]);
 }
 
-/// A call that was not answered may be carried out later, so that its
-/// machine counts as down meanwhile.
+/// A call that was not answered may be carried out later, so its machine
+/// counts as down until then.
 #[test]
-fn a_call_for_upkeep_without_answer_counts() {
+fn a_maintenance_call_without_answer_counts() {
     let mut world = World::new(3);
-    world.late_upkeeps = 1;
+    world.late_maintenance_calls = 1;
     let wave = wave(&["x0", "x1", "x2"], 1);
     world.event(puffinknot_core::jobs::Event::Wave(wave));
     world.run(25_000);
     assert_eq!(world.waves.get(&7), Some(&true));
-    assert_eq!(world.most_down, 1);
+    assert_eq!(world.max_down, 1);
 }
--- a/tests/jobs/outage.rs
+++ b/tests/jobs/store_outage.rs
@@ -1,20 +1,20 @@
-//! What becomes of jobs while the store is away, and after its return.
+//! How jobs are handled during a store outage and after it.
 
 use puffinknot_core::ids::Millis;
 use puffinknot_core::jobs::{
     Job, JobState, Mechanism, Mechanisms, Outcome, Step, TaskKey,
 };
 
-use super::world::{job, room, step, World, WORK};
+use super::world::{job, resources, step, World, WORK};
 
-/// When a refused client comes back.
-const COME_BACK: Millis = 1_000;
+/// The delay after which a refused client retries.
+const RETRY_DELAY: Millis = 1_000;
 /// How long a client waits for an answer in all, and how often it asks.
-const PATIENCE: Millis = 3_000;
-const TRIES: u32 = 5;
+const CLIENT_TIMEOUT: Millis = 3_000;
+const MAX_ATTEMPTS: u32 = 5;
 
 fn small() -> Step {
-    step(1, room(500, 100))
+    step(1, resources(500, 100))
 }
 
 fn lookup(id: u64) -> Job {
@@ -35,13 +35,13 @@
     let first = world.submit(lookup(1));
     world.run(30);
     let second = world.submit(lookup(2));
-    world.run(COME_BACK / 2 + 60);
+    world.run(RETRY_DELAY / 2 + 60);
     for request in [first, second] {
-        assert_eq!(world.answer_to(request), Outcome::Refused(COME_BACK));
+        assert_eq!(world.answer_to(request), Outcome::Refused(RETRY_DELAY));
     }
-    world.run(COME_BACK / 2);
+    world.run(RETRY_DELAY / 2);
     let at_once = world.submit(lookup(3));
-    assert_eq!(world.answer_to(at_once), Outcome::Refused(COME_BACK));
+    assert_eq!(world.answer_to(at_once), Outcome::Refused(RETRY_DELAY));
     world.run(2_000);
     world.store_declines = false;
     world.run(2_000);
@@ -51,7 +51,7 @@
     assert_eq!(world.answer_to(again), Outcome::Accepted);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
     assert_eq!(world.state(2), None);
-    world.check();
+    world.assert_no_violations();
 }
 
 #[test]
@@ -66,11 +66,11 @@
     assert_eq!(world.answer_to(request), Outcome::Accepted);
     world.run(WORK + 100);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
-    world.check();
+    world.assert_no_violations();
 }
 
-/// The store may turn away this leader only; its clients are served by the
-/// next one sooner than if they came back.
+/// The store may reject this leader only. The next leader then serves its
+/// clients sooner than if they retried.
 #[test]
 fn nobody_is_refused_before_another_node_could_lead() {
     let mut world = World::new(2);
@@ -84,11 +84,12 @@
     world.run(400);
     assert!(!world.replies.contains_key(&request));
     world.run(200);
-    assert_eq!(world.answer_to(request), Outcome::Refused(COME_BACK));
-    world.check();
+    assert_eq!(world.answer_to(request), Outcome::Refused(RETRY_DELAY));
+    world.assert_no_violations();
 }
 
-/// It may be written yet, so that its client can't be told that it is not.
+/// The commit may still be written, so the client can't be told that it was
+/// not.
 #[test]
 fn what_may_be_written_yet_is_not_refused() {
     let mut world = World::new(2);
@@ -99,21 +100,21 @@
     let waits = world.submit(lookup(2));
     world.run(1_500);
     assert!(!world.replies.contains_key(&in_doubt));
-    assert_eq!(world.answer_to(waits), Outcome::Refused(COME_BACK));
+    assert_eq!(world.answer_to(waits), Outcome::Refused(RETRY_DELAY));
     world.store_up();
     world.run(WORK + 200);
     assert_eq!(world.answer_to(in_doubt), Outcome::Accepted);
     assert_eq!(starts_of(&world, 1), 1);
     assert_eq!(starts_of(&world, 2), 0);
-    world.check();
+    world.assert_no_violations();
 }
 
-/// Once outages are known to end by then, a job waits for the end of one
-/// rather than come back after it.
+/// Once the leader knows that outages end before a retry would be due, a job
+/// waits for the end of the outage instead.
 #[test]
 fn how_long_outages_last_is_learnt() {
     for (learns, answer) in
-        [(true, Outcome::Accepted), (false, Outcome::Refused(COME_BACK))]
+        [(true, Outcome::Accepted), (false, Outcome::Refused(RETRY_DELAY))]
     {
         let mut world = World::new(2);
         world.run(100);
@@ -131,7 +132,7 @@
             world.run(1_000);
         }
         assert_eq!(world.answer_to(request), answer);
-        world.check();
+        world.assert_no_violations();
     }
 }
 
@@ -150,7 +151,7 @@
     world.store_declines = false;
     world.run(100);
     assert_eq!(world.state(1), Some(JobState::Succeeded));
-    world.check();
+    world.assert_no_violations();
 }
 
 #[test]
@@ -159,8 +160,8 @@
     world.run(100);
     world.store_declines = true;
     let request = world.submit(lookup(1));
-    world.run(COME_BACK);
-    assert_eq!(world.answer_to(request), Outcome::Refused(COME_BACK));
+    world.run(RETRY_DELAY);
+    assert_eq!(world.answer_to(request), Outcome::Refused(RETRY_DELAY));
     world.store_declines = false;
     world.replace_leader();
     world.run(500);
@@ -169,25 +170,25 @@
     world.run(WORK + 200);
     assert_eq!(world.answer_to(again), Outcome::Accepted);
     assert_eq!(starts_of(&world, 1), 1);
-    world.check();
+    world.assert_no_violations();
 }
 
-/// A client that hands a job in, and comes back when told to.
+/// A client that submits a job, and retries when told to.
 struct Client {
     id: u64,
     since: Millis,
-    asks_at: Millis,
-    tries: u32,
+    next_attempt_at: Millis,
+    attempts: u32,
     request: Option<u64>,
-    /// How long its last try has waited for an answer.
+    /// How long its latest attempt has waited for an answer.
     waited: Millis,
     accepted: bool,
 }
 
-/// Clients come without pause, one every `gap`, and the store declines all for
-/// four seconds. Returns them.
-fn outage(without: Mechanisms, gap: Millis) -> Vec<Client> {
-    let mut world = World::without(20, without);
+/// Simulates an outage: the store declines every commit for four seconds, and
+/// a client arrives every `gap`. Returns the clients.
+fn outage(mechanisms: Mechanisms, gap: Millis) -> Vec<Client> {
+    let mut world = World::with_mechanisms(20, mechanisms);
     world.run(100);
     let begin = world.now;
     let mut clients: Vec<Client> = Vec::new();
@@ -198,65 +199,68 @@
             clients.push(Client {
                 id: clients.len() as u64 + 1,
                 since: world.now,
-                asks_at: world.now,
-                tries: 0,
+                next_attempt_at: world.now,
+                attempts: 0,
                 request: None,
                 waited: 0,
                 accepted: false,
             });
         }
         for client in &mut clients {
-            client.go_on(&mut world);
+            client.advance(&mut world);
         }
         world.run(10);
     }
     for client in clients.iter().filter(|client| client.accepted) {
         assert_eq!(starts_of(&world, client.id), 1, "job {}", client.id);
     }
-    world.check();
+    world.assert_no_violations();
     clients
 }
 
 impl Client {
-    fn go_on(&mut self, world: &mut World) {
+    fn advance(&mut self, world: &mut World) {
         let Some(request) = self.request else {
-            let gives_up = world.now > self.since + PATIENCE;
-            if !self.accepted && world.now >= self.asks_at && !gives_up {
-                self.tries += 1;
-                self.asks_at = world.now;
+            let timed_out = world.now > self.since + CLIENT_TIMEOUT;
+            if !self.accepted
+                && world.now >= self.next_attempt_at
+                && !timed_out
+            {
+                self.attempts += 1;
+                self.next_attempt_at = world.now;
                 self.request = Some(world.submit(lookup(self.id)));
             }
             return;
         };
         let Some(answer) = world.replies.get(&request) else { return };
-        self.waited = self.waited.max(world.now - self.asks_at);
+        self.waited = self.waited.max(world.now - self.next_attempt_at);
         self.request = None;
         match answer {
             Outcome::Accepted => self.accepted = true,
-            Outcome::Refused(after) if self.tries < TRIES => {
-                self.asks_at = world.now + after;
+            Outcome::Refused(after) if self.attempts < MAX_ATTEMPTS => {
+                self.next_attempt_at = world.now + after;
             }
-            _ => self.asks_at = Millis::MAX,
+            _ => self.next_attempt_at = Millis::MAX,
         }
     }
 }
 
-/// Nobody is held for longer than half of the time after which it would be
-/// back, and all that may still be served after the return are.
+/// No client waits for longer than half of its retry delay, and everything
+/// that can still be served after the outage is served.
 #[test]
 fn under_load_nobody_is_held_in_vain_and_all_that_come_back_are_served() {
     let clients = outage(Mechanisms::default(), 20);
     let began = clients[0].since;
     for client in &clients {
         let (from, waited) = (client.since - began, client.waited);
-        assert!(waited <= COME_BACK / 2 + 60, "{from}: held {waited}");
-        // The last try is a second before the client gives up, at most.
-        if from + PATIENCE - COME_BACK > 5_000 {
+        assert!(waited <= RETRY_DELAY / 2 + 60, "{from}: waited {waited}");
+        // The last attempt is at most a second before the client gives up.
+        if from + CLIENT_TIMEOUT - RETRY_DELAY > 5_000 {
             assert!(client.accepted, "from {from} ms on");
         }
     }
-    // What is in the commit that was declined would be held to its end.
+    // The jobs in a declined commit would be held until the outage ends.
     let clients = outage(Mechanisms::all_except([Mechanism::AfterOutage]), 20);
     let longest = clients.iter().map(|client| client.waited).max();
-    assert!(longest > Some(PATIENCE), "held {longest:?}");
+    assert!(longest > Some(CLIENT_TIMEOUT), "waited {longest:?}");
 }
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -1,6 +1,6 @@
-//! A small world around the scheduler, in virtual time: a store, executors
-//! and a leader that may be replaced. Faults are switched on from outside,
-//! and an oracle watches what executors do.
+//! A simulation of a cell in virtual time: a store, executors and a leader
+//! that may be replaced. Tests inject faults, and an oracle checks what the
+//! executors do.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,71 +13,72 @@
 };
 use puffinknot_core::jobs::model::StepKey;
 use puffinknot_core::jobs::{
-    Account, Action, AdviceCost, Caller, Change, Cordon, CordonSource,
-    Cordons, EndKind, EndReport, Event, ExecutorInfo, ExecutorReport,
-    IncarnationEnd, Job, JobId, JobState, KeyDigest, MachineInfo,
-    MachineState, MaintenanceFailure, MaintenanceWave, Mechanisms,
-    OrderFailure, Outcome, Policy, Queue, Request, RunReport, Scheduler,
-    SchedulerConfig, Step, TaskKey,
+    Account, Action, AdviceCost, CallCredentials, Change, Cordon,
+    CordonSource, Cordons, EndKind, EndReport, Event, ExecutorInfo,
+    ExecutorReport, IncarnationEnd, Job, JobId, JobState, KeyDigest,
+    MachineInfo, MachineState, MaintenanceFailure, MaintenanceWave,
+    Mechanisms, OrderFailure, Outcome, Policy, Queue, Request, RunReport,
+    Scheduler, SchedulerConfig, Step, TaskKey,
 };
 
 mod cordons;
-mod lives;
+mod incarnations;
 mod machines;
 mod oracle;
 mod orders;
-mod work;
+mod runs;
 
 pub use self::cordons::dc_of;
 
 /// The longest lease of an executor.
 pub const LEASE: Millis = 6_000;
-/// A leader that nobody confirms orders for as long as this.
-pub const UNCONFIRMED: Millis = 6_000;
-/// What a predecessor ordered has lapsed after this time.
-pub const INHERITED: Millis = 12_400;
-/// The time that a stop takes.
-const STOP: Millis = 200;
-/// A member of a gang waits this long for the others.
+/// How long a leader may give orders without its leadership being confirmed.
+pub const UNCONFIRMED_LIMIT: Millis = 6_000;
+/// After this time the orders of a former leader have expired.
+pub const INHERITED_ORDER_LIFETIME: Millis = 12_400;
+/// The time that a run takes to stop.
+const STOP_DURATION: Millis = 200;
+/// How long a member of a gang waits for the others.
 const GANG_WAIT: Millis = 3_000;
-/// The way to an executor or to the store, and back.
-const WAY: Millis = 3;
-/// An order without answer is given up after this time.
+/// The one-way latency to an executor or to the store.
+const LATENCY: Millis = 3;
+/// An order without an answer times out after this time.
 const ORDER_TIMEOUT: Millis = 300;
-/// A hold without answer is given up this long after its wait.
-const HOLD_SLACK: Millis = 700;
+/// A renewal without an answer times out this long after its wait.
+const RENEWAL_GRACE: Millis = 700;
 
-/// A commit that is declined is made again after this time.
-const DECLINED: Millis = 20;
+/// The time after which the leader learns that a commit was declined.
+const DECLINE_DELAY: Millis = 20;
 
-/// How long a machine is down for its upkeep.
-const UPKEEP: Millis = 2_000;
-/// How late a call for upkeep may be carried out.
-const UPKEEP_LATE: Millis = 1_500;
-/// How long a task works on an executor that fails all.
-const FAILS_AFTER: Millis = 20;
-/// An executor that a task has crashed is back after this time.
-pub const BACK_AFTER: Millis = 2_500;
-/// After so many crashes under it, a task that crashes executors may be
-/// started at most [`MOST_MORE`] times more.
-const CRASHES: usize = 3;
-/// See [`CRASHES`].
-const MOST_MORE: u32 = 2;
-/// A task under which so many executors have crashed may be given up.
-const MAY_GIVE_UP: usize = 2;
-/// Room that has shrunk binds after this time: until then the leader may not
-/// have read it.
-const SHRUNK_AFTER: Millis = 4_000;
-/// The most ends that an account lists.
-const ENDS_AT_ONCE: usize = 500;
-/// Births count down from this.
-const FIRST_BIRTH: u64 = 1_000_000;
-/// How long each task works.
+/// How long maintenance takes a machine down.
+const MAINTENANCE_DURATION: Millis = 2_000;
+/// The delay of a maintenance call that is carried out late.
+const MAINTENANCE_DELAY: Millis = 1_500;
+/// How long a task runs on an executor that fails everything.
+const FAILURE_DELAY: Millis = 20;
+/// How long an executor that has crashed takes to restart.
+pub const RESTART_DELAY: Millis = 2_500;
+/// After this many crashes of executors, a task that crashes them may be
+/// started [`MAX_EXTRA_STARTS`] more times at most.
+const CRASH_THRESHOLD: usize = 3;
+/// See [`CRASH_THRESHOLD`].
+const MAX_EXTRA_STARTS: u32 = 2;
+/// A task may be given up once this many executors have crashed while it ran
+/// there.
+const GIVE_UP_THRESHOLD: usize = 2;
+/// Reduced capacity binds after this time. Until then the leader may not have
+/// read it.
+const SHRINK_DELAY: Millis = 4_000;
+/// The most run ends in one report.
+const MAX_REPORTED_ENDS: usize = 500;
+/// The first birth time of a restarted executor. Later ones are lower.
+const FIRST_BIRTH_TIME: u64 = 1_000_000;
+/// How long each task runs.
 pub const WORK: Millis = 500;
 
-struct RunThere {
+struct Run {
     run: u64,
-    /// The members of its gang, or none.
+    /// The size of its gang, if it is in one.
     gang: Option<u32>,
     work: Millis,
     since: Millis,
@@ -86,83 +87,87 @@
     need: Resources,
 }
 
-/// An executor as it really is.
+/// The true state of an executor.
 pub struct Executor {
     pub info: ExecutorInfo,
     token: u64,
     due: Millis,
-    running: BTreeMap<TaskKey, RunThere>,
+    running: BTreeMap<TaskKey, Run>,
     sealed: BTreeMap<TaskKey, u64>,
     ended: Vec<EndReport>,
-    numbers: u64,
-    /// Neither orders nor answers pass.
-    pub cut: bool,
-    /// The same for the leader with this token only.
-    pub cut_from: Option<u64>,
-    /// The next orders are carried out, but not answered.
-    pub mute: u32,
-    /// The next orders are carried out this much later, unanswered.
-    pub late: Option<Millis>,
-    /// Orders arrive, and their answers come so much later than they are
-    /// waited for.
-    pub held_up: Option<Millis>,
-    /// What comes of holds there is taken in so much later.
-    pub told_late: Millis,
+    end_count: u64,
+    /// Neither orders nor answers get through.
+    pub isolated: bool,
+    /// Like `isolated`, but for the leader with this token only.
+    pub isolated_from: Option<u64>,
+    /// The number of starts that will be carried out but not answered.
+    pub lost_answers: u32,
+    /// If set, starts and stops are carried out after this delay and not
+    /// answered.
+    pub order_delay: Option<Millis>,
+    /// If set, orders are carried out, but their answers come this long after
+    /// the leader has stopped waiting for them.
+    pub answer_delay: Option<Millis>,
+    /// The leader processes the outcome of renewals this much later.
+    pub report_delay: Millis,
     pub dead: bool,
-    /// It is dead, and its host says so: connections are reset or refused.
-    pub resets: bool,
-    /// It answers at once that it can't give an account, but for those that
-    /// are under way.
+    /// The executor is dead and its host says so: connections are reset or
+    /// refused.
+    pub resets_connections: bool,
+    /// Answers new renewals at once with the error that it is unhealthy.
+    /// Renewals that already wait there are not affected.
     pub unhealthy: bool,
-    /// All that it starts fails.
-    pub fails: bool,
+    /// Every run that starts here fails.
+    pub fails_all: bool,
     /// How much its clock loses, in thousandths.
-    pub slow: u64,
-    /// How long tasks take there, in percent of what they should.
-    pub takes: Millis,
-    /// How often it has started again under its name.
-    lives: u64,
-    /// When its life began, and what its clock showed then.
-    clock_from: (Millis, Millis),
-    /// The capacities that it had, and until when.
+    pub clock_loss: u64,
+    /// The duration of runs here, in percent of their normal duration.
+    pub run_time_percent: Millis,
+    /// How often it has restarted under its name.
+    restarts: u64,
+    /// When its incarnation began, and the reading of its clock at that time.
+    clock_origin: (Millis, Millis),
+    /// Its former capacities, each with the time until which it had it.
     capacities: Vec<(Millis, Resources)>,
 }
 
 impl Executor {
     /// Whether the leader with this token gets no answer from it.
-    fn silent_to(&self, token: u64) -> bool {
-        self.cut || self.dead || self.cut_from == Some(token)
+    fn is_silent_to(&self, token: u64) -> bool {
+        self.isolated || self.dead || self.isolated_from == Some(token)
     }
 
-    /// Whether a start may bring it to this. Room that has shrunk lately may
-    /// still be used.
-    fn may_hold(&self, used: &Resources, now: Millis) -> bool {
+    /// Whether a start may raise the resources in use to `used`. Capacity that
+    /// was reduced recently may still be used.
+    fn may_use(&self, used: &Resources, now: Millis) -> bool {
         let lately = self.capacities.iter();
-        let lately = lately.filter(|(until, _)| now < until + SHRUNK_AFTER);
+        let lately = lately.filter(|(until, _)| now < until + SHRINK_DELAY);
         let mut had = lately.map(|(_, capacity)| capacity);
-        self.info.capacity.fits(used) || had.any(|room| room.fits(used))
+        self.info.capacity.fits(used)
+            || had.any(|capacity| capacity.fits(used))
     }
 
-    /// What its clock says.
+    /// The reading of its clock.
     fn clock(&self, now: Millis) -> Millis {
-        let (began, shown) = self.clock_from;
+        let (began, shown) = self.clock_origin;
         let lived = now - began;
-        shown + lived - lived * self.slow / 1_000
+        shown + lived - lived * self.clock_loss / 1_000
     }
 
-    /// It goes, and all that runs there dies. Its entry stays for longer.
+    /// Makes the executor leave, which ends all its runs. Its entry remains
+    /// for some time.
     pub fn leave(&mut self) {
         self.dead = true;
-        self.resets = true;
+        self.resets_connections = true;
         self.running.clear();
     }
 
-    /// How many runs have ended there.
+    /// The number of runs that have ended here.
     pub fn ends(&self) -> u64 {
-        self.numbers
+        self.end_count
     }
 
-    /// Whether a task runs there.
+    /// Whether a task runs here.
     pub fn runs(&self, task: &TaskKey) -> bool {
         self.running.contains_key(task)
     }
@@ -171,158 +176,159 @@
 /// How a task crashes executors.
 #[derive(Clone, Copy, Debug)]
 pub struct Crashes {
-    /// How long after its start.
+    /// The time from its start to the crash.
     pub after: Millis,
-    /// Nobody says so: what is sent there goes unanswered.
-    pub dark: bool,
+    /// Nothing reports the crash: calls to the executor go unanswered.
+    pub silent: bool,
 }
 
 enum Pending {
-    Tell(u64, Event),
+    Deliver(u64, Event),
     Order(usize, Box<Action>, u64, Option<u64>),
-    /// The same, delayed, and for which life it was meant.
-    LateOrder(usize, Box<Action>, u64, u64),
-    HoldDue(usize, ExecutorIndex, Millis, u64, u64),
+    /// A delayed order, with the restart count of the executor at the time it
+    /// was sent.
+    DelayedOrder(usize, Box<Action>, u64, u64),
+    RenewalDue(usize, ExecutorIndex, Millis, u64, u64),
     Written(u64),
-    Upkeep(u64, String),
+    Maintenance(u64, String),
 }
 
-/// The world.
+/// A simulated cell.
 pub struct World {
     pub now: Millis,
     pub scheduler: Scheduler,
     pub token: u64,
-    /// The leader takes in what it is told so much later.
-    pub behind: Millis,
-    /// Nothing is told before, so that news stay in their order.
-    told_until: Millis,
-    /// The leader stands still until then: it takes in nothing.
-    still_until: Millis,
-    /// Predecessors that do not know yet that they lead no more, and until
-    /// when they may order.
+    /// The leader receives events this much later.
+    pub event_lag: Millis,
+    /// No event is delivered before this time, so that events stay in order.
+    delivered_until: Millis,
+    /// The leader is stalled until this time and processes nothing.
+    stalled_until: Millis,
+    /// Former leaders that don't know yet that they are superseded, each with
+    /// the time until which it may give orders.
     former: BTreeMap<u64, (Scheduler, Millis)>,
     policy: Arc<Policy>,
     pub store: BTreeMap<String, Vec<u8>>,
-    /// Commits are neither made nor answered.
+    /// Commits are neither written nor answered.
     pub store_down: bool,
-    /// Commits are declined at once: nothing of them is done.
+    /// Commits are declined at once, and nothing of them is written.
     pub store_declines: bool,
-    stuck: Vec<(u64, Vec<Change>)>,
+    stuck_commits: Vec<(u64, Vec<Change>)>,
     pub executors: Vec<Executor>,
-    /// How often executors have started again under their own names.
-    births: u64,
+    /// How often executors have restarted under their own names.
+    restarts: u64,
     queue: BTreeMap<(Millis, u64), Pending>,
-    order: u64,
+    sequence: u64,
     pub replies: BTreeMap<u64, Outcome>,
     /// When the end of each job was written.
     pub ended_at: BTreeMap<JobId, Millis>,
     requests: u64,
     jobs: BTreeMap<JobId, Job>,
-    acknowledged: BTreeSet<JobId>,
+    accepted: BTreeSet<JobId>,
     refused: BTreeSet<JobId>,
-    /// Ends that were taken note of.
-    noted: BTreeSet<(TaskKey, u64)>,
+    /// Run ends that were acknowledged to their executors.
+    acknowledged_ends: BTreeSet<(TaskKey, u64)>,
     done: BTreeMap<TaskKey, BTreeSet<u64>>,
     gangs_done: BTreeSet<StepKey>,
-    /// All that ever ended so, whether it was taken note of or not.
-    ever_done: BTreeSet<TaskKey>,
+    /// All tasks that were ever done, acknowledged or not.
+    all_done: BTreeSet<TaskKey>,
     failures: BTreeMap<TaskKey, BTreeSet<u64>>,
-    noted_failures: BTreeMap<TaskKey, BTreeSet<u64>>,
+    acknowledged_failures: BTreeMap<TaskKey, BTreeSet<u64>>,
     pub starts: BTreeMap<TaskKey, u32>,
     /// Whether any start was ordered, arrived or not.
-    any_ordered: bool,
-    pub broken: Vec<String>,
-    /// The executors that leaders took for over, and by what.
-    pub lives_over: Vec<(String, IncarnationEnd)>,
-    /// Tasks that take longer than the guess says, in percent of it.
-    pub takes: BTreeMap<TaskKey, Millis>,
-    /// Tasks that fail, this many times each.
+    any_start_ordered: bool,
+    pub violations: Vec<String>,
+    /// The incarnations that leaders considered over, with the reason.
+    pub incarnations_over: Vec<(String, IncarnationEnd)>,
+    /// Run times that differ from the estimate, in percent of it.
+    pub run_time_percents: BTreeMap<TaskKey, Millis>,
+    /// Tasks that fail, with the number of failures to come.
     pub failing: BTreeMap<TaskKey, u32>,
     /// Tasks that crash each executor that starts them.
     pub crashing: BTreeMap<TaskKey, Crashes>,
-    /// The executors that have crashed by each of them.
+    /// The executors that each of these tasks has crashed.
     pub crashed: BTreeMap<TaskKey, Vec<String>>,
-    /// Those of these crashes that no leader can know of: it was replaced
-    /// before it had found the executor gone.
-    unknowable: BTreeSet<String>,
+    /// Those of these crashes that no leader can know of, because the leader
+    /// was replaced before it found the executor gone.
+    unknowable_crashes: BTreeSet<String>,
     /// The executors on which a leader has suspected a task.
     suspected_on: BTreeSet<String>,
-    /// How many executors have crashed while each task ran there; a gang
-    /// counts as its first.
-    crashed_under: BTreeMap<TaskKey, usize>,
-    /// The starts of each of them after [`CRASHES`] such crashes.
-    more_starts: BTreeMap<TaskKey, u32>,
-    /// Addresses at which another life begins, and when.
-    coming_back: Vec<(Millis, String)>,
-    pub deposed: bool,
-    /// What tasks report as their usage, and the share they work at.
+    /// The number of executors that have crashed while each task ran there. A
+    /// gang counts as its first task.
+    crashes_during: BTreeMap<TaskKey, usize>,
+    /// How often each task was started after [`CRASH_THRESHOLD`] crashes.
+    extra_starts: BTreeMap<TaskKey, u32>,
+    /// The addresses at which the next incarnation starts, and when.
+    restarting: Vec<(Millis, String)>,
+    pub superseded: bool,
+    /// The usage that tasks report, and the share at which they run.
     pub usages: BTreeMap<TaskKey, u64>,
-    pub percents: BTreeMap<TaskKey, u32>,
-    /// The states of waves, as operators are told.
+    pub share_percents: BTreeMap<TaskKey, u32>,
+    /// The states of waves as reported to operators.
     pub waves: BTreeMap<u64, bool>,
-    /// Machines that are down, and until when.
+    /// Machines that are down for maintenance, and until when.
     pub down: BTreeMap<String, Millis>,
-    pub upkeeps: Vec<String>,
-    /// Which machines have had the upkeep of which wave. A call for it is
-    /// answered with Ok and does nothing more.
-    had_upkeep: BTreeSet<(u64, String)>,
-    /// What the operators want of waves, which successors are told too.
-    wanted_waves: BTreeMap<u64, MaintenanceWave>,
-    /// The executors that the list of machines shows on some machines,
-    /// whatever lives there; empty for none.
-    pub shown: BTreeMap<String, String>,
-    /// Executors come back from crashes and upkeep under the names that they
-    /// had.
+    pub maintained: Vec<String>,
+    /// The machines that each wave has taken down. Another call for the same
+    /// machine and wave returns Ok and does nothing.
+    maintenance_done: BTreeSet<(u64, String)>,
+    /// The waves that operators requested. Successors receive them too.
+    requested_waves: BTreeMap<u64, MaintenanceWave>,
+    /// Machines for which the machine list names this executor, whichever one
+    /// they host; empty for none.
+    pub listed_executors: BTreeMap<String, String>,
+    /// Executors return from crashes and maintenance under their former names.
     pub keep_names: bool,
-    /// Machines that are off: the list shows them so, and no executor.
-    pub off: BTreeSet<String>,
-    /// The machines can't be listed.
-    pub unlistable: bool,
-    /// Machines that the list lacks.
-    pub left_out: BTreeSet<String>,
-    /// Machines that the platform says are not of the wave.
-    pub foreign: BTreeSet<String>,
-    /// The next calls for upkeep are neither carried out nor answered.
-    pub lost_upkeeps: u32,
-    /// The next calls for upkeep are carried out late and not answered.
-    pub late_upkeeps: u32,
-    /// The next calls for advice are never answered.
+    /// Machines that the list shows as down, without an executor.
+    pub powered_off: BTreeSet<String>,
+    /// The list of machines is unavailable.
+    pub list_unavailable: bool,
+    /// Machines missing from the list.
+    pub unlisted: BTreeSet<String>,
+    /// Machines that the platform says are not in the wave.
+    pub not_in_wave: BTreeSet<String>,
+    /// The number of maintenance calls that will be neither carried out nor
+    /// answered.
+    pub lost_maintenance_calls: u32,
+    /// The number of maintenance calls that will be carried out late and not
+    /// answered.
+    pub late_maintenance_calls: u32,
+    /// The number of advice calls that will never be answered.
     pub lost_advice: u32,
-    /// How long advice takes.
+    /// How long an advice call takes.
     pub advice_takes: Millis,
-    /// How long the leader takes to look at an executor, and the time that it
+    /// How long the leader takes to examine an executor, and the time that it
     /// has spent on that.
-    pub look_takes: Duration,
-    /// The leader does what has become possible only so often; zero is at each
-    /// event.
-    pub turn: Millis,
-    pub looking: Duration,
-    pub most_down: usize,
-    /// Holds that were sent so far.
-    pub holds: u64,
-    /// About how many executors each call for advice was.
-    pub asked: Vec<usize>,
+    pub examination_time: Duration,
+    /// The interval at which the leader advances; zero means after each event.
+    pub advance_interval: Millis,
+    pub time_examining: Duration,
+    pub max_down: usize,
+    /// The number of renewals sent so far.
+    pub renewals: u64,
+    /// The number of executors in each advice call.
+    pub advice_sizes: Vec<usize>,
     submitted: BTreeMap<u64, JobId>,
-    without: Mechanisms,
-    /// Whose key jobs were handed in with.
+    mechanisms: Mechanisms,
+    /// The account whose key each job was submitted with.
     owners: BTreeMap<JobId, String>,
-    /// Since when which limit was in force.
+    /// The limits that were in force, each with the time from which on.
     limits: Vec<(Millis, u32)>,
-    /// The data centres that take no new work, as leaders know it, and when
-    /// they were told.
+    /// The data centres that accept no new work, as known to leaders, and when
+    /// the leaders were told.
     cordons: Cordons,
     cordoned_at: BTreeMap<String, Millis>,
 }
 
-/// An account whose limit tests set.
+/// The account whose limit tests set.
 pub const LIMITED: &str = "limited";
 /// An account without a limit.
 pub const FREE: &str = "free";
 
-/// The service refuses calls about more executors.
+/// The service rejects calls about more executors than this.
 const ADVICE_BATCH: usize = 100;
 
-pub fn room(cpu_millis: u32, memory_mb: u32) -> Resources {
+pub fn resources(cpu_millis: u32, memory_mb: u32) -> Resources {
     Resources { cpu_millis, memory_mb, accelerators: 0 }
 }
 
@@ -346,19 +352,19 @@
     }
 }
 
-/// A queue that asks for a key.
+/// A queue that requires a key.
 pub fn owned_queue(name: &str) -> Queue {
     Queue { open: false, ..queue(name, 1, false) }
 }
 
-/// An account whose key is its name, with so much processor time at the most;
-/// zero is no limit.
+/// An account whose key is its name, limited to this much processor time; zero
+/// means no limit.
 pub fn account(name: &str, cpu_millis: u32) -> Account {
     Account {
         name: name.into(),
         keys: vec![KeyDigest::of(name.as_bytes())],
         weight: 1.0,
-        limit: room(cpu_millis, 0),
+        limit: resources(cpu_millis, 0),
     }
 }
 
@@ -401,19 +407,19 @@
     }
 }
 
-fn scheduler_config(token: u64, without: Mechanisms) -> SchedulerConfig {
+fn scheduler_config(token: u64, mechanisms: Mechanisms) -> SchedulerConfig {
     SchedulerConfig {
         token,
         lease: LEASE,
         ended_retention: 120_000,
-        inherited_order_lifetime: INHERITED,
+        inherited_order_lifetime: INHERITED_ORDER_LIFETIME,
         max_advice_batch: ADVICE_BATCH,
         min_commit_interval: 20,
-        mechanisms: without,
+        mechanisms,
     }
 }
 
-/// What a leader is told of an order that has failed.
+/// The event that tells the leader of a failed order.
 fn failed(action: &Action, why: OrderFailure) -> Option<Event> {
     let event = match *action {
         Action::RenewLease { executor, sent_at, .. } => {
@@ -432,80 +438,80 @@
 
 impl World {
     pub fn new(executors: usize) -> World {
-        World::without(executors, Mechanisms::default())
+        World::with_mechanisms(executors, Mechanisms::default())
     }
 
-    /// A world whose leaders do without some mechanisms.
-    pub fn without(executors: usize, without: Mechanisms) -> World {
+    /// A world whose leaders run with these mechanisms.
+    pub fn with_mechanisms(executors: usize, mechanisms: Mechanisms) -> World {
         let policy = Arc::new(policy());
-        let config = scheduler_config(1, without.clone());
+        let config = scheduler_config(1, mechanisms.clone());
         let mut world = World {
             now: 1_000,
             scheduler: Scheduler::new(config, policy.clone()),
-            without,
+            mechanisms,
             token: 1,
-            behind: 0,
-            told_until: 0,
-            still_until: 0,
+            event_lag: 0,
+            delivered_until: 0,
+            stalled_until: 0,
             former: BTreeMap::new(),
             policy,
             store: BTreeMap::new(),
             store_down: false,
             store_declines: false,
-            stuck: Vec::new(),
+            stuck_commits: Vec::new(),
             executors: Vec::new(),
-            births: 0,
+            restarts: 0,
             queue: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
             replies: BTreeMap::new(),
             ended_at: BTreeMap::new(),
             requests: 0,
             jobs: BTreeMap::new(),
-            acknowledged: BTreeSet::new(),
+            accepted: BTreeSet::new(),
             refused: BTreeSet::new(),
-            noted: BTreeSet::new(),
+            acknowledged_ends: BTreeSet::new(),
             done: BTreeMap::new(),
             gangs_done: BTreeSet::new(),
-            ever_done: BTreeSet::new(),
+            all_done: BTreeSet::new(),
             failures: BTreeMap::new(),
-            noted_failures: BTreeMap::new(),
+            acknowledged_failures: BTreeMap::new(),
             starts: BTreeMap::new(),
-            any_ordered: false,
-            broken: Vec::new(),
-            lives_over: Vec::new(),
-            takes: BTreeMap::new(),
+            any_start_ordered: false,
+            violations: Vec::new(),
+            incarnations_over: Vec::new(),
+            run_time_percents: BTreeMap::new(),
             failing: BTreeMap::new(),
             crashing: BTreeMap::new(),
             crashed: BTreeMap::new(),
-            unknowable: BTreeSet::new(),
+            unknowable_crashes: BTreeSet::new(),
             suspected_on: BTreeSet::new(),
-            crashed_under: BTreeMap::new(),
-            more_starts: BTreeMap::new(),
-            coming_back: Vec::new(),
-            deposed: false,
+            crashes_during: BTreeMap::new(),
+            extra_starts: BTreeMap::new(),
+            restarting: Vec::new(),
+            superseded: false,
             usages: BTreeMap::new(),
-            percents: BTreeMap::new(),
+            share_percents: BTreeMap::new(),
             waves: BTreeMap::new(),
             down: BTreeMap::new(),
-            upkeeps: Vec::new(),
-            had_upkeep: BTreeSet::new(),
-            wanted_waves: BTreeMap::new(),
-            shown: BTreeMap::new(),
+            maintained: Vec::new(),
+            maintenance_done: BTreeSet::new(),
+            requested_waves: BTreeMap::new(),
+            listed_executors: BTreeMap::new(),
             keep_names: false,
-            off: BTreeSet::new(),
-            unlistable: false,
-            left_out: BTreeSet::new(),
-            foreign: BTreeSet::new(),
-            lost_upkeeps: 0,
-            late_upkeeps: 0,
+            powered_off: BTreeSet::new(),
+            list_unavailable: false,
+            unlisted: BTreeSet::new(),
+            not_in_wave: BTreeSet::new(),
+            lost_maintenance_calls: 0,
+            late_maintenance_calls: 0,
             lost_advice: 0,
             advice_takes: 30,
-            look_takes: Duration::ZERO,
-            turn: 0,
-            looking: Duration::ZERO,
-            most_down: 0,
-            holds: 0,
-            asked: Vec::new(),
+            examination_time: Duration::ZERO,
+            advance_interval: 0,
+            time_examining: Duration::ZERO,
+            max_down: 0,
+            renewals: 0,
+            advice_sizes: Vec::new(),
             submitted: BTreeMap::new(),
             owners: BTreeMap::new(),
             limits: vec![(0, 0)],
@@ -515,7 +521,7 @@
         for number in 0..executors {
             world.add_executor(&format!("x{number}"));
         }
-        world.tell_all();
+        world.list_all();
         world
     }
 
@@ -525,7 +531,7 @@
             service: "s".into(),
             address: id.into(),
             dc: "d".into(),
-            capacity: room(4_000, 8_000),
+            capacity: resources(4_000, 8_000),
             ..ExecutorInfo::default()
         };
         self.executors.push(Executor {
@@ -535,27 +541,28 @@
             running: BTreeMap::new(),
             sealed: BTreeMap::new(),
             ended: Vec::new(),
-            numbers: 0,
-            cut: false,
-            cut_from: None,
-            mute: 0,
-            late: None,
-            held_up: None,
-            told_late: 0,
+            end_count: 0,
+            isolated: false,
+            isolated_from: None,
+            lost_answers: 0,
+            order_delay: None,
+            answer_delay: None,
+            report_delay: 0,
             dead: false,
-            resets: false,
+            resets_connections: false,
             unhealthy: false,
-            fails: false,
-            slow: 0,
-            takes: 100,
-            lives: 0,
-            clock_from: (0, 0),
+            fails_all: false,
+            clock_loss: 0,
+            run_time_percent: 100,
+            restarts: 0,
+            clock_origin: (0, 0),
             capacities: Vec::new(),
         });
     }
 
-    /// Tells the leader of all executors, and of one that asks for advice.
-    pub fn tell_all(&mut self) {
+    /// Tells the leader of all executors, and of one node that can ask for
+    /// advice.
+    pub fn list_all(&mut self) {
         self.event(Event::Advisors(vec!["node".into()]));
         for at in 0..self.executors.len() {
             if !self.executors[at].dead {
@@ -567,15 +574,15 @@
     }
 
     pub fn submit(&mut self, job: Job) -> u64 {
-        self.attempted(&job);
+        self.record_submission(&job);
         self.jobs.insert(job.id, job.clone());
         self.submitted.insert(self.requests + 1, job.id);
         self.request(Request::Submit(job))
     }
 
-    /// Hands a job in with the key of an account.
+    /// Submits a job with the key of an account.
     pub fn submit_as(&mut self, account: &str, job: Job) -> u64 {
-        self.attempted(&job);
+        self.record_submission(&job);
         self.owners.insert(job.id, account.into());
         self.jobs.insert(job.id, job.clone());
         self.submitted.insert(self.requests + 1, job.id);
@@ -583,25 +590,25 @@
     }
 
     pub fn request(&mut self, request: Request) -> u64 {
-        self.call(Caller::default(), request)
+        self.call(CallCredentials::default(), request)
     }
 
-    /// A request with the key of an account, at a node that knows as much of
-    /// the policy as the leader does.
+    /// Makes a request with the key of an account, through a node that has the
+    /// same policy version as the leader.
     pub fn request_as(&mut self, account: &str, request: Request) -> u64 {
         let key = Some(KeyDigest::of(account.as_bytes()));
         let policy = self.policy.version;
-        self.call(Caller { key, policy }, request)
+        self.call(CallCredentials { key, policy }, request)
     }
 
-    pub fn call(&mut self, caller: Caller, request: Request) -> u64 {
+    pub fn call(&mut self, caller: CallCredentials, request: Request) -> u64 {
         self.requests += 1;
         let id = self.requests;
         self.event(Event::Request { id, caller, request });
         id
     }
 
-    /// The answer to a request, which is there at once.
+    /// The answer to a request. It must already be there.
     pub fn answer_to(&self, id: u64) -> Outcome {
         *self.replies.get(&id).expect("an answer")
     }
@@ -612,7 +619,7 @@
         policy.version += 1;
         change(&mut policy);
         self.policy = Arc::new(policy);
-        self.note_limit();
+        self.record_limit();
         self.scheduler.set_policy(self.policy.clone());
         self.event(Event::Tick);
     }
@@ -674,29 +681,30 @@
 
     pub fn event(&mut self, event: Event) {
         if let Event::Wave(wave) = &event {
-            self.wanted_waves.insert(wave.wave, wave.clone());
+            self.requested_waves.insert(wave.wave, wave.clone());
         }
         let actions = self.scheduler.handle(event, self.now);
         self.perform(self.token, actions);
-        if self.turn == 0 {
+        if self.advance_interval == 0 {
             self.advance();
         }
     }
 
-    /// The leader does what has become possible, and is told how long it took.
+    /// Advances the leader and tells it how long that took.
     fn advance(&mut self) {
         let before = self.scheduler.placement_stats();
         let actions = self.scheduler.advance(self.now);
         let looked = self.scheduler.placement_stats().since(&before);
-        let took = self.look_takes * looked.executors as u32;
-        self.looking += took;
+        let took = self.examination_time * looked.executors as u32;
+        self.time_examining += took;
         let over = self.now + took.as_millis() as Millis;
         self.scheduler.record_advance_time(took, over);
         self.perform(self.token, actions);
     }
 
-    /// Tells the leader with this token, whether it still leads or not.
-    fn tell(&mut self, token: u64, event: Event) {
+    /// Delivers an event to the leader with this token, whether it still leads
+    /// or not.
+    fn deliver(&mut self, token: u64, event: Event) {
         if token == self.token {
             return self.event(event);
         }
@@ -715,33 +723,33 @@
         }
     }
 
-    fn later(&mut self, after: Millis, pending: Pending) {
-        self.order += 1;
+    fn schedule(&mut self, after: Millis, pending: Pending) {
+        self.sequence += 1;
         let mut at = self.now + after;
-        at += self.told_late(&pending);
-        let late = self.behind > 0 || self.told_until > at;
-        if matches!(pending, Pending::Tell(..)) && late {
-            at = self.told_until.max(at + self.behind);
-            self.told_until = at;
+        at += self.report_delay(&pending);
+        let late = self.event_lag > 0 || self.delivered_until > at;
+        if matches!(pending, Pending::Deliver(..)) && late {
+            at = self.delivered_until.max(at + self.event_lag);
+            self.delivered_until = at;
         }
-        self.queue.insert((at, self.order), pending);
+        self.queue.insert((at, self.sequence), pending);
     }
 
-    fn told_late(&self, pending: &Pending) -> Millis {
-        let Pending::Tell(token, Event::RenewalAnswered { executor, .. }) =
+    fn report_delay(&self, pending: &Pending) -> Millis {
+        let Pending::Deliver(token, Event::RenewalAnswered { executor, .. }) =
             pending
         else {
             return 0;
         };
         let at = self.index_of(*token, *executor);
-        at.map_or(0, |at| self.executors[at].told_late)
+        at.map_or(0, |at| self.executors[at].report_delay)
     }
 
-    /// The leader stands still for some time. What has come meanwhile is told
-    /// to it after its first tick.
-    pub fn stand_still(&mut self, time: Millis) {
-        self.still_until = (self.now + time).next_multiple_of(50);
-        self.run(self.still_until - self.now);
+    /// Stalls the leader. What arrives in the meantime is delivered after its
+    /// first tick.
+    pub fn stall(&mut self, time: Millis) {
+        self.stalled_until = (self.now + time).next_multiple_of(50);
+        self.run(self.stalled_until - self.now);
     }
 
     fn index_of(&self, token: u64, executor: ExecutorIndex) -> Option<usize> {
@@ -757,7 +765,7 @@
     fn perform(&mut self, token: u64, actions: Vec<Action>) {
         for action in actions {
             if let Action::Advise { executors, .. } = &action {
-                self.asked.push(executors.len());
+                self.advice_sizes.push(executors.len());
             }
             match &action {
                 // Nobody listens to a former leader.
@@ -765,20 +773,23 @@
                     if token != self.token => {}
                 Action::Reply { id, outcome } => {
                     self.replies.insert(*id, *outcome);
-                    self.note_reply(*id, *outcome);
+                    self.record_reply(*id, *outcome);
                 }
                 Action::Commit(changes) => {
                     if self.store_declines {
                         let event = Event::CommitDeclined(changes.clone());
-                        self.later(DECLINED, Pending::Tell(token, event));
+                        self.schedule(
+                            DECLINE_DELAY,
+                            Pending::Deliver(token, event),
+                        );
                     } else if self.store_down {
-                        self.stuck.push((token, changes.clone()));
+                        self.stuck_commits.push((token, changes.clone()));
                     } else {
                         self.write(changes.clone());
-                        self.later(2 * WAY, Pending::Written(token));
+                        self.schedule(2 * LATENCY, Pending::Written(token));
                     }
                 }
-                Action::Superseded => self.deposed = true,
+                Action::Superseded => self.superseded = true,
                 Action::JobEnded { job, .. } => {
                     self.ended_at.insert(*job, self.now);
                 }
@@ -798,7 +809,7 @@
                     self.suspected_on.insert(executor.clone());
                 }
                 Action::ExecutorOver { id, why, .. } => {
-                    self.lives_over.push((id.clone(), *why));
+                    self.incarnations_over.push((id.clone(), *why));
                 }
                 Action::Advise { .. } if self.lost_advice > 0 => {
                     self.lost_advice -= 1;
@@ -808,10 +819,11 @@
                 {
                     let answer = Err(AdviceFailure::Unknown);
                     let event = Event::Advised { call: *call, answer };
-                    self.later(WAY, Pending::Tell(token, event));
+                    self.schedule(LATENCY, Pending::Deliver(token, event));
                 }
                 Action::Advise { call, step, executors, .. } => {
-                    // By machines, so that no lives of all of them are bad.
+                    // Advice depends on the machine, so that it does not
+                    // exclude all incarnations of an executor.
                     let rows = executors.iter().filter(|id| {
                         let all = &mut self.executors.iter();
                         let known = all.find(|e| e.info.id == **id);
@@ -826,48 +838,58 @@
                     });
                     let answer = Ok(rows.collect());
                     let event = Event::Advised { call: *call, answer };
-                    self.later(self.advice_takes, Pending::Tell(token, event));
+                    self.schedule(
+                        self.advice_takes,
+                        Pending::Deliver(token, event),
+                    );
                 }
                 Action::Throttle { task, percent, .. } => {
-                    self.percents.insert(*task, *percent);
+                    self.share_percents.insert(*task, *percent);
                 }
                 Action::ListMachines => {
-                    let listed = (!self.unlistable).then(|| self.machines());
+                    let listed =
+                        (!self.list_unavailable).then(|| self.machines());
                     let event = Event::Machines(listed);
-                    self.later(2 * WAY, Pending::Tell(token, event));
+                    self.schedule(2 * LATENCY, Pending::Deliver(token, event));
                 }
                 Action::StartMaintenance { wave, machine }
-                    if self.lost_upkeeps > 0 =>
+                    if self.lost_maintenance_calls > 0 =>
                 {
-                    self.lost_upkeeps -= 1;
+                    self.lost_maintenance_calls -= 1;
                     let event = Event::MaintenanceAnswered {
                         wave: *wave,
                         machine: machine.clone(),
                         answer: Err(MaintenanceFailure::Unknown),
                     };
-                    self.later(ORDER_TIMEOUT, Pending::Tell(token, event));
+                    self.schedule(
+                        ORDER_TIMEOUT,
+                        Pending::Deliver(token, event),
+                    );
                 }
                 Action::StartMaintenance { wave, machine }
-                    if self.late_upkeeps > 0 =>
+                    if self.late_maintenance_calls > 0 =>
                 {
-                    self.late_upkeeps -= 1;
-                    let late = Pending::Upkeep(*wave, machine.clone());
-                    self.later(UPKEEP_LATE, late);
+                    self.late_maintenance_calls -= 1;
+                    let late = Pending::Maintenance(*wave, machine.clone());
+                    self.schedule(MAINTENANCE_DELAY, late);
                     let event = Event::MaintenanceAnswered {
                         wave: *wave,
                         machine: machine.clone(),
                         answer: Err(MaintenanceFailure::Unknown),
                     };
-                    self.later(ORDER_TIMEOUT, Pending::Tell(token, event));
+                    self.schedule(
+                        ORDER_TIMEOUT,
+                        Pending::Deliver(token, event),
+                    );
                 }
                 Action::StartMaintenance { wave, machine } => {
-                    let answer = self.upkeep(*wave, machine);
+                    let answer = self.maintain(*wave, machine);
                     let event = Event::MaintenanceAnswered {
                         wave: *wave,
                         machine: machine.clone(),
                         answer,
                     };
-                    self.later(2 * WAY, Pending::Tell(token, event));
+                    self.schedule(2 * LATENCY, Pending::Deliver(token, event));
                 }
                 Action::WaveState { wave, succeeded } => {
                     self.waves.insert(*wave, *succeeded);
@@ -876,9 +898,9 @@
                 | Action::Start { executor, .. }
                 | Action::Stop { executor, .. } => {
                     let start = matches!(action, Action::Start { .. });
-                    self.any_ordered |= start;
+                    self.any_start_ordered |= start;
                     let hold = matches!(action, Action::RenewLease { .. });
-                    self.holds += u64::from(hold);
+                    self.renewals += u64::from(hold);
                     let Some(at) = self.index_of(token, *executor) else {
                         continue;
                     };
@@ -888,7 +910,7 @@
                         token,
                         Some(token),
                     );
-                    self.later(WAY, order);
+                    self.schedule(LATENCY, order);
                 }
             }
         }
@@ -908,31 +930,32 @@
         }
     }
 
-    /// The store answers again: what is stuck is written.
+    /// The store answers again and writes the commits that are stuck.
     pub fn store_up(&mut self) {
         self.store_down = false;
-        for (token, changes) in std::mem::take(&mut self.stuck) {
+        for (token, changes) in std::mem::take(&mut self.stuck_commits) {
             if token == self.token {
                 self.write(changes);
-                self.later(2 * WAY, Pending::Written(token));
+                self.schedule(2 * LATENCY, Pending::Written(token));
             }
         }
     }
 
-    /// Another node leads: it takes over what stands in the store. Orders
-    /// of its predecessor that are under way still arrive.
+    /// Another node takes over what is in the store. Orders of its predecessor
+    /// that are in flight still arrive.
     pub fn replace_leader(&mut self) {
         self.take_over();
-        self.tell_all();
+        self.list_all();
     }
 
-    /// The same, but nobody has told it of any executor yet. It knows those
-    /// that its predecessor has written to the store.
+    /// Like [`World::replace_leader`], but the successor is not told of any
+    /// executor yet. It knows those that its predecessor has written to the
+    /// store.
     pub fn take_over(&mut self) {
-        self.stuck.clear();
+        self.stuck_commits.clear();
         let crashed = self.crashed.values().flatten();
         let unknown = crashed.filter(|id| !self.suspected_on.contains(*id));
-        self.unknowable.extend(unknown.cloned());
+        self.unknowable_crashes.extend(unknown.cloned());
         let token = self.token;
         self.token += 1;
         let kept: Vec<StoredValue> = self
@@ -944,60 +967,61 @@
                 revision: 0,
             })
             .collect();
-        let config = scheduler_config(self.token, self.without.clone());
+        let config = scheduler_config(self.token, self.mechanisms.clone());
         let policy = self.policy.clone();
         let restored = Scheduler::restore(config, policy, &kept, self.now);
         let restored = restored.expect("readable values");
         let former = std::mem::replace(&mut self.scheduler, restored);
         self.scheduler.set_cordons(self.cordons.clone());
-        self.former.insert(token, (former, self.now + UNCONFIRMED));
-        self.deposed = false;
+        self.former.insert(token, (former, self.now + UNCONFIRMED_LIMIT));
+        self.superseded = false;
         // A successor reads the operators' waves before it leads.
-        for wave in self.wanted_waves.values().cloned().collect::<Vec<_>>() {
+        for wave in self.requested_waves.values().cloned().collect::<Vec<_>>()
+        {
             self.event(Event::Wave(wave));
         }
     }
 
-    /// The same, told of these entries in turn, and of one that asks for
-    /// advice.
-    pub fn replace_leader_told(&mut self, entries: &[usize]) {
+    /// Like [`World::take_over`], but the successor is then told of these
+    /// entries in this order, and of one node that can ask for advice.
+    pub fn replace_leader_listing(&mut self, entries: &[usize]) {
         self.take_over();
         self.event(Event::Advisors(vec!["node".into()]));
         for at in entries {
-            self.tell_entry(*at);
+            self.list_entry(*at);
         }
     }
 
-    /// Tells the leader of an entry that stands in the store, whether the
-    /// executor lives or not.
-    pub fn tell_entry(&mut self, at: usize) {
+    /// Tells the leader of an entry in the store, whether its executor is
+    /// alive or not.
+    pub fn list_entry(&mut self, at: usize) {
         let info = self.executors[at].info.clone();
         self.event(Event::Listed(info));
     }
 
-    /// Lets time pass.
+    /// Advances virtual time.
     pub fn run(&mut self, time: Millis) {
         let end = self.now + time;
         while self.now < end {
             self.now += 1;
             self.work();
             self.crash_by_tasks();
-            self.come_back();
-            self.begin_lives();
+            self.end_maintenance();
+            self.restart_crashed();
             while let Some(entry) = self.queue.first_entry() {
                 if entry.key().0 > self.now {
                     break;
                 }
                 let pending = entry.remove();
-                self.happen(pending);
+                self.process(pending);
             }
-            if self.now < self.still_until {
+            if self.now < self.stalled_until {
                 continue;
             }
             if self.now % 50 == 0 {
                 let former: Vec<u64> = self.former.keys().copied().collect();
                 for token in former {
-                    self.tell(token, Event::Tick);
+                    self.deliver(token, Event::Tick);
                 }
                 self.scheduler.confirm_leadership(self.now);
                 self.event(Event::Tick);
@@ -1005,26 +1029,28 @@
                 .scheduler
                 .next_advance()
                 .is_some_and(|at| at <= self.now)
-                && self.turn == 0
+                && self.advance_interval == 0
             {
                 self.advance();
             }
-            if self.turn > 0 && self.now % self.turn == 0 {
+            if self.advance_interval > 0
+                && self.now % self.advance_interval == 0
+            {
                 self.advance();
             }
         }
     }
 
-    fn happen(&mut self, pending: Pending) {
+    fn process(&mut self, pending: Pending) {
         match pending {
-            Pending::Tell(..) if self.now <= self.still_until => {
-                self.order += 1;
-                let at = (self.still_until + 1, self.order);
+            Pending::Deliver(..) if self.now <= self.stalled_until => {
+                self.sequence += 1;
+                let at = (self.stalled_until + 1, self.sequence);
                 self.queue.insert(at, pending);
             }
-            Pending::Tell(token, event) => self.tell(token, event),
-            Pending::Upkeep(wave, machine) => {
-                let _ = self.upkeep(wave, &machine);
+            Pending::Deliver(token, event) => self.deliver(token, event),
+            Pending::Maintenance(wave, machine) => {
+                let _ = self.maintain(wave, &machine);
             }
             Pending::Written(token) => {
                 if token == self.token {
@@ -1034,15 +1060,16 @@
             Pending::Order(at, action, token, answer_to) => {
                 self.order(at, *action, token, answer_to);
             }
-            // The life that follows may carry it out, but a seal there does
-            // not outlast that life: it comes no later than this.
-            Pending::LateOrder(at, action, token, life) => {
-                if self.executors[at].lives <= life + 1 {
+            // The next incarnation may still carry the order out. A seal there
+            // does not outlast that incarnation, so the order is dropped once
+            // that one is over, too.
+            Pending::DelayedOrder(at, action, token, restarts) => {
+                if self.executors[at].restarts <= restarts + 1 {
                     self.order(at, *action, token, None);
                 }
             }
-            Pending::HoldDue(at, executor, sent_at, last_seen, token) => {
-                self.answer_hold(at, executor, sent_at, last_seen, token);
+            Pending::RenewalDue(at, executor, sent_at, last_seen, token) => {
+                self.answer_renewal(at, executor, sent_at, last_seen, token);
             }
         }
     }
--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -1,79 +1,80 @@
-//! How long answers of executors are waited for.
+//! Tests of the adaptive timeout of calls to executors and the store.
 
-use puffinknot::cell::patience::{Bounds, Patience};
+use puffinknot::cell::call_timeout::{CallTimeout, TimeoutBounds};
 
-const BOUNDS: Bounds = Bounds { least: 120, first: 300, most: 300 };
+const BOUNDS: TimeoutBounds =
+    TimeoutBounds { min: 120, initial: 300, max: 300 };
 
-fn fresh() -> Patience {
-    Patience::new(BOUNDS, true)
+fn new_timeout() -> CallTimeout {
+    CallTimeout::new(BOUNDS, true)
 }
 
-/// Answers after these times, in milliseconds.
-fn after(round_trips: impl IntoIterator<Item = u64>) -> Patience {
-    let patience = fresh();
+/// A timeout that has seen these round trips, in milliseconds.
+fn timeout_after(round_trips: impl IntoIterator<Item = u64>) -> CallTimeout {
+    let timeout = new_timeout();
     for took in round_trips {
-        patience.answered(took);
+        timeout.record_answer(took);
     }
-    patience
+    timeout
 }
 
-/// A lost order left its task in doubt for 300 ms, also where answers take
-/// two.
+/// Guards against waiting the full 300 ms for a lost order, with the state of
+/// its task unknown, where answers take 2 ms.
 #[test]
 fn quick_answers_are_not_waited_for_long() {
-    let before = fresh().within();
-    let within = after([2; 20]).within();
+    let before = new_timeout().current();
+    let within = timeout_after([2; 20]).current();
     assert!(within < before, "{within} is not below {before}");
 }
 
 #[test]
 fn slow_answers_are_waited_for_longer() {
-    let quick = after([2; 20]).within();
-    let slow = after([180; 20]).within();
+    let quick = timeout_after([2; 20]).current();
+    let slow = timeout_after([180; 20]).current();
     assert!(slow > quick && slow > 180, "{slow}");
-    let uneven = after([10, 250, 10, 250, 10, 250]).within();
+    let uneven = timeout_after([10, 250, 10, 250, 10, 250]).current();
     assert!(uneven > 250, "{uneven}");
 }
 
 #[test]
 fn silence_doubles_the_time_until_an_answer_comes() {
-    let patience = after([2; 20]);
-    let quick = patience.within();
-    patience.unanswered();
-    let doubled = patience.within();
+    let timeout = timeout_after([2; 20]);
+    let quick = timeout.current();
+    timeout.record_timeout();
+    let doubled = timeout.current();
     assert_eq!(doubled, 2 * quick);
     for _ in 0..100 {
-        patience.unanswered();
+        timeout.record_timeout();
     }
-    assert_eq!(patience.within(), fresh().within());
-    patience.answered(2);
-    assert_eq!(patience.within(), quick);
+    assert_eq!(timeout.current(), new_timeout().current());
+    timeout.record_answer(2);
+    assert_eq!(timeout.current(), quick);
 }
 
 #[test]
 fn round_trips_are_not_followed_if_that_is_switched_off() {
-    let patience = Patience::new(BOUNDS, false);
-    patience.answered(2);
-    assert_eq!(patience.within(), BOUNDS.first);
+    let timeout = CallTimeout::new(BOUNDS, false);
+    timeout.record_answer(2);
+    assert_eq!(timeout.current(), BOUNDS.initial);
 }
 
-/// A slow store must not be taken for a silent one.
+/// A slow store must not be mistaken for one that does not answer.
 #[test]
 fn what_turns_slow_is_answered_in_the_end() {
-    let bounds = Bounds { least: 150, first: 450, most: 1_000 };
-    let patience = Patience::new(bounds, true);
+    let bounds = TimeoutBounds { min: 150, initial: 450, max: 1_000 };
+    let timeout = CallTimeout::new(bounds, true);
     for _ in 0..100 {
-        patience.answered(4);
+        timeout.record_answer(4);
     }
-    // Sixty times slower than it was.
-    let mut given_up = 0;
-    while patience.within() < 240 {
-        patience.unanswered();
-        given_up += 1;
+    // Answers take sixty times as long as before.
+    let mut timed_out = 0;
+    while timeout.current() < 240 {
+        timeout.record_timeout();
+        timed_out += 1;
     }
-    assert!(given_up <= 1, "{given_up} calls");
+    assert!(timed_out <= 1, "{timed_out} calls");
     for _ in 0..3 {
-        patience.answered(240);
+        timeout.record_answer(240);
     }
-    assert!(patience.within() > 240, "{}", patience.within());
+    assert!(timeout.current() > 240, "{}", timeout.current());
 }
