--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -8,20 +8,21 @@
 
 * [`ports`] is the interface that a platform implements.
 * [`node`] assembles a node and runs it.
-* [`store_watch`] learns the operators' policy and who leads.
+* [`store_watch`] watches the operators' requests and the leader, and claims a
+  vacant leadership.
 * [`leader`] runs the scheduler while this node leads.
-* [`store`] makes calls to the store with as much [`call_timeout`] as it needs.
+* [`store`] makes calls to the store, each with an adaptive [`call_timeout`].
 * [`journal`] writes the leader's changes, each under a condition.
-* [`watch_limit`] knows whether the store may have more changes than it has
-  told.
-* [`order`] is what executors are told, and [`relay`] how orders reach them
-  by other nodes.
+* [`watch_limit`] infers how many changes the store returns at most in one
+  answer.
+* [`order`] defines the orders to executors, and [`relay`] passes them on by
+  way of other nodes.
 * [`link`] connects each node to the leader, over a [`channel`].
 * [`reachability`] tracks whether this node can serve clients, and
   [`leader_search`] chooses the nodes to try to find the leader.
 * [`logging`] and [`stats`] provide logs and metrics for on-call engineers.
-* [`decision_log`] logs what the leader decides, and from what; [`iteration`]
-  measures how long that takes, and how long inputs wait for it.
+* [`decision_log`] logs the leader's inputs and decisions; [`iteration`]
+  measures how long deciding takes, and how long inputs wait for it.
 * [`ingress`] answers client requests, readiness checks and metrics scrapes;
   [`shutdown`] stops the node after all requests are answered.
 */
--- a/src/cell/store.rs
+++ b/src/cell/store.rs
@@ -1,10 +1,11 @@
 /*!
 Calls to the store, with adaptive timeouts.
 
-A call that is not answered in time is given up, see [`crate::cell::call_timeout`].
-A lost answer or a silent store is thus noticed soon, while a slow store can
-still be used. Reading a page of a range has a separate timeout, since it
-takes long on a narrow link on which other calls are quick.
+A call that is not answered in time is given up, see
+[`crate::cell::call_timeout`]. A lost answer or a silent store is thus noticed
+soon, while a slow store can still be used. Reading a page of a range has a
+separate timeout, since it takes long on a narrow link on which other calls are
+quick.
 */
 
 use std::cell::Cell;
--- a/tests/jobs/membership.rs
+++ b/tests/jobs/membership.rs
@@ -299,7 +299,7 @@
     assert_eq!(world.maintained, ["x0"]);
 }
 
-/// The same under a single leader. Its first call is carried out late and left
+/// The same under a single leader. Its first call takes effect late and left
 /// unanswered, and the list of machines is unavailable until the machine is
 /// back. By the time of the second call the task has moved to the machine's
 /// new executor, and the wave is late.
--- a/tests/jobs/services.rs
+++ b/tests/jobs/services.rs
@@ -127,7 +127,7 @@
     assert_eq!(upkeeps, ["x0", "x1", "x2"]);
 }
 
-/// A call that was not answered may be carried out later, so its machine
+/// A call that was not answered may take effect later, so its machine
 /// counts as down until then.
 #[test]
 fn a_maintenance_call_without_answer_counts() {
--- a/tests/jobs/world/mod.rs
+++ b/tests/jobs/world/mod.rs
@@ -52,7 +52,7 @@
 
 /// How long maintenance takes a machine down.
 const MAINTENANCE_DURATION: Millis = 2_000;
-/// The delay of a maintenance call that is carried out late.
+/// The delay of a maintenance call that takes effect late.
 const MAINTENANCE_DELAY: Millis = 1_500;
 /// How long a task runs on an executor that fails everything.
 const FAILURE_DELAY: Millis = 20;
@@ -290,7 +290,7 @@
     /// The number of maintenance calls that will be neither carried out nor
     /// answered.
     pub lost_maintenance_calls: u32,
-    /// The number of maintenance calls that will be carried out late and not
+    /// The number of maintenance calls that will take effect late and not
     /// answered.
     pub late_maintenance_calls: u32,
     /// The number of advice calls that will never be answered.
